--- a/filbertpaddle-forward/src/fleet.rs
+++ b/filbertpaddle-forward/src/fleet.rs
@@ -4,11 +4,11 @@
 use filbertpaddle_core::name::Name;
 use indexmap::IndexMap;
 
-use crate::board::ByTarget;
-use crate::board::Work;
 use crate::cold;
 use crate::configuration::Configuration;
 use crate::directory::Directory;
+use crate::load_table::LoadByTarget;
+use crate::load_table::TargetLoad;
 
 use crate::target::Target;
 
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, Default)]
 struct Load {
     life: Option<Target>,
-    own: Work,
+    own: TargetLoad,
     failures: u32,
     shunned_until_ms: Millis,
     /// Whether nothing listened there when it failed last.
@@ -88,7 +88,7 @@
     nodes: Vec<Name>,
     loads: IndexMap<Name, Load>,
     /// Work of other nodes.
-    others: ByTarget,
+    others: LoadByTarget,
 }
 
 impl Fleet {
@@ -99,7 +99,7 @@
             node,
             data_centre,
             loads: IndexMap::new(),
-            others: ByTarget::new(),
+            others: LoadByTarget::new(),
         }
     }
 
@@ -215,16 +215,16 @@
     /// A request was given to a target.
     pub fn sent(&mut self, now: Millis, target: &Target, ask: &Ask) {
         let load = self.loads.entry(target.id.clone()).or_default();
-        load.own.add(&Work::from(ask));
+        load.own.add(&TargetLoad::from(ask));
         load.cold.sent(now);
     }
 
     /// A target has read a request's prompt.
     pub fn started(&mut self, id: &str, ask: &Ask) {
         if let Some(load) = self.loads.get_mut(id) {
-            let read = Work {
+            let read = TargetLoad {
                 prompt_tokens: u64::from(ask.prompt_tokens),
-                ..Work::default()
+                ..TargetLoad::default()
             };
             load.own = load.own.without(&read);
         }
@@ -236,9 +236,9 @@
             self.started(id, ask);
         }
         if let Some(load) = self.loads.get_mut(id) {
-            let ended = Work {
+            let ended = TargetLoad {
                 prompt_tokens: 0,
-                ..Work::from(ask)
+                ..TargetLoad::from(ask)
             };
             load.own = load.own.without(&ended);
         }
@@ -276,8 +276,8 @@
     }
 
     /// Work of this node by target, and what refuses its connections.
-    pub fn own_work(&self, now: Millis) -> ByTarget {
-        let told = |load: &Load| Work {
+    pub fn own_work(&self, now: Millis) -> LoadByTarget {
+        let told = |load: &Load| TargetLoad {
             refusals: u32::from(load.is_refusing && now < load.shunned_until_ms),
             ..load.own
         };
@@ -289,16 +289,16 @@
     }
 
     /// Takes over the work of other nodes.
-    pub fn set_others(&mut self, others: ByTarget) {
+    pub fn set_others(&mut self, others: LoadByTarget) {
         self.others = others;
     }
 
     /// Work of all nodes at a target.
-    fn work(&self, id: &str) -> Work {
+    fn work(&self, id: &str) -> TargetLoad {
         let mut work = self
             .loads
             .get(id)
-            .map_or_else(Work::default, |load| load.own);
+            .map_or_else(TargetLoad::default, |load| load.own);
         if let Some(others) = self.others.get(id) {
             work.add(others);
         }
@@ -353,7 +353,7 @@
     }
 }
 
-impl From<&Ask> for Work {
+impl From<&Ask> for TargetLoad {
     fn from(ask: &Ask) -> Self {
         Self {
             running: 1,
--- a/filbertpaddle-forward/src/lib.rs
+++ b/filbertpaddle-forward/src/lib.rs
@@ -3,7 +3,6 @@
 //!
 //! As in `filbertpaddle-core`, nothing here performs I/O or reads a clock.
 
-pub mod board;
 pub mod budget;
 pub mod cold;
 pub mod configuration;
@@ -12,5 +11,6 @@
 pub mod envelope;
 pub mod event_stream;
 pub mod fleet;
+pub mod load_table;
 pub mod migration;
 pub mod target;
--- a/filbertpaddle-forward/src/board.rs
+++ b/filbertpaddle-forward/src/load_table.rs
@@ -11,7 +11,7 @@
 
 /// Work at one target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Work {
+pub struct TargetLoad {
     /// Requests that run.
     pub running: u32,
     /// Memory that they are expected to need at their ends.
@@ -23,19 +23,19 @@
 }
 
 /// Work by target.
-pub type ByTarget = IndexMap<Name, Work>;
+pub type LoadByTarget = IndexMap<Name, TargetLoad>;
 
-/// Changed entries of a [`ByTarget`]; an empty one is gone.
-pub type Changes = Vec<(Name, Work)>;
+/// Changed entries of a [`LoadByTarget`]; an empty one is gone.
+pub type LoadChanges = Vec<(Name, TargetLoad)>;
 
 /// Work of the nodes of this node's group, and of other groups.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
-    members: IndexMap<Name, ByTarget>,
-    groups: IndexMap<Name, ByTarget>,
+pub struct LoadTable {
+    members: IndexMap<Name, LoadByTarget>,
+    groups: IndexMap<Name, LoadByTarget>,
 }
 
-impl Work {
+impl TargetLoad {
     /// Whether there is none.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
@@ -60,45 +60,45 @@
     }
 }
 
-impl Board {
+impl LoadTable {
     /// Knows of no work.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// A member of this node's group told what changed.
-    pub fn member(&mut self, node: &Name, changes: &Changes) {
-        apply(self.members.entry(node.clone()).or_default(), changes);
+    pub fn update_member(&mut self, node: &Name, changes: &LoadChanges) {
+        apply_changes(self.members.entry(node.clone()).or_default(), changes);
     }
 
     /// A reader told what changed of its group.
-    pub fn group(&mut self, reader: &Name, changes: &Changes) {
-        apply(self.groups.entry(reader.clone()).or_default(), changes);
+    pub fn update_group(&mut self, reader: &Name, changes: &LoadChanges) {
+        apply_changes(self.groups.entry(reader.clone()).or_default(), changes);
     }
 
     /// A member is no longer linked.
-    pub fn forget_member(&mut self, node: &str) {
+    pub fn remove_member(&mut self, node: &str) {
         self.members.shift_remove(node);
     }
 
     /// A reader is no longer linked.
-    pub fn forget_group(&mut self, reader: &str) {
+    pub fn remove_group(&mut self, reader: &str) {
         self.groups.shift_remove(reader);
     }
 
     /// Work of this node's group.
-    pub fn group_sum(&self) -> ByTarget {
+    pub fn group_total(&self) -> LoadByTarget {
         sum(self.members.values())
     }
 
     /// Work of all nodes.
-    pub fn total(&self) -> ByTarget {
+    pub fn total(&self) -> LoadByTarget {
         sum(self.members.values().chain(self.groups.values()))
     }
 }
 
 /// Takes changed entries.
-pub fn apply(known: &mut ByTarget, changes: &Changes) {
+pub fn apply_changes(known: &mut LoadByTarget, changes: &LoadChanges) {
     for (target, work) in changes {
         if work.is_empty() {
             known.shift_remove(target);
@@ -109,7 +109,7 @@
 }
 
 /// Returns what must be told to someone who knows `told`.
-pub fn changes(told: &ByTarget, now: &ByTarget) -> Changes {
+pub fn changes_since(told: &LoadByTarget, now: &LoadByTarget) -> LoadChanges {
     let changed = now
         .iter()
         .filter(|(target, work)| told.get(*target) != Some(*work))
@@ -117,15 +117,15 @@
     let gone = told
         .keys()
         .filter(|target| !now.contains_key(*target))
-        .map(|target| (target.clone(), Work::default()));
+        .map(|target| (target.clone(), TargetLoad::default()));
     changed.chain(gone).collect()
 }
 
-fn sum<'a, I>(parts: I) -> ByTarget
+fn sum<'a, I>(parts: I) -> LoadByTarget
 where
-    I: Iterator<Item = &'a ByTarget>,
+    I: Iterator<Item = &'a LoadByTarget>,
 {
-    let mut total = ByTarget::new();
+    let mut total = LoadByTarget::new();
     for (target, work) in parts.flatten() {
         total.entry(target.clone()).or_default().add(work);
     }
--- a/filbertpaddle-forward/tests/fleet.rs
+++ b/filbertpaddle-forward/tests/fleet.rs
@@ -4,8 +4,6 @@
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
-use filbertpaddle_forward::board::ByTarget;
-use filbertpaddle_forward::board::Work;
 use filbertpaddle_forward::configuration::Configuration;
 use filbertpaddle_forward::configuration::Engine;
 use filbertpaddle_forward::configuration::Service;
@@ -17,6 +15,8 @@
 use filbertpaddle_forward::fleet::Ask;
 use filbertpaddle_forward::fleet::Fleet;
 use filbertpaddle_forward::fleet::NoTarget;
+use filbertpaddle_forward::load_table::LoadByTarget;
+use filbertpaddle_forward::load_table::TargetLoad;
 use filbertpaddle_forward::target::Target;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -124,10 +124,10 @@
     let directory = directory(&targets);
     let mut fleet = fleet("dc");
     fleet.update(&directory);
-    let work = |tokens| Work {
+    let work = |tokens| TargetLoad {
         running: 1,
         tokens,
-        ..Work::default()
+        ..TargetLoad::default()
     };
     let others = names[1..]
         .iter()
@@ -179,23 +179,23 @@
     let directory = directory(&[target("idle", "dc"), target("busy", "dc")]);
     let mut fleet = fleet("dc");
     fleet.update(&directory);
-    let busy = Work {
+    let busy = TargetLoad {
         running: 5,
         tokens: 20_000,
         prompt_tokens: 2_000,
         refusals: 0,
     };
-    let refusing = Work {
+    let refusing = TargetLoad {
         refusals: 1,
-        ..Work::default()
+        ..TargetLoad::default()
     };
-    let mut others = ByTarget::new();
+    let mut others = LoadByTarget::new();
     others.insert("busy".into(), busy);
     others.insert("idle".into(), refusing);
     fleet.set_others(others.clone());
     assert_eq!(choose(&fleet, &directory, &ask(100, 200)).unwrap(), "busy");
     // One node is cut off from what serves all others.
-    let running = Work {
+    let running = TargetLoad {
         running: 1,
         ..refusing
     };
@@ -222,8 +222,8 @@
     let directory = directory(&[target("a", "dc"), target("b", "dc")]);
     let mut fleet = fleet("dc");
     fleet.update(&directory);
-    let mut others = ByTarget::new();
-    let busy = Work {
+    let mut others = LoadByTarget::new();
+    let busy = TargetLoad {
         running: 5,
         tokens: 20_000,
         prompt_tokens: 0,
--- a/filbertpaddle-forward/tests/board.rs
+++ b/filbertpaddle-forward/tests/load_table.rs
@@ -1,19 +1,19 @@
 //! Work that nodes tell each other.
 
 use filbertpaddle_core::name::Name;
-use filbertpaddle_forward::board;
-use filbertpaddle_forward::board::Board;
-use filbertpaddle_forward::board::ByTarget;
-use filbertpaddle_forward::board::Work;
+use filbertpaddle_forward::load_table;
+use filbertpaddle_forward::load_table::LoadByTarget;
+use filbertpaddle_forward::load_table::LoadTable;
+use filbertpaddle_forward::load_table::TargetLoad;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-fn work(rng: &mut StdRng) -> ByTarget {
+fn work(rng: &mut StdRng) -> LoadByTarget {
     (0..rng.random_range(0..6))
         .map(|_| {
             let target = Name::from(format!("t{}", rng.random_range(0..8)));
-            let work = Work {
+            let work = TargetLoad {
                 running: rng.random_range(1..5),
                 tokens: rng.random_range(0..9_000),
                 prompt_tokens: rng.random_range(0..3_000),
@@ -30,24 +30,24 @@
 fn sums_over_groups_are_those_of_all_nodes() {
     for seed in 0..300 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut boards = [Board::new(), Board::new()];
+        let mut boards = [LoadTable::new(), LoadTable::new()];
         let names = ["r0", "r1"].map(Name::from);
-        let mut told_groups = [ByTarget::new(), ByTarget::new()];
-        let mut nodes: Vec<ByTarget> = vec![ByTarget::new(); 5];
+        let mut told_groups = [LoadByTarget::new(), LoadByTarget::new()];
+        let mut nodes: Vec<LoadByTarget> = vec![LoadByTarget::new(); 5];
         for _ in 0..20 {
             let node = rng.random_range(0..nodes.len());
             let now = work(&mut rng);
-            let changes = board::changes(&nodes[node], &now);
+            let changes = load_table::changes_since(&nodes[node], &now);
             let name = Name::from(format!("n{node}"));
-            boards[node % 2].member(&name, &changes);
+            boards[node % 2].update_member(&name, &changes);
             nodes[node] = now;
             for reader in 0..2 {
-                let sum = boards[reader].group_sum();
-                let changes = board::changes(&told_groups[reader], &sum);
-                boards[1 - reader].group(&names[reader], &changes);
+                let sum = boards[reader].group_total();
+                let changes = load_table::changes_since(&told_groups[reader], &sum);
+                boards[1 - reader].update_group(&names[reader], &changes);
                 told_groups[reader] = sum;
             }
-            let mut all = ByTarget::new();
+            let mut all = LoadByTarget::new();
             for (target, work) in nodes.iter().flatten() {
                 all.entry(target.clone()).or_default().add(work);
             }
@@ -59,18 +59,18 @@
 
 #[test]
 fn the_work_of_a_node_that_is_gone_is_gone() {
-    let mut board = Board::new();
+    let mut board = LoadTable::new();
     let changes = vec![(
         "t".into(),
-        Work {
+        TargetLoad {
             running: 1,
-            ..Work::default()
+            ..TargetLoad::default()
         },
     )];
-    board.member(&"n".into(), &changes);
-    board.group(&"r".into(), &changes);
+    board.update_member(&"n".into(), &changes);
+    board.update_group(&"r".into(), &changes);
     assert_eq!(board.total()["t"].running, 2);
-    board.forget_member("n");
-    board.forget_group("r");
+    board.remove_member("n");
+    board.remove_group("r");
     assert!(board.total().is_empty());
 }
--- a/filbertpaddle-gateway/src/exchange.rs
+++ b/filbertpaddle-gateway/src/exchange.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use filbertpaddle_core::name::Name;
-use filbertpaddle_forward::board::ByTarget;
+use filbertpaddle_forward::load_table::LoadByTarget;
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 use slog::debug;
@@ -44,16 +44,16 @@
 fn share_own(state: &State) {
     let own = state.fleet.borrow().own_work(state.clock.now());
     let mut board = state.board.borrow_mut();
-    board.forget_member(&state.settings.node);
+    board.remove_member(&state.settings.node);
     let changes = own.iter().map(|(id, work)| (id.clone(), *work)).collect();
-    board.member(&state.settings.node, &changes);
+    board.update_member(&state.settings.node, &changes);
     let total = board.total();
     drop(board);
     set_others(state, &total, &own);
 }
 
 /// Sets the work of other nodes: all work but what is this node's own.
-pub fn set_others(state: &State, all: &ByTarget, own: &ByTarget) {
+pub fn set_others(state: &State, all: &LoadByTarget, own: &LoadByTarget) {
     let others = all
         .iter()
         .map(|(target, work)| {
@@ -80,7 +80,7 @@
     if let Err(error) = take_group(&state, &reader, address).await {
         debug!(state.log, "reader not linked"; "peer" => %reader, "error" => %error);
     }
-    state.board.borrow_mut().forget_group(&reader);
+    state.board.borrow_mut().remove_group(&reader);
 }
 
 async fn take_group(state: &State, reader: &Name, address: SocketAddr) -> Result<(), Error> {
@@ -88,7 +88,7 @@
     loop {
         let message = timeout(SILENCE, link.receive()).await;
         match message.map_err(|_| Error::Timeout)?? {
-            Message::Work(changes) => state.board.borrow_mut().group(reader, &changes),
+            Message::Work(changes) => state.board.borrow_mut().update_group(reader, &changes),
             Message::Suspects(suspects) => take_suspects(state, &suspects),
             _ => {}
         }
--- a/filbertpaddle-gateway/src/peer_link.rs
+++ b/filbertpaddle-gateway/src/peer_link.rs
@@ -8,10 +8,10 @@
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::suspect::Record;
-use filbertpaddle_forward::board;
-use filbertpaddle_forward::board::ByTarget;
-use filbertpaddle_forward::board::Changes;
 use filbertpaddle_forward::directory::Batch;
+use filbertpaddle_forward::load_table;
+use filbertpaddle_forward::load_table::LoadByTarget;
+use filbertpaddle_forward::load_table::LoadChanges;
 use futures_util::SinkExt;
 use futures_util::StreamExt;
 use serde::Deserialize;
@@ -45,7 +45,7 @@
     /// The list of nodes, as the other read it.
     Nodes(NodeList),
     /// Changed work: of the node that dials, or of all that the other knows.
-    Work(Changes),
+    Work(LoadChanges),
     /// Suspects by digest that are new or changed.
     Suspects(Vec<(u64, Record)>),
     /// What changed of a table.
@@ -98,7 +98,7 @@
 /// A link to another node.
 pub struct PeerLink {
     socket: WebSocketStream<TcpStream>,
-    told_work: ByTarget,
+    told_work: LoadByTarget,
     told_suspects_ms: Millis,
 }
 
@@ -178,7 +178,7 @@
     }
 
     /// Work as the other end was last told.
-    pub fn told_work(&self) -> &ByTarget {
+    pub fn told_work(&self) -> &LoadByTarget {
         &self.told_work
     }
 
@@ -187,8 +187,8 @@
     /// # Errors
     ///
     /// Returns an error if the link has ended.
-    pub async fn tell(&mut self, state: &State, work: ByTarget) -> Result<(), Error> {
-        let changed = board::changes(&self.told_work, &work);
+    pub async fn tell(&mut self, state: &State, work: LoadByTarget) -> Result<(), Error> {
+        let changed = load_table::changes_since(&self.told_work, &work);
         if !changed.is_empty() {
             self.send(&Message::Work(changed)).await?;
             self.told_work = work;
@@ -212,7 +212,7 @@
     fn new(socket: WebSocketStream<TcpStream>) -> Self {
         Self {
             socket,
-            told_work: ByTarget::new(),
+            told_work: LoadByTarget::new(),
             told_suspects_ms: Millis::ZERO,
         }
     }
--- a/filbertpaddle-gateway/src/peers.rs
+++ b/filbertpaddle-gateway/src/peers.rs
@@ -10,9 +10,9 @@
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
-use filbertpaddle_forward::board;
-use filbertpaddle_forward::board::ByTarget;
 use filbertpaddle_forward::directory::Table;
+use filbertpaddle_forward::load_table;
+use filbertpaddle_forward::load_table::LoadByTarget;
 use rand::seq::IndexedRandom;
 use slog::debug;
 use slog::info;
@@ -65,7 +65,7 @@
         "peer" => %address, "is_reader" => state.is_reader(),
         "age_ms" => state.age_ms(Table::Targets).0);
     state.metrics.count("peer.followed");
-    let mut work = ByTarget::new();
+    let mut work = LoadByTarget::new();
     let mut due = interval(TELL);
     let mut heard = Instant::now();
     loop {
@@ -79,7 +79,7 @@
                 heard = Instant::now();
                 match message? {
                     Message::Work(changes) => {
-                        board::apply(&mut work, &changes);
+                        load_table::apply_changes(&mut work, &changes);
                         set_others(state, &work, link.told_work());
                     }
                     message => take(state, message)?,
--- a/filbertpaddle-gateway/src/state.rs
+++ b/filbertpaddle-gateway/src/state.rs
@@ -7,7 +7,6 @@
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::suspect::Suspects;
-use filbertpaddle_forward::board::Board;
 use filbertpaddle_forward::budget::Budget;
 use filbertpaddle_forward::directory::Batch;
 use filbertpaddle_forward::directory::Directory;
@@ -15,6 +14,7 @@
 use filbertpaddle_forward::directory::Table;
 use filbertpaddle_forward::drain::Drain;
 use filbertpaddle_forward::fleet::Fleet;
+use filbertpaddle_forward::load_table::LoadTable;
 use filbertpaddle_forward::target::Target;
 use indexmap::IndexMap;
 use slog::Logger;
@@ -70,7 +70,7 @@
     /// The link to a node that reads the store for this one.
     pub link: Cell<Link>,
     /// What other nodes have given targets.
-    pub board: RefCell<Board>,
+    pub board: RefCell<LoadTable>,
     /// When the last link was lost, or the node could first have had one.
     pub link_lost_ms: Cell<Millis>,
     budgets: RefCell<IndexMap<Name, Budget>>,
@@ -107,7 +107,7 @@
             nodes: RefCell::new(Nodes::new()),
             link: Cell::default(),
             link_lost_ms: Cell::default(),
-            board: RefCell::new(Board::new()),
+            board: RefCell::new(LoadTable::new()),
             budgets: RefCell::default(),
             suspects: RefCell::new(Suspects::new()),
             is_registered: Cell::new(false),
--- a/filbertpaddle-gateway/src/tell.rs
+++ b/filbertpaddle-gateway/src/tell.rs
@@ -53,7 +53,7 @@
         return tell_reader(state, &mut link).await;
     }
     let result = tell_follower(state, &mut link, &node).await;
-    state.board.borrow_mut().forget_member(&node);
+    state.board.borrow_mut().remove_member(&node);
     result
 }
 
@@ -64,7 +64,7 @@
     loop {
         tokio::select! {
             _ = due.tick() => {
-                let sum = state.board.borrow().group_sum();
+                let sum = state.board.borrow().group_total();
                 link.tell(state, sum).await?;
             }
             _ = heartbeat.tick() => link.send(&ages(state)).await?,
@@ -90,7 +90,7 @@
             }
             _ = heartbeat.tick() => link.send(&ages(state)).await?,
             message = link.receive() => match message? {
-                Message::Work(changes) => state.board.borrow_mut().member(node, &changes),
+                Message::Work(changes) => state.board.borrow_mut().update_member(node, &changes),
                 Message::Suspects(suspects) => take_suspects(state, &suspects),
                 message => debug!(state.log, "unexpected message"; "message" => ?message),
             }
