--- a/filbertpaddle-forward/src/cold.rs
+++ b/filbertpaddle-forward/src/cold_limit.rs
@@ -15,7 +15,7 @@
 /// Where there are more nodes than requests, as many nodes have a share as there
 /// are requests, others for each target; one at least, so that no target starves.
 /// A node that no list names has none.
-pub fn share(target: &str, per_sec: f64, node: &Name, nodes: &[Name]) -> usize {
+pub fn node_share(target: &str, per_sec: f64, node: &Name, nodes: &[Name]) -> usize {
     let most = (per_sec as usize).max(1);
     if !nodes.contains(node) {
         return 0;
@@ -32,13 +32,13 @@
 
 /// Times of the requests that a node sent to one cold target.
 #[derive(Clone, Debug, Default)]
-pub struct Rate {
+pub struct SendRate {
     sent: VecDeque<Millis>,
 }
 
-impl Rate {
+impl SendRate {
     /// Whether one more request fits this node's share.
-    pub fn has_room(&self, now: Millis, share: usize) -> bool {
+    pub fn has_capacity(&self, now: Millis, share: usize) -> bool {
         let recent = self
             .sent
             .iter()
@@ -48,7 +48,7 @@
     }
 
     /// Counts a request.
-    pub fn sent(&mut self, now: Millis) {
+    pub fn record_sent(&mut self, now: Millis) {
         while self
             .sent
             .front()
--- a/filbertpaddle-forward/src/fleet.rs
+++ b/filbertpaddle-forward/src/fleet.rs
@@ -4,7 +4,7 @@
 use filbertpaddle_core::name::Name;
 use indexmap::IndexMap;
 
-use crate::cold;
+use crate::cold_limit;
 use crate::configuration::Configuration;
 use crate::directory::Directory;
 use crate::load_table::LoadByTarget;
@@ -76,7 +76,7 @@
     shunned_until_ms: Millis,
     /// Whether nothing listened there when it failed last.
     is_refusing: bool,
-    cold: cold::Rate,
+    cold: cold_limit::SendRate,
 }
 
 /// Load and health of all targets.
@@ -216,7 +216,7 @@
     pub fn sent(&mut self, now: Millis, target: &Target, ask: &Ask) {
         let load = self.loads.entry(target.id.clone()).or_default();
         load.own.add(&TargetLoad::from(ask));
-        load.cold.sent(now);
+        load.cold.record_sent(now);
     }
 
     /// A target has read a request's prompt.
@@ -332,9 +332,10 @@
         if service.cold_per_sec <= 0.0 {
             return true;
         }
-        let share = cold::share(&target.id, service.cold_per_sec, &self.node, &self.nodes);
+        let share =
+            cold_limit::node_share(&target.id, service.cold_per_sec, &self.node, &self.nodes);
         let load = self.loads.get(&target.id);
-        load.map_or(share > 0, |load| load.cold.has_room(now, share))
+        load.map_or(share > 0, |load| load.cold.has_capacity(now, share))
     }
 
     fn cost(&self, configuration: &Configuration, target: &Target, ask: &Ask) -> f64 {
--- a/filbertpaddle-forward/src/lib.rs
+++ b/filbertpaddle-forward/src/lib.rs
@@ -3,8 +3,7 @@
 //!
 //! As in `filbertpaddle-core`, nothing here performs I/O or reads a clock.
 
-pub mod budget;
-pub mod cold;
+pub mod cold_limit;
 pub mod configuration;
 pub mod directory;
 pub mod drain;
@@ -13,4 +12,5 @@
 pub mod fleet;
 pub mod load_table;
 pub mod migration;
+pub mod retry_budget;
 pub mod target;
--- a/filbertpaddle-forward/src/budget.rs
+++ b/filbertpaddle-forward/src/retry_budget.rs
@@ -6,7 +6,7 @@
 
 /// What all nodes together may retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct RetryLimits {
     /// Retries allowed for each request.
     pub ratio: f64,
     /// Retries allowed in a window besides.
@@ -24,30 +24,30 @@
 /// Shares add up: each node takes its own requests and an equal part of the
 /// slack, so the sum over all nodes holds whoever the requests come to.
 #[derive(Clone, Debug, Default)]
-pub struct Budget {
+pub struct RetryBudget {
     requests: VecDeque<Millis>,
     retries: VecDeque<Millis>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Creates an unused budget.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Counts a caller's request.
-    pub fn requested(&mut self, now: Millis) {
+    pub fn record_request(&mut self, now: Millis) {
         self.requests.push_back(now);
     }
 
     /// Counts a retry that could not be put off.
-    pub fn moved(&mut self, now: Millis) {
+    pub fn record_migration(&mut self, now: Millis) {
         self.retries.push_back(now);
     }
 
     /// Takes one retry; `false` if the node's share is used up. A node that does
     /// not know how many `nodes` there are has no part of the slack.
-    pub fn take(&mut self, now: Millis, terms: &Terms, nodes: Option<usize>) -> bool {
+    pub fn try_acquire(&mut self, now: Millis, terms: &RetryLimits, nodes: Option<usize>) -> bool {
         self.expire(now, terms.window_ms);
         let requests = self.requests.len() as f64;
         let slack = nodes.map_or(0.0, |nodes| terms.slack / nodes.max(1) as f64);
--- a/filbertpaddle-forward/tests/limits.rs
+++ b/filbertpaddle-forward/tests/limits.rs
@@ -1,16 +1,16 @@
 //! Limits that all nodes share: retries, the end of a stopping node.
 
 use filbertpaddle_core::clock::Millis;
-use filbertpaddle_forward::budget::Budget;
-use filbertpaddle_forward::budget::Terms;
 use filbertpaddle_forward::drain;
 use filbertpaddle_forward::drain::Drain;
 use filbertpaddle_forward::envelope::Generation;
+use filbertpaddle_forward::retry_budget::RetryBudget;
+use filbertpaddle_forward::retry_budget::RetryLimits;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-const TERMS: Terms = Terms {
+const TERMS: RetryLimits = RetryLimits {
     ratio: 0.2,
     slack: 58.0,
     window_ms: Millis::from_secs(10),
@@ -23,7 +23,7 @@
     for seed in 0..1_000 {
         let mut rng = StdRng::seed_from_u64(seed);
         let nodes = rng.random_range(1..=12);
-        let mut budgets = vec![Budget::new(); nodes];
+        let mut budgets = vec![RetryBudget::new(); nodes];
         let favourite = rng.random_range(0..nodes);
         let (mut requests, mut retries) = (Vec::new(), Vec::new());
         for now in (0..30_000).step_by(20).map(Millis) {
@@ -31,9 +31,9 @@
                 true => favourite,
                 false => rng.random_range(0..nodes),
             };
-            budgets[node].requested(now);
+            budgets[node].record_request(now);
             requests.push(now);
-            if rng.random_bool(0.7) && budgets[node].take(now, &TERMS, Some(nodes)) {
+            if rng.random_bool(0.7) && budgets[node].try_acquire(now, &TERMS, Some(nodes)) {
                 retries.push(now);
             }
         }
@@ -52,24 +52,24 @@
 
 #[test]
 fn a_node_that_knows_no_other_has_no_slack() {
-    let mut budget = Budget::new();
-    assert!(!budget.take(Millis(0), &TERMS, None));
+    let mut budget = RetryBudget::new();
+    assert!(!budget.try_acquire(Millis(0), &TERMS, None));
     for _ in 0..10 {
-        budget.requested(Millis(0));
+        budget.record_request(Millis(0));
     }
-    assert!(budget.take(Millis(0), &TERMS, None));
-    assert!(!budget.take(Millis(0), &TERMS, None));
+    assert!(budget.try_acquire(Millis(0), &TERMS, None));
+    assert!(!budget.try_acquire(Millis(0), &TERMS, None));
 }
 
 #[test]
 fn moves_use_up_retries() {
-    let mut budget = Budget::new();
-    assert!(budget.take(Millis(0), &TERMS, Some(2)));
+    let mut budget = RetryBudget::new();
+    assert!(budget.try_acquire(Millis(0), &TERMS, Some(2)));
     for _ in 0..50 {
-        budget.moved(Millis(1));
+        budget.record_migration(Millis(1));
     }
-    assert!(!budget.take(Millis(2), &TERMS, Some(2)));
-    assert!(budget.take(Millis(20_000), &TERMS, Some(2)));
+    assert!(!budget.try_acquire(Millis(2), &TERMS, Some(2)));
+    assert!(budget.try_acquire(Millis(20_000), &TERMS, Some(2)));
 }
 
 #[test]
--- a/filbertpaddle-gateway/src/job.rs
+++ b/filbertpaddle-gateway/src/job.rs
@@ -220,7 +220,9 @@
         let now = state.clock.now();
         let nodes = state.nodes.borrow().count();
         let terms = state.tuning.borrow().retries;
-        let is_taken = state.budget(&self.ask.service, |budget| budget.take(now, &terms, nodes));
+        let is_taken = state.budget(&self.ask.service, |budget| {
+            budget.try_acquire(now, &terms, nodes)
+        });
         if !is_taken {
             state.metrics.count("retry.refused");
         }
@@ -232,7 +234,7 @@
     pub fn count_move(&self) {
         let now = self.state.clock.now();
         self.state
-            .budget(&self.ask.service, |budget| budget.moved(now));
+            .budget(&self.ask.service, |budget| budget.record_migration(now));
     }
 
     /// Records a send: the target's load, the log line.
--- a/filbertpaddle-gateway/src/request.rs
+++ b/filbertpaddle-gateway/src/request.rs
@@ -122,7 +122,9 @@
     if state.suspects.borrow().standing(job.digest) == Standing::Condemned {
         return Err(deny(state, &id, Refusal::Quarantined, &route.name));
     }
-    state.budget(&job.ask.service, |budget| budget.requested(received_ms));
+    state.budget(&job.ask.service, |budget| {
+        budget.record_request(received_ms)
+    });
     log_admitted(&job, configuration.version);
     Ok(job)
 }
--- a/filbertpaddle-gateway/src/settings.rs
+++ b/filbertpaddle-gateway/src/settings.rs
@@ -4,7 +4,7 @@
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
-use filbertpaddle_forward::budget;
+use filbertpaddle_forward::retry_budget;
 
 /// Settings of a gateway node.
 #[derive(Clone, Debug, PartialEq)]
@@ -37,7 +37,7 @@
     /// Peer addresses of some nodes, for when the store cannot be read.
     pub seeds: Vec<SocketAddr>,
     /// What all nodes together may retry.
-    pub retries: budget::Terms,
+    pub retries: retry_budget::RetryLimits,
     /// How long a node that was told to stop may finish its requests.
     pub grace_ms: Millis,
 }
--- a/filbertpaddle-gateway/src/state.rs
+++ b/filbertpaddle-gateway/src/state.rs
@@ -7,7 +7,6 @@
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::suspect::Suspects;
-use filbertpaddle_forward::budget::Budget;
 use filbertpaddle_forward::directory::Batch;
 use filbertpaddle_forward::directory::Directory;
 use filbertpaddle_forward::directory::Effect;
@@ -15,6 +14,7 @@
 use filbertpaddle_forward::drain::Drain;
 use filbertpaddle_forward::fleet::Fleet;
 use filbertpaddle_forward::load_table::LoadTable;
+use filbertpaddle_forward::retry_budget::RetryBudget;
 use filbertpaddle_forward::target::Target;
 use indexmap::IndexMap;
 use slog::Logger;
@@ -73,7 +73,7 @@
     pub board: RefCell<LoadTable>,
     /// When the last link was lost, or the node could first have had one.
     pub link_lost_ms: Cell<Millis>,
-    budgets: RefCell<IndexMap<Name, Budget>>,
+    budgets: RefCell<IndexMap<Name, RetryBudget>>,
     /// Requests that were running when their target crashed.
     pub suspects: RefCell<Suspects>,
     /// Whether the node has tried to learn of the others.
@@ -136,7 +136,7 @@
     /// Does something with the retry budget of a service.
     pub fn budget<T, F>(&self, service: &Name, action: F) -> T
     where
-        F: FnOnce(&mut Budget) -> T,
+        F: FnOnce(&mut RetryBudget) -> T,
     {
         let mut budgets = self.budgets.borrow_mut();
         action(budgets.entry(service.clone()).or_default())
