--- a/filbertpaddle-forward/src/fleet.rs
+++ b/filbertpaddle-forward/src/target_selector.rs
@@ -44,7 +44,7 @@
 
 /// What a request asks of a target.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct RequestDemand {
     /// Service that runs it.
     pub service: Name,
     /// Tokens to be read before the first output.
@@ -55,10 +55,10 @@
 
 /// Why no target takes a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NoTarget {
+pub enum PlacementError {
     /// The service has no target that is in service and does not leave.
     #[error("no target in service")]
-    NoneListed,
+    NoneInService,
     /// All targets have failed of late.
     #[error("no target answers")]
     AllFailing,
@@ -81,7 +81,7 @@
 
 /// Load and health of all targets.
 #[derive(Clone, Debug)]
-pub struct Fleet {
+pub struct TargetSelector {
     node: Name,
     data_centre: Name,
     /// The nodes that are alive, this one among them, as far as it is known.
@@ -91,7 +91,7 @@
     others: LoadByTarget,
 }
 
-impl Fleet {
+impl TargetSelector {
     /// Knows of no load and no other node; `node` stands in `data_centre`.
     pub fn new(node: Name, data_centre: Name) -> Self {
         Self {
@@ -109,7 +109,7 @@
     }
 
     /// Takes over which targets there are; a new life starts without a past.
-    pub fn update(&mut self, directory: &Directory) {
+    pub fn update_targets(&mut self, directory: &Directory) {
         for (target, _) in directory.targets() {
             let load = self.loads.entry(target.id.clone()).or_default();
             let is_same = load
@@ -131,20 +131,22 @@
     ///
     /// # Errors
     ///
-    /// Returns [`NoTarget`] if no target may be given the request now.
+    /// Returns [`PlacementError`] if no target may be given the request now.
     pub fn choose<'a, D>(
         &self,
         now: Millis,
         directory: &'a Directory,
-        ask: &Ask,
+        ask: &RequestDemand,
         passed_over: &[Name],
         mut draw: D,
-    ) -> Result<&'a Target, NoTarget>
+    ) -> Result<&'a Target, PlacementError>
     where
         D: FnMut() -> f64,
     {
-        let configuration = directory.configuration().ok_or(NoTarget::NoneListed)?;
-        let mut reason = NoTarget::NoneListed;
+        let configuration = directory
+            .configuration()
+            .ok_or(PlacementError::NoneInService)?;
+        let mut reason = PlacementError::NoneInService;
         let mut best: Option<(f64, &Target)> = None;
         let share = candidate_share(directory, &ask.service);
         for (target, read_ms) in directory.targets() {
@@ -155,11 +157,11 @@
                 continue;
             }
             if passed_over.contains(&target.id) || self.is_shunned(now, &target.id) {
-                reason = NoTarget::AllFailing;
+                reason = PlacementError::AllFailing;
                 continue;
             }
             if !self.bears(now, configuration, target, read_ms) {
-                reason = NoTarget::AllCold;
+                reason = PlacementError::AllCold;
                 continue;
             }
             let is_candidate = draw() < share;
@@ -175,12 +177,12 @@
     }
 
     /// Chooses where a running generation of `source` is copied to.
-    pub fn choose_destination<'a, D>(
+    pub fn choose_copy_target<'a, D>(
         &self,
         now: Millis,
         directory: &'a Directory,
         source: &Target,
-        ask: &Ask,
+        ask: &RequestDemand,
         passed_over: &[Name],
         mut draw: D,
     ) -> Option<&'a Target>
@@ -213,14 +215,14 @@
     }
 
     /// A request was given to a target.
-    pub fn sent(&mut self, now: Millis, target: &Target, ask: &Ask) {
+    pub fn record_sent(&mut self, now: Millis, target: &Target, ask: &RequestDemand) {
         let load = self.loads.entry(target.id.clone()).or_default();
         load.own.add(&TargetLoad::from(ask));
         load.cold.record_sent(now);
     }
 
     /// A target has read a request's prompt.
-    pub fn started(&mut self, id: &str, ask: &Ask) {
+    pub fn record_prefilled(&mut self, id: &str, ask: &RequestDemand) {
         if let Some(load) = self.loads.get_mut(id) {
             let read = TargetLoad {
                 prompt_tokens: u64::from(ask.prompt_tokens),
@@ -230,10 +232,10 @@
         }
     }
 
-    /// A request has ended at a target; `was_started` as told by [`Self::started`].
-    pub fn ended(&mut self, id: &str, ask: &Ask, was_started: bool) {
+    /// A request has ended at a target; `was_started` as told by [`Self::record_prefilled`].
+    pub fn record_ended(&mut self, id: &str, ask: &RequestDemand, was_started: bool) {
         if !was_started {
-            self.started(id, ask);
+            self.record_prefilled(id, ask);
         }
         if let Some(load) = self.loads.get_mut(id) {
             let ended = TargetLoad {
@@ -245,7 +247,7 @@
     }
 
     /// A target gave a good answer.
-    pub fn succeeded(&mut self, id: &str) {
+    pub fn record_success(&mut self, id: &str) {
         if let Some(load) = self.loads.get_mut(id) {
             load.failures = 0;
             load.shunned_until_ms = Millis::ZERO;
@@ -257,8 +259,8 @@
     ///
     /// Other nodes are told, and pass over it where nothing runs: while the store
     /// is away, lost targets stay listed and look idle.
-    pub fn refused(&mut self, now: Millis, id: &str) -> Millis {
-        let until_ms = self.failed(now, id);
+    pub fn record_refused(&mut self, now: Millis, id: &str) -> Millis {
+        let until_ms = self.record_failure(now, id);
         if let Some(load) = self.loads.get_mut(id) {
             load.is_refusing = true;
         }
@@ -266,7 +268,7 @@
     }
 
     /// A target failed a request; returns until when it is passed over.
-    pub fn failed(&mut self, now: Millis, id: &str) -> Millis {
+    pub fn record_failure(&mut self, now: Millis, id: &str) -> Millis {
         let load = self.loads.entry(id.into()).or_default();
         let span = Millis(SHUN_MS.0 << load.failures.min(8)).min(MAX_SHUN_MS);
         load.failures += 1;
@@ -276,7 +278,7 @@
     }
 
     /// Work of this node by target, and what refuses its connections.
-    pub fn own_work(&self, now: Millis) -> LoadByTarget {
+    pub fn own_load(&self, now: Millis) -> LoadByTarget {
         let told = |load: &Load| TargetLoad {
             refusals: u32::from(load.is_refusing && now < load.shunned_until_ms),
             ..load.own
@@ -289,7 +291,7 @@
     }
 
     /// Takes over the work of other nodes.
-    pub fn set_others(&mut self, others: LoadByTarget) {
+    pub fn set_other_load(&mut self, others: LoadByTarget) {
         self.others = others;
     }
 
@@ -338,7 +340,7 @@
         load.map_or(share > 0, |load| load.cold.has_capacity(now, share))
     }
 
-    fn cost(&self, configuration: &Configuration, target: &Target, ask: &Ask) -> f64 {
+    fn cost(&self, configuration: &Configuration, target: &Target, ask: &RequestDemand) -> f64 {
         let service = configuration.services.get(&target.service);
         let engine = service.and_then(|service| service.engine.as_ref());
         let work = self.work(&target.id);
@@ -354,8 +356,8 @@
     }
 }
 
-impl From<&Ask> for TargetLoad {
-    fn from(ask: &Ask) -> Self {
+impl From<&RequestDemand> for TargetLoad {
+    fn from(ask: &RequestDemand) -> Self {
         Self {
             running: 1,
             refusals: 0,
--- a/filbertpaddle-forward/tests/fleet.rs
+++ b/filbertpaddle-forward/tests/target_selector.rs
@@ -12,12 +12,12 @@
 use filbertpaddle_forward::directory::Directory;
 use filbertpaddle_forward::directory::Entry;
 use filbertpaddle_forward::directory::Table;
-use filbertpaddle_forward::fleet::Ask;
-use filbertpaddle_forward::fleet::Fleet;
-use filbertpaddle_forward::fleet::NoTarget;
 use filbertpaddle_forward::load_table::LoadByTarget;
 use filbertpaddle_forward::load_table::TargetLoad;
 use filbertpaddle_forward::target::Target;
+use filbertpaddle_forward::target_selector::PlacementError;
+use filbertpaddle_forward::target_selector::RequestDemand;
+use filbertpaddle_forward::target_selector::TargetSelector;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -74,21 +74,25 @@
 }
 
 /// The only node.
-fn fleet(data_centre: &str) -> Fleet {
-    let mut fleet = Fleet::new("node".into(), data_centre.into());
+fn fleet(data_centre: &str) -> TargetSelector {
+    let mut fleet = TargetSelector::new("node".into(), data_centre.into());
     fleet.set_nodes(vec!["node".into()]);
     fleet
 }
 
-fn ask(prompt_tokens: u32, total_tokens: u32) -> Ask {
-    Ask {
+fn ask(prompt_tokens: u32, total_tokens: u32) -> RequestDemand {
+    RequestDemand {
         service: "engine".into(),
         prompt_tokens,
         total_tokens,
     }
 }
 
-fn choose(fleet: &Fleet, directory: &Directory, ask: &Ask) -> Result<Name, NoTarget> {
+fn choose(
+    fleet: &TargetSelector,
+    directory: &Directory,
+    ask: &RequestDemand,
+) -> Result<Name, PlacementError> {
     let chosen = fleet.choose(Millis(10_000), directory, ask, &[], || 0.5);
     chosen.map(|target| target.id.clone())
 }
@@ -97,21 +101,21 @@
 fn prompts_that_are_still_read_keep_others_away() {
     let directory = directory(&[target("a", "dc"), target("b", "dc")]);
     let mut fleet = fleet("dc");
-    fleet.update(&directory);
+    fleet.update_targets(&directory);
     // One reads a prompt; the other decodes with more memory in use.
-    fleet.sent(
+    fleet.record_sent(
         Millis::ZERO,
         directory.target("a").unwrap(),
         &ask(3_000, 3_500),
     );
-    fleet.sent(
+    fleet.record_sent(
         Millis::ZERO,
         directory.target("b").unwrap(),
         &ask(3_000, 9_000),
     );
-    fleet.started("b", &ask(3_000, 9_000));
+    fleet.record_prefilled("b", &ask(3_000, 9_000));
     assert_eq!(choose(&fleet, &directory, &ask(2_000, 2_100)).unwrap(), "b");
-    fleet.started("a", &ask(3_000, 3_500));
+    fleet.record_prefilled("a", &ask(3_000, 3_500));
     assert_eq!(choose(&fleet, &directory, &ask(2_000, 2_100)).unwrap(), "a");
 }
 
@@ -123,7 +127,7 @@
     let targets: Vec<_> = names.iter().map(|name| target(name, "dc")).collect();
     let directory = directory(&targets);
     let mut fleet = fleet("dc");
-    fleet.update(&directory);
+    fleet.update_targets(&directory);
     let work = |tokens| TargetLoad {
         running: 1,
         tokens,
@@ -132,7 +136,7 @@
     let others = names[1..]
         .iter()
         .map(|name| (name.as_str().into(), work(10_000)));
-    fleet.set_others(others.collect());
+    fleet.set_other_load(others.collect());
     for seed in 0..100 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut choose = || {
@@ -146,7 +150,7 @@
         let mut copy = || {
             let draw = || rng.random_range(0.0..1.0);
             let now = Millis(10_000);
-            let chosen = fleet.choose_destination(now, &directory, source, &ask(0, 200), &[], draw);
+            let chosen = fleet.choose_copy_target(now, &directory, source, &ask(0, 200), &[], draw);
             chosen.unwrap().id.clone()
         };
         let same = (0..20).filter(|_| copy() == "t0").count();
@@ -159,10 +163,10 @@
 fn the_emptiest_of_a_few_targets_is_chosen() {
     let directory = directory(&[target("a", "dc"), target("b", "dc"), target("c", "dc")]);
     let mut fleet = fleet("dc");
-    fleet.update(&directory);
+    fleet.update_targets(&directory);
     for id in ["a", "c"] {
         let taken = directory.target(id).unwrap();
-        fleet.sent(Millis::ZERO, taken, &ask(1_000, 9_000));
+        fleet.record_sent(Millis::ZERO, taken, &ask(1_000, 9_000));
     }
     let mut rng = StdRng::seed_from_u64(1);
     for _ in 0..100 {
@@ -178,7 +182,7 @@
 fn a_target_that_refuses_other_nodes_comes_last_unless_it_runs_something() {
     let directory = directory(&[target("idle", "dc"), target("busy", "dc")]);
     let mut fleet = fleet("dc");
-    fleet.update(&directory);
+    fleet.update_targets(&directory);
     let busy = TargetLoad {
         running: 5,
         tokens: 20_000,
@@ -192,7 +196,7 @@
     let mut others = LoadByTarget::new();
     others.insert("busy".into(), busy);
     others.insert("idle".into(), refusing);
-    fleet.set_others(others.clone());
+    fleet.set_other_load(others.clone());
     assert_eq!(choose(&fleet, &directory, &ask(100, 200)).unwrap(), "busy");
     // One node is cut off from what serves all others.
     let running = TargetLoad {
@@ -200,7 +204,7 @@
         ..refusing
     };
     others.insert("idle".into(), running);
-    fleet.set_others(others);
+    fleet.set_other_load(others);
     assert_eq!(choose(&fleet, &directory, &ask(100, 200)).unwrap(), "idle");
 }
 
@@ -208,20 +212,20 @@
 fn a_refused_connection_is_told_until_it_is_tried_again() {
     let directory = directory(&[target("a", "dc")]);
     let mut fleet = fleet("dc");
-    fleet.update(&directory);
-    let until_ms = fleet.refused(Millis(10), "a");
-    assert_eq!(fleet.own_work(Millis(20))["a"].refusals, 1);
-    assert!(fleet.own_work(until_ms).is_empty());
-    fleet.refused(until_ms, "a");
-    fleet.succeeded("a");
-    assert!(fleet.own_work(until_ms).is_empty());
+    fleet.update_targets(&directory);
+    let until_ms = fleet.record_refused(Millis(10), "a");
+    assert_eq!(fleet.own_load(Millis(20))["a"].refusals, 1);
+    assert!(fleet.own_load(until_ms).is_empty());
+    fleet.record_refused(until_ms, "a");
+    fleet.record_success("a");
+    assert!(fleet.own_load(until_ms).is_empty());
 }
 
 #[test]
 fn work_of_other_nodes_counts_like_own() {
     let directory = directory(&[target("a", "dc"), target("b", "dc")]);
     let mut fleet = fleet("dc");
-    fleet.update(&directory);
+    fleet.update_targets(&directory);
     let mut others = LoadByTarget::new();
     let busy = TargetLoad {
         running: 5,
@@ -230,7 +234,7 @@
         refusals: 0,
     };
     others.insert("a".into(), busy);
-    fleet.set_others(others);
+    fleet.set_other_load(others);
     assert_eq!(choose(&fleet, &directory, &ask(500, 1_000)).unwrap(), "b");
 }
 
@@ -238,14 +242,14 @@
 fn another_data_centre_is_used_when_the_own_one_is_full() {
     let directory = directory(&[target("near", "dc-a"), target("far", "dc-b")]);
     let mut fleet = fleet("dc-a");
-    fleet.update(&directory);
+    fleet.update_targets(&directory);
     assert_eq!(
         choose(&fleet, &directory, &ask(500, 1_000)).unwrap(),
         "near"
     );
     let near = directory.target("near").unwrap();
     for _ in 0..10 {
-        fleet.sent(Millis::ZERO, near, &ask(0, 3_000));
+        fleet.record_sent(Millis::ZERO, near, &ask(0, 3_000));
     }
     assert_eq!(choose(&fleet, &directory, &ask(500, 1_000)).unwrap(), "far");
 }
@@ -254,16 +258,20 @@
 fn a_failing_target_is_passed_over_for_ever_longer() {
     let directory = directory(&[target("a", "dc")]);
     let mut fleet = fleet("dc");
-    fleet.update(&directory);
+    fleet.update_targets(&directory);
     let spans: Vec<_> = (0..5)
-        .map(|_| fleet.failed(Millis(10_000), "a").since(Millis(10_000)))
+        .map(|_| {
+            fleet
+                .record_failure(Millis(10_000), "a")
+                .since(Millis(10_000))
+        })
         .collect();
     assert!(spans.windows(2).all(|pair| pair[0] <= pair[1]));
     assert_eq!(
         choose(&fleet, &directory, &ask(1, 1)),
-        Err(NoTarget::AllFailing)
+        Err(PlacementError::AllFailing)
     );
-    fleet.succeeded("a");
+    fleet.record_success("a");
     assert_eq!(choose(&fleet, &directory, &ask(1, 1)).unwrap(), "a");
 }
 
@@ -271,16 +279,16 @@
 fn ended_work_leaves_nothing_behind() {
     let directory = directory(&[target("a", "dc")]);
     let mut fleet = fleet("dc");
-    fleet.update(&directory);
+    fleet.update_targets(&directory);
     let target = directory.target("a").unwrap();
     for is_started in [true, false] {
-        fleet.sent(Millis::ZERO, target, &ask(100, 300));
+        fleet.record_sent(Millis::ZERO, target, &ask(100, 300));
         if is_started {
-            fleet.started("a", &ask(100, 300));
+            fleet.record_prefilled("a", &ask(100, 300));
         }
-        fleet.ended("a", &ask(100, 300), is_started);
+        fleet.record_ended("a", &ask(100, 300), is_started);
     }
-    assert!(fleet.own_work(Millis(10_000)).is_empty());
+    assert!(fleet.own_load(Millis(10_000)).is_empty());
 }
 
 /// Many nodes that place by their own draws and what they were last told: a
@@ -296,7 +304,7 @@
         let names: Vec<Name> = (0..nodes).map(|node| format!("n{node}").into()).collect();
         let mut fleets: Vec<_> = names
             .iter()
-            .map(|name| Fleet::new(name.clone(), "dc".into()))
+            .map(|name| TargetSelector::new(name.clone(), "dc".into()))
             .collect();
         for fleet in &mut fleets {
             fleet.set_nodes(names.clone());
@@ -307,7 +315,7 @@
             let ask = ask(1, 1);
             let chosen = fleet.choose(now, &directory, &ask, &[], || 0.5);
             if let Ok(target) = chosen {
-                fleet.sent(now, target, &ask);
+                fleet.record_sent(now, target, &ask);
                 sent.push(now);
             }
         }
@@ -335,11 +343,11 @@
     ];
     let directory = directory(&targets);
     let mut fleet = fleet("dc-b");
-    fleet.update(&directory);
+    fleet.update_targets(&directory);
     let ask = ask(0, 4_000);
     let destination = |passed_over: &[Name]| {
         let now = Millis(10_000);
-        let chosen = fleet.choose_destination(now, &directory, &source, &ask, passed_over, || 0.5);
+        let chosen = fleet.choose_copy_target(now, &directory, &source, &ask, passed_over, || 0.5);
         chosen.map(|target| target.id.clone())
     };
     assert_eq!(destination(&[]).unwrap(), "near");
--- a/filbertpaddle-gateway/src/exchange.rs
+++ b/filbertpaddle-gateway/src/exchange.rs
@@ -42,7 +42,7 @@
 
 /// Counts this reader's own work in its group, and takes that of all others.
 fn share_own(state: &State) {
-    let own = state.fleet.borrow().own_work(state.clock.now());
+    let own = state.fleet.borrow().own_load(state.clock.now());
     let mut board = state.board.borrow_mut();
     board.remove_member(&state.settings.node);
     let changes = own.iter().map(|(id, work)| (id.clone(), *work)).collect();
@@ -61,7 +61,7 @@
             (target.clone(), work.without(&own))
         })
         .collect();
-    state.fleet.borrow_mut().set_others(others);
+    state.fleet.borrow_mut().set_other_load(others);
 }
 
 fn other_readers(state: &State) -> Vec<(Name, SocketAddr)> {
--- a/filbertpaddle-gateway/src/generation.rs
+++ b/filbertpaddle-gateway/src/generation.rs
@@ -149,7 +149,7 @@
                 Happening::Piece(Piece::Event(event)) => self.deliver(event).await?,
                 Happening::Piece(Piece::End) => {
                     let mut fleet = self.job.state.fleet.borrow_mut();
-                    fleet.succeeded(&source.target.id);
+                    fleet.record_success(&source.target.id);
                     return Ok(());
                 }
                 Happening::Piece(Piece::Broken(reason)) => {
@@ -298,7 +298,10 @@
                 "last_event" => self.last_event, "silent_ms" => silent_ms.0);
             state.metrics.time("generation.move_pause", silent_ms);
         }
-        state.fleet.borrow_mut().started(&target.id, &self.job.ask);
+        state
+            .fleet
+            .borrow_mut()
+            .record_prefilled(&target.id, &self.job.ask);
         if let Some(placed) = &mut self.placed {
             placed.is_started = true;
         }
@@ -317,7 +320,7 @@
         state
             .fleet
             .borrow_mut()
-            .failed(state.clock.now(), &source.target.id);
+            .record_failure(state.clock.now(), &source.target.id);
         crash::suspect(state, &source.target, self.job.digest);
         if self.mover.has_copy() {
             return self.switch(source).await;
@@ -396,7 +399,7 @@
             return;
         };
         let mut fleet = self.job.state.fleet.borrow_mut();
-        fleet.ended(&placed.target.id, &self.job.ask, placed.is_started);
+        fleet.record_ended(&placed.target.id, &self.job.ask, placed.is_started);
     }
 }
 
--- a/filbertpaddle-gateway/src/job.rs
+++ b/filbertpaddle-gateway/src/job.rs
@@ -8,9 +8,9 @@
 use filbertpaddle_forward::configuration::Route;
 use filbertpaddle_forward::directory::Table;
 use filbertpaddle_forward::envelope::Envelope;
-use filbertpaddle_forward::fleet::Ask;
-use filbertpaddle_forward::fleet::NoTarget;
 use filbertpaddle_forward::target::Target;
+use filbertpaddle_forward::target_selector::PlacementError;
+use filbertpaddle_forward::target_selector::RequestDemand;
 use http::HeaderMap;
 use http::Method;
 use http::Request;
@@ -66,7 +66,7 @@
     /// When the caller or the route gives up.
     pub limit_ms: Millis,
     /// What it asks of a target.
-    pub ask: Ask,
+    pub ask: RequestDemand,
     /// Most output tokens in one event.
     pub event_tokens: u32,
     /// Whether its engines can copy a running generation to another.
@@ -135,8 +135,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`NoTarget`] if no target may be given the request now.
-    pub fn choose(&self, progress: &Progress) -> Result<Target, NoTarget> {
+    /// Returns [`PlacementError`] if no target may be given the request now.
+    pub fn choose(&self, progress: &Progress) -> Result<Target, PlacementError> {
         let state = &self.state;
         let now = state.clock.now();
         let directory = state.directory.borrow();
@@ -247,7 +247,7 @@
             "data_centre" => target.data_centre.as_str(),
             "running" => fleet.running(&target.id), "attempt" => progress.sends + 1,
             "remaining_ms" => self.remaining_ms().0, "age_ms" => state.age_ms(Table::Targets).0);
-        fleet.sent(now, target, &self.ask);
+        fleet.record_sent(now, target, &self.ask);
         progress.connects += 1;
         progress.is_out = true;
     }
@@ -261,20 +261,20 @@
         progress.passed_over.push(target.id.clone());
         match failure {
             Failure::Refused => {
-                shunned_until_ms = state.fleet.borrow_mut().refused(now, &target.id);
+                shunned_until_ms = state.fleet.borrow_mut().record_refused(now, &target.id);
             }
             Failure::NotSent(_) => {
-                shunned_until_ms = state.fleet.borrow_mut().failed(now, &target.id);
+                shunned_until_ms = state.fleet.borrow_mut().record_failure(now, &target.id);
             }
             Failure::NotRun => progress.sends += 1,
             Failure::OtherTarget => {
                 progress.was_misdirected = true;
-                shunned_until_ms = state.fleet.borrow_mut().failed(now, &target.id);
+                shunned_until_ms = state.fleet.borrow_mut().record_failure(now, &target.id);
             }
             Failure::Unknown(_) => {
                 progress.sends += 1;
                 progress.may_have_run = true;
-                shunned_until_ms = state.fleet.borrow_mut().failed(now, &target.id);
+                shunned_until_ms = state.fleet.borrow_mut().record_failure(now, &target.id);
                 crash::suspect(state, target, self.digest);
             }
         }
--- a/filbertpaddle-gateway/src/mover.rs
+++ b/filbertpaddle-gateway/src/mover.rs
@@ -8,11 +8,11 @@
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
-use filbertpaddle_forward::fleet::Ask;
 use filbertpaddle_forward::migration::Copy;
 use filbertpaddle_forward::migration::Migration;
 use filbertpaddle_forward::migration::Step;
 use filbertpaddle_forward::target::Target;
+use filbertpaddle_forward::target_selector::RequestDemand;
 use slog::info;
 
 use crate::dialect::CopyAnswer;
@@ -173,7 +173,7 @@
         self.migration.copying();
         if self.held.is_none() {
             let mut fleet = self.job.state.fleet.borrow_mut();
-            fleet.sent(now, &to, &self.moved_ask());
+            fleet.record_sent(now, &to, &self.moved_ask());
             drop(fleet);
             self.held = Some(to.clone());
         }
@@ -190,13 +190,13 @@
         let ask = self.moved_ask();
         let draw = rand::random::<f64>;
         let chosen =
-            fleet.choose_destination(now, &directory, &source.target, &ask, &self.refused, draw);
+            fleet.choose_copy_target(now, &directory, &source.target, &ask, &self.refused, draw);
         chosen.cloned()
     }
 
     /// What the generation asks of its next target: its prompt is not read again.
-    fn moved_ask(&self) -> Ask {
-        Ask {
+    fn moved_ask(&self) -> RequestDemand {
+        RequestDemand {
             prompt_tokens: 0,
             ..self.job.ask.clone()
         }
@@ -205,7 +205,7 @@
     fn release_hold(&mut self) {
         if let Some(held) = self.held.take() {
             let mut fleet = self.job.state.fleet.borrow_mut();
-            fleet.ended(&held.id, &self.moved_ask(), true);
+            fleet.record_ended(&held.id, &self.moved_ask(), true);
         }
     }
 }
--- a/filbertpaddle-gateway/src/peers.rs
+++ b/filbertpaddle-gateway/src/peers.rs
@@ -71,7 +71,7 @@
     loop {
         tokio::select! {
             _ = due.tick() => {
-                let own = state.fleet.borrow().own_work(state.clock.now());
+                let own = state.fleet.borrow().own_load(state.clock.now());
                 link.tell(state, own).await?;
             }
             () = sleep_until(heard + SILENCE) => return Err(Error::Timeout),
--- a/filbertpaddle-gateway/src/request.rs
+++ b/filbertpaddle-gateway/src/request.rs
@@ -12,7 +12,7 @@
 use filbertpaddle_forward::configuration::Route;
 use filbertpaddle_forward::drain;
 use filbertpaddle_forward::envelope::Envelope;
-use filbertpaddle_forward::fleet::Ask;
+use filbertpaddle_forward::target_selector::RequestDemand;
 use http::HeaderMap;
 use http::HeaderValue;
 use http::Request;
@@ -358,10 +358,10 @@
         .time(&format!("request.{}", job.route.kind), elapsed_ms);
 }
 
-fn ask(route: &Route, envelope: &Envelope) -> Ask {
+fn ask(route: &Route, envelope: &Envelope) -> RequestDemand {
     let service = route.pick_service(rand::random());
     let generation = envelope.generation.as_ref();
-    Ask {
+    RequestDemand {
         service: service.cloned().unwrap_or_default(),
         prompt_tokens: generation.map_or(0, |generation| generation.prompt_tokens),
         total_tokens: generation.map_or(0, |generation| generation.expected_tokens()),
--- a/filbertpaddle-gateway/src/state.rs
+++ b/filbertpaddle-gateway/src/state.rs
@@ -12,10 +12,10 @@
 use filbertpaddle_forward::directory::Effect;
 use filbertpaddle_forward::directory::Table;
 use filbertpaddle_forward::drain::Drain;
-use filbertpaddle_forward::fleet::Fleet;
 use filbertpaddle_forward::load_table::LoadTable;
 use filbertpaddle_forward::retry_budget::RetryBudget;
 use filbertpaddle_forward::target::Target;
+use filbertpaddle_forward::target_selector::TargetSelector;
 use indexmap::IndexMap;
 use slog::Logger;
 use slog::info;
@@ -64,7 +64,7 @@
     /// Configuration, targets, data centres.
     pub directory: RefCell<Directory>,
     /// Load and health of targets.
-    pub fleet: RefCell<Fleet>,
+    pub fleet: RefCell<TargetSelector>,
     /// Other nodes.
     pub nodes: RefCell<Nodes>,
     /// The link to a node that reads the store for this one.
@@ -93,7 +93,7 @@
     /// Starts with nothing known.
     pub fn new(settings: Settings, dialect: Dialect, log: Logger) -> Rc<Self> {
         let clock = Clock::new();
-        let fleet = Fleet::new(settings.node.clone(), settings.data_centre.clone());
+        let fleet = TargetSelector::new(settings.node.clone(), settings.data_centre.clone());
         Rc::new(Self {
             tuning: RefCell::new(settings.tuning.clone()),
             settings,
@@ -247,7 +247,9 @@
         for id in &effect.targets {
             self.log_target(id, source, age_ms);
         }
-        self.fleet.borrow_mut().update(&self.directory.borrow());
+        self.fleet
+            .borrow_mut()
+            .update_targets(&self.directory.borrow());
         self.notify();
     }
 
--- a/filbertpaddle-gateway/src/whole.rs
+++ b/filbertpaddle-gateway/src/whole.rs
@@ -39,10 +39,10 @@
         job.sent(progress, &target);
         let result = attempt(job, progress, &target).await;
         let mut fleet = job.state.fleet.borrow_mut();
-        fleet.ended(&target.id, &job.ask, false);
+        fleet.record_ended(&target.id, &job.ask, false);
         match result {
             Ok((head, bytes)) => {
-                fleet.succeeded(&target.id);
+                fleet.record_success(&target.id);
                 drop(fleet);
                 progress.sends += 1;
                 progress.is_out = false;
