--- a/filbertpaddle-forward/src/event_stream.rs
+++ b/filbertpaddle-forward/src/event_stream.rs
@@ -17,16 +17,16 @@
 
 /// Bytes of a stream that are not a whole event yet.
 #[derive(Clone, Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     pending: BytesMut,
 }
 
 /// An event is larger than [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("event larger than {MAX_EVENT_BYTES} bytes")]
-pub struct TooLarge;
+pub struct EventTooLarge;
 
-impl Splitter {
+impl EventSplitter {
     /// Creates an empty splitter.
     pub fn new() -> Self {
         Self::default()
@@ -36,11 +36,11 @@
     ///
     /// # Errors
     ///
-    /// Returns [`TooLarge`] if no event ends within the limit.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLarge> {
+    /// Returns [`EventTooLarge`] if no event ends within the limit.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLarge> {
         self.pending.extend_from_slice(bytes);
         if self.pending.len() > MAX_EVENT_BYTES {
-            return Err(TooLarge);
+            return Err(EventTooLarge);
         }
         Ok(())
     }
@@ -56,7 +56,7 @@
     }
 
     /// Whether part of an event is left.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 }
--- a/filbertpaddle-forward/src/migration.rs
+++ b/filbertpaddle-forward/src/migration.rs
@@ -30,7 +30,7 @@
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum MigrationStep {
     /// Nothing before this time; `None` while nothing is planned.
     Wait(Option<Millis>),
     /// Copy the memory, or what is new of it.
@@ -56,7 +56,7 @@
 
     /// The target leaves, and the generation is expected to make
     /// `remaining_tokens` more.
-    pub fn noticed(&mut self, now: Millis, remaining_tokens: u32) {
+    pub fn schedule(&mut self, now: Millis, remaining_tokens: u32) {
         if self.is_noticed {
             return;
         }
@@ -77,33 +77,33 @@
     }
 
     /// A copy was begun.
-    pub fn copying(&mut self) {
+    pub fn record_copy_started(&mut self) {
         self.is_copying = true;
     }
 
     /// A copy is complete.
-    pub fn copied(&mut self, copy: Copy) {
+    pub fn record_copied(&mut self, copy: Copy) {
         self.is_copying = false;
         self.copy = Some(copy);
     }
 
     /// A copy could not be made.
-    pub fn copy_failed(&mut self, now: Millis) {
+    pub fn record_copy_failed(&mut self, now: Millis) {
         self.is_copying = false;
         self.not_before_ms = now + RETRY_PAUSE_MS;
     }
 
     /// What to do now.
-    pub fn next(&self, now: Millis) -> Step {
+    pub fn next_step(&self, now: Millis) -> MigrationStep {
         if !self.is_noticed || self.is_copying {
-            return Step::Wait(None);
+            return MigrationStep::Wait(None);
         }
         if self.copy.is_some() {
-            return Step::Switch;
+            return MigrationStep::Switch;
         }
         if now < self.not_before_ms {
-            return Step::Wait(Some(self.not_before_ms));
+            return MigrationStep::Wait(Some(self.not_before_ms));
         }
-        Step::Copy
+        MigrationStep::Copy
     }
 }
--- a/filbertpaddle-gateway/src/mover.rs
+++ b/filbertpaddle-gateway/src/mover.rs
@@ -10,7 +10,7 @@
 use filbertpaddle_core::name::Name;
 use filbertpaddle_forward::migration::Copy;
 use filbertpaddle_forward::migration::Migration;
-use filbertpaddle_forward::migration::Step;
+use filbertpaddle_forward::migration::MigrationStep;
 use filbertpaddle_forward::target::Target;
 use filbertpaddle_forward::target_selector::RequestDemand;
 use slog::info;
@@ -69,7 +69,7 @@
     pub fn noticed(&mut self, events: u64) {
         let now = self.job.state.clock.now();
         let remaining_tokens = self.job.remaining_tokens(events);
-        self.migration.noticed(now, remaining_tokens);
+        self.migration.schedule(now, remaining_tokens);
     }
 
     /// Whether the generation could go on from a copy.
@@ -78,15 +78,15 @@
     }
 
     /// Begins a copy if it is time; returns what remains to be done.
-    pub fn step(&mut self, source: &Source) -> Step {
+    pub fn step(&mut self, source: &Source) -> MigrationStep {
         let now = self.job.state.clock.now();
         self.drop_lost_copy();
-        let step = self.migration.next(now);
-        if step != Step::Copy {
+        let step = self.migration.next_step(now);
+        if step != MigrationStep::Copy {
             return step;
         }
         self.begin_copy(now, source);
-        self.migration.next(now)
+        self.migration.next_step(now)
     }
 
     /// Waits for the copy that is being made.
@@ -111,14 +111,14 @@
         match answer {
             CopyAnswer::Copied(copy) => {
                 self.source_address = source.target.address.clone();
-                self.migration.copied(copy);
+                self.migration.record_copied(copy);
             }
             CopyAnswer::Refused => {
                 self.refused.push(to.id);
                 self.release_hold();
-                self.migration.copy_failed(now);
+                self.migration.record_copy_failed(now);
             }
-            CopyAnswer::NotRunning | CopyAnswer::Busy => self.migration.copy_failed(now),
+            CopyAnswer::NotRunning | CopyAnswer::Busy => self.migration.record_copy_failed(now),
         }
     }
 
@@ -161,7 +161,7 @@
     fn begin_copy(&mut self, now: Millis, source: &Source) {
         let Some(to) = self.destination(now, source) else {
             self.refused.clear();
-            self.migration.copy_failed(now);
+            self.migration.record_copy_failed(now);
             return;
         };
         let call = copy(
@@ -170,7 +170,7 @@
             source.target.address.clone(),
             to.clone(),
         );
-        self.migration.copying();
+        self.migration.record_copy_started();
         if self.held.is_none() {
             let mut fleet = self.job.state.fleet.borrow_mut();
             fleet.record_sent(now, &to, &self.moved_ask());
--- a/filbertpaddle-gateway/src/source.rs
+++ b/filbertpaddle-gateway/src/source.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use filbertpaddle_forward::event_stream::Event;
-use filbertpaddle_forward::event_stream::Splitter;
+use filbertpaddle_forward::event_stream::EventSplitter;
 use filbertpaddle_forward::target::Target;
 
 use crate::links::Body;
@@ -14,7 +14,7 @@
     /// The target.
     pub target: Target,
     body: Body,
-    splitter: Splitter,
+    splitter: EventSplitter,
     ready: VecDeque<Event>,
 }
 
@@ -35,7 +35,7 @@
         Self {
             target,
             body,
-            splitter: Splitter::new(),
+            splitter: EventSplitter::new(),
             ready: VecDeque::new(),
         }
     }
@@ -55,7 +55,7 @@
                         self.ready.push_back(event);
                     }
                 }
-                Ok(None) if self.splitter.has_rest() => {
+                Ok(None) if self.splitter.has_partial_event() => {
                     return Piece::Broken("ended within an event".to_owned());
                 }
                 Ok(None) => return Piece::End,
