--- a/filbertpaddle-forward/src/directory.rs
+++ b/filbertpaddle-forward/src/directory.rs
@@ -72,7 +72,7 @@
 
 /// What changed by a batch; for logs and those who wait.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Effect {
+pub struct AppliedChanges {
     /// Version of a configuration that came into force.
     pub configuration: Option<u64>,
     /// Data centres that went out of service or came back, with the new state.
@@ -81,7 +81,7 @@
     pub targets: Vec<Name>,
 }
 
-impl Effect {
+impl AppliedChanges {
     /// Whether nothing changed.
     pub fn is_empty(&self) -> bool {
         self.configuration.is_none() && self.data_centres.is_empty() && self.targets.is_empty()
@@ -160,7 +160,7 @@
     }
 
     /// When a table was last known to be up to date.
-    pub fn heard_ms(&self, table: Table) -> Millis {
+    pub fn current_at_ms(&self, table: Table) -> Millis {
         self.heard_ms[table as usize]
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// Notes that a table could not be read.
-    pub fn lost(&mut self, table: Table) {
+    pub fn record_store_lost(&mut self, table: Table) {
         self.is_store_lost[table as usize] = true;
     }
 
@@ -201,7 +201,7 @@
     /// Notes that a table could be read. Entries of living targets lapse while
     /// the store is away, so what it then says to be gone is doubted for a while.
     /// What goes later is believed at once.
-    pub fn regained(&mut self, now: Millis, table: Table) {
+    pub fn record_store_regained(&mut self, now: Millis, table: Table) {
         let was_lost = std::mem::take(&mut self.is_store_lost[table as usize]);
         if was_lost && table == Table::Targets {
             self.doubt_until_ms = now + RELIST_MS;
@@ -210,7 +210,7 @@
     }
 
     /// A table was known to be up to date at `as_of_ms`.
-    pub fn heard(&mut self, table: Table, as_of_ms: Millis) {
+    pub fn record_current(&mut self, table: Table, as_of_ms: Millis) {
         let heard_ms = &mut self.heard_ms[table as usize];
         *heard_ms = as_of_ms.max(*heard_ms);
     }
@@ -218,21 +218,21 @@
     /// Takes a target's own word that it leaves; returns whether that is news.
     ///
     /// The entry stays as it is until the store says the same or more.
-    pub fn leaves(&mut self, target: &Target) -> bool {
+    pub fn mark_draining(&mut self, target: &Target) -> bool {
         let listed = self.targets.get_mut(&target.id);
-        let Some(listed) = listed.filter(|listed| listed.target.is_same_life(target)) else {
+        let Some(listed) = listed.filter(|listed| listed.target.is_same_instance(target)) else {
             return false;
         };
         !std::mem::replace(&mut listed.target.is_draining, true)
     }
 
     /// Takes a batch that was up to date at `as_of_ms`.
-    pub fn apply(&mut self, now: Millis, as_of_ms: Millis, batch: &Batch) -> Effect {
-        self.heard(batch.table, as_of_ms);
+    pub fn apply(&mut self, now: Millis, as_of_ms: Millis, batch: &Batch) -> AppliedChanges {
+        self.record_current(batch.table, as_of_ms);
         if batch.table == Table::Targets {
             self.doubt_revision.get_or_insert(batch.revision);
         }
-        let mut effect = Effect::default();
+        let mut effect = AppliedChanges::default();
         for change in &batch.changes {
             self.change(now, change, &mut effect);
         }
@@ -247,7 +247,7 @@
     }
 
     /// Believes the removals whose doubt has passed.
-    pub fn tick(&mut self, now: Millis) -> Effect {
+    pub fn apply_due_removals(&mut self, now: Millis) -> AppliedChanges {
         let due: Vec<_> = self
             .targets
             .iter()
@@ -255,7 +255,7 @@
             .filter(|(_, removal)| removal.believed_at_ms <= now)
             .map(|(id, removal)| (id, removal.revision))
             .collect();
-        let mut effect = Effect::default();
+        let mut effect = AppliedChanges::default();
         for (id, revision) in due {
             self.forget(&id, revision, &mut effect);
         }
@@ -339,7 +339,7 @@
         }
     }
 
-    fn change(&mut self, now: Millis, change: &Change, effect: &mut Effect) {
+    fn change(&mut self, now: Millis, change: &Change, effect: &mut AppliedChanges) {
         match &change.entry {
             Entry::Configuration(configuration) => {
                 let known = self.configuration.as_ref().map_or(0, |known| known.version);
@@ -357,7 +357,13 @@
         }
     }
 
-    fn set_data_centre(&mut self, name: &Name, revision: u64, is_out: bool, effect: &mut Effect) {
+    fn set_data_centre(
+        &mut self,
+        name: &Name,
+        revision: u64,
+        is_out: bool,
+        effect: &mut AppliedChanges,
+    ) {
         let known = self.data_centres.get(name).copied().unwrap_or_default();
         if revision <= known.0.revision {
             return;
@@ -369,7 +375,7 @@
         self.data_centres.insert(name.clone(), (at, is_out));
     }
 
-    fn list(&mut self, now: Millis, revision: u64, target: &Target, effect: &mut Effect) {
+    fn list(&mut self, now: Millis, revision: u64, target: &Target, effect: &mut AppliedChanges) {
         let id = &target.id;
         let removed = self.removed.get(id);
         if removed.is_some_and(|removed| revision <= removed.revision) {
@@ -397,7 +403,12 @@
     /// Forgets older targets at a target's address: a crashed one stays listed
     /// until its entry lapses, while another may have started in its place.
     /// Returns `false` if the target is itself the older one.
-    fn take_address(&mut self, revision: u64, target: &Target, effect: &mut Effect) -> bool {
+    fn take_address(
+        &mut self,
+        revision: u64,
+        target: &Target,
+        effect: &mut AppliedChanges,
+    ) -> bool {
         let others: Vec<_> = self
             .targets
             .values()
@@ -414,7 +425,7 @@
         true
     }
 
-    fn remove(&mut self, now: Millis, revision: u64, id: &Name, effect: &mut Effect) {
+    fn remove(&mut self, now: Millis, revision: u64, id: &Name, effect: &mut AppliedChanges) {
         let Some(known) = self.targets.get(id) else {
             return;
         };
@@ -443,7 +454,7 @@
         }
     }
 
-    fn forget(&mut self, id: &Name, revision: u64, effect: &mut Effect) {
+    fn forget(&mut self, id: &Name, revision: u64, effect: &mut AppliedChanges) {
         self.targets.shift_remove(id);
         if self.removed.len() >= REMOVED_KEPT {
             self.removed.shift_remove_index(0);
@@ -453,7 +464,7 @@
         effect.targets.push(id.clone());
     }
 
-    fn drop_missing(&mut self, now: Millis, batch: &Batch, effect: &mut Effect) {
+    fn drop_missing(&mut self, now: Millis, batch: &Batch, effect: &mut AppliedChanges) {
         match batch.table {
             Table::Operator => {
                 let named = |name: &Name| {
--- a/filbertpaddle-forward/src/target.rs
+++ b/filbertpaddle-forward/src/target.rs
@@ -28,14 +28,14 @@
 
 impl Target {
     /// Whether `other` is the same life of the same target.
-    pub fn is_same_life(&self, other: &Self) -> bool {
+    pub fn is_same_instance(&self, other: &Self) -> bool {
         self.id == other.id && self.address == other.address && self.started_ms == other.started_ms
     }
 }
 
 /// A target's own word of itself, some hundred milliseconds old.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct TargetReport {
     /// Whether the target is leaving.
     pub is_draining: bool,
 }
--- a/filbertpaddle-forward/src/target_selector.rs
+++ b/filbertpaddle-forward/src/target_selector.rs
@@ -115,7 +115,7 @@
             let is_same = load
                 .life
                 .as_ref()
-                .is_some_and(|life| life.is_same_life(target));
+                .is_some_and(|life| life.is_same_instance(target));
             if !is_same {
                 load.failures = 0;
                 load.shunned_until_ms = Millis::ZERO;
--- a/filbertpaddle-forward/tests/directory.rs
+++ b/filbertpaddle-forward/tests/directory.rs
@@ -117,9 +117,9 @@
 #[test]
 fn removals_after_an_outage_are_doubted_for_a_while() {
     let mut directory = listed();
-    directory.lost(Table::Targets);
+    directory.record_store_lost(Table::Targets);
     assert!(directory.is_store_lost());
-    directory.regained(Millis(5_000), Table::Targets);
+    directory.record_store_regained(Millis(5_000), Table::Targets);
     let removal = vec![
         (8, Entry::NoTarget("a".into())),
         (9, Entry::NoTarget("b".into())),
@@ -131,9 +131,9 @@
     let back = vec![(11, Entry::Target(target("b", false)))];
     let now = Millis(6_500);
     directory.apply(now, now, &batch(Table::Targets, false, 11, back));
-    directory.tick(Millis(7_499));
+    directory.apply_due_removals(Millis(7_499));
     assert_eq!(ids(&directory), ["a", "b"]);
-    let effect = directory.tick(Millis(7_500));
+    let effect = directory.apply_due_removals(Millis(7_500));
     assert_eq!(ids(&directory), ["b"]);
     assert_eq!(effect.targets, ["a"]);
 }
@@ -149,8 +149,8 @@
     let told = reader.changes_after(Table::Targets, 0);
     follower.apply(Millis(10), Millis(10), &told);
     let sequence = reader.sequence();
-    reader.lost(Table::Targets);
-    reader.regained(Millis(5_000), Table::Targets);
+    reader.record_store_lost(Table::Targets);
+    reader.record_store_regained(Millis(5_000), Table::Targets);
     let gone = batch(
         Table::Targets,
         false,
@@ -171,7 +171,7 @@
     );
     assert_eq!(ids(&newcomer), ["a", "b"]);
     let sequence = reader.sequence();
-    reader.tick(Millis(60_000));
+    reader.apply_due_removals(Millis(60_000));
     let told = reader.changes_after(Table::Targets, sequence);
     newcomer.apply(Millis(60_010), Millis(60_010), &told);
     assert_eq!(ids(&newcomer), ["b"]);
@@ -181,8 +181,8 @@
 #[test]
 fn an_old_word_does_not_end_the_doubt() {
     let mut directory = listed();
-    directory.lost(Table::Targets);
-    directory.regained(Millis(5_000), Table::Targets);
+    directory.record_store_lost(Table::Targets);
+    directory.record_store_regained(Millis(5_000), Table::Targets);
     let gone = batch(
         Table::Targets,
         false,
@@ -197,15 +197,15 @@
         vec![(1, Entry::Target(target("a", false)))],
     );
     directory.apply(Millis(5_020), Millis(5_020), &old);
-    directory.tick(Millis(60_000));
+    directory.apply_due_removals(Millis(60_000));
     assert_eq!(ids(&directory), ["b"]);
 }
 
 #[test]
 fn a_removal_after_the_return_is_believed_at_once() {
     let mut directory = listed();
-    directory.lost(Table::Targets);
-    directory.regained(Millis(5_000), Table::Targets);
+    directory.record_store_lost(Table::Targets);
+    directory.record_store_regained(Millis(5_000), Table::Targets);
     let first = batch(Table::Targets, false, 9, Vec::new());
     directory.apply(Millis(5_001), Millis(5_001), &first);
     let removal = vec![(10, Entry::NoTarget("a".into()))];
@@ -223,8 +223,8 @@
         Millis(20),
         &batch(Table::Targets, false, 3, leaving),
     );
-    directory.lost(Table::Targets);
-    directory.regained(Millis(30), Table::Targets);
+    directory.record_store_lost(Table::Targets);
+    directory.record_store_regained(Millis(30), Table::Targets);
     let removal = vec![(4, Entry::NoTarget("a".into()))];
     directory.apply(
         Millis(31),
@@ -262,8 +262,8 @@
 #[test]
 fn a_target_that_says_it_leaves_is_believed_until_a_new_life() {
     let mut directory = listed();
-    assert!(directory.leaves(&target("a", false)));
-    assert!(!directory.leaves(&target("a", false)));
+    assert!(directory.mark_draining(&target("a", false)));
+    assert!(!directory.mark_draining(&target("a", false)));
     assert!(directory.target("a").unwrap().is_draining);
     let mut reborn = target("a", false);
     reborn.started_ms = Some(Millis(2));
@@ -274,7 +274,7 @@
         &batch(Table::Targets, false, 3, changes),
     );
     assert!(!directory.target("a").unwrap().is_draining);
-    assert!(!directory.leaves(&target("a", false)));
+    assert!(!directory.mark_draining(&target("a", false)));
 }
 
 #[test]
--- a/filbertpaddle-gateway/src/follower.rs
+++ b/filbertpaddle-gateway/src/follower.rs
@@ -84,7 +84,7 @@
             state
                 .directory
                 .borrow_mut()
-                .regained(state.clock.now(), table);
+                .record_store_regained(state.clock.now(), table);
             tokio::select! {
                 _ = changes.changed() => {}
                 () = sleep(duration(MAX_PAUSE_MS)) => {}
@@ -107,7 +107,7 @@
             }
             Err(error) => {
                 failures += 1;
-                state.directory.borrow_mut().lost(table);
+                state.directory.borrow_mut().record_store_lost(table);
                 if failures == 1 {
                     warn!(state.log, "store lost"; "table" => %table, "error" => %error);
                     state.metrics.count("store.lost");
@@ -249,7 +249,10 @@
         warn!(state.log, "unreadable entry"; "table" => %table, "key" => key.as_str());
     }
     let now = state.clock.now();
-    state.directory.borrow_mut().regained(now, table);
+    state
+        .directory
+        .borrow_mut()
+        .record_store_regained(now, table);
     // A held call is answered with what the table says at its end.
     let as_of_ms = if page.batch.is_whole { asked_ms } else { now };
     state.apply("store", as_of_ms, &page.batch);
--- a/filbertpaddle-gateway/src/generation.rs
+++ b/filbertpaddle-gateway/src/generation.rs
@@ -197,7 +197,9 @@
         let is_leaving = {
             let directory = state.directory.borrow();
             let listed = directory.target(&source.target.id);
-            !listed.is_some_and(|listed| listed.is_same_life(&source.target) && !listed.is_draining)
+            !listed.is_some_and(|listed| {
+                listed.is_same_instance(&source.target) && !listed.is_draining
+            })
         };
         if is_leaving
             && self.job.can_migrate
--- a/filbertpaddle-gateway/src/mover.rs
+++ b/filbertpaddle-gateway/src/mover.rs
@@ -150,7 +150,7 @@
         let directory = self.job.state.directory.borrow();
         let listed = directory.target(&held.id);
         let is_there =
-            listed.is_some_and(|listed| listed.is_same_life(held) && !listed.is_draining);
+            listed.is_some_and(|listed| listed.is_same_instance(held) && !listed.is_draining);
         drop(directory);
         if !is_there && self.copying.is_none() {
             self.migration.take_copy();
--- a/filbertpaddle-gateway/src/peers.rs
+++ b/filbertpaddle-gateway/src/peers.rs
@@ -121,8 +121,8 @@
                 return Err(Error::TooOld);
             }
             let mut directory = state.directory.borrow_mut();
-            directory.heard(Table::Operator, as_of(operator_ms));
-            directory.heard(Table::Targets, as_of(targets_ms));
+            directory.record_current(Table::Operator, as_of(operator_ms));
+            directory.record_current(Table::Targets, as_of(targets_ms));
             drop(directory);
             state.set_link(Link {
                 is_up: true,
--- a/filbertpaddle-gateway/src/state.rs
+++ b/filbertpaddle-gateway/src/state.rs
@@ -7,9 +7,9 @@
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::suspect::Suspects;
+use filbertpaddle_forward::directory::AppliedChanges;
 use filbertpaddle_forward::directory::Batch;
 use filbertpaddle_forward::directory::Directory;
-use filbertpaddle_forward::directory::Effect;
 use filbertpaddle_forward::directory::Table;
 use filbertpaddle_forward::drain::Drain;
 use filbertpaddle_forward::load_table::LoadTable;
@@ -129,7 +129,7 @@
     /// Believes what time has shown.
     pub fn tick(&self) {
         let now = self.clock.now();
-        let effect = self.directory.borrow_mut().tick(now);
+        let effect = self.directory.borrow_mut().apply_due_removals(now);
         self.took("timer", now, &effect);
     }
 
@@ -163,7 +163,7 @@
 
     /// Takes a target's own word that it leaves.
     pub fn target_leaves(&self, target: &Target) {
-        let is_news = self.directory.borrow_mut().leaves(target);
+        let is_news = self.directory.borrow_mut().mark_draining(target);
         if is_news {
             info!(self.log, "target says that it leaves"; "target" => target.id.as_str());
             self.notify();
@@ -172,7 +172,7 @@
 
     /// Age of what is known of a table.
     pub fn age_ms(&self, table: Table) -> Millis {
-        let heard_ms = self.directory.borrow().heard_ms(table);
+        let heard_ms = self.directory.borrow().current_at_ms(table);
         self.clock.now().since(heard_ms)
     }
 
@@ -230,7 +230,7 @@
         self.drain.get().is_none() && self.directory.borrow().is_complete()
     }
 
-    fn took(&self, source: &str, as_of_ms: Millis, effect: &Effect) {
+    fn took(&self, source: &str, as_of_ms: Millis, effect: &AppliedChanges) {
         if effect.is_empty() {
             return;
         }
