--- a/filbertpaddle-forward/src/configuration.rs
+++ b/filbertpaddle-forward/src/configuration.rs
@@ -24,7 +24,7 @@
 /// How often a request may run, and how it is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display)]
 #[strum(serialize_all = "snake_case")]
-pub enum Kind {
+pub enum RequestKind {
     /// Whole answer; may run any number of times.
     Idempotent,
     /// Whole answer; runs at most once.
@@ -35,7 +35,7 @@
     ResumableStream,
 }
 
-impl Kind {
+impl RequestKind {
     /// Whether a request whose fate is unknown may be sent again.
     pub fn is_idempotent(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
@@ -57,7 +57,7 @@
     /// Start of the path, with a slash at both ends.
     pub prefix: Name,
     /// How often its requests may run.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Services with the weight of each.
     pub services: Vec<(Name, u32)>,
     /// Longest time a caller is kept waiting.
@@ -127,7 +127,7 @@
 
 /// Why no route serves a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Denied {
+pub enum RouteError {
     /// No route matches the host and path.
     #[error("no route matches")]
     UnknownRoute,
@@ -149,8 +149,12 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Denied::UnknownKey`] if the route needs a key that is not known.
-    pub fn customer(&self, route: &Route, key: Option<&str>) -> Result<Option<&Customer>, Denied> {
+    /// Returns [`RouteError::UnknownKey`] if the route needs a key that is not known.
+    pub fn customer(
+        &self,
+        route: &Route,
+        key: Option<&str>,
+    ) -> Result<Option<&Customer>, RouteError> {
         let Some(customers) = &self.customers else {
             return Ok(None);
         };
@@ -158,7 +162,7 @@
             return Ok(None);
         }
         let customer = key.and_then(|key| customers.get(key));
-        customer.map(Some).ok_or(Denied::UnknownKey)
+        customer.map(Some).ok_or(RouteError::UnknownKey)
     }
 }
 
--- a/filbertpaddle-forward/src/drain.rs
+++ b/filbertpaddle-forward/src/drain.rs
@@ -6,8 +6,8 @@
 
 use filbertpaddle_core::clock::Millis;
 
-use crate::envelope::Generation;
 use crate::migration::TOKEN_MS;
+use crate::request_metadata::GenerationSize;
 
 /// Time that a generation may take to begin.
 const BEGIN_MS: Millis = Millis(1_000);
@@ -22,11 +22,11 @@
 
 /// How long a request may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Span {
+pub struct DurationEstimate {
     /// By its caller's estimate.
     pub expected_ms: Millis,
     /// At the most.
-    pub longest_ms: Millis,
+    pub max_ms: Millis,
 }
 
 /// A stop that has begun.
@@ -40,10 +40,10 @@
 
 impl Drain {
     /// Whether a request that comes now ends in time.
-    pub fn takes(&self, now: Millis, span: Span) -> bool {
+    pub fn admits(&self, now: Millis, span: DurationEstimate) -> bool {
         let is_late = now.since(self.began_ms) >= LATE_MS;
         let expected_ms = if is_late {
-            span.longest_ms
+            span.max_ms
         } else {
             span.expected_ms
         };
@@ -53,13 +53,13 @@
 }
 
 /// How long a generation may take.
-pub fn span(generation: &Generation) -> Span {
+pub fn estimate_duration(generation: &GenerationSize) -> DurationEstimate {
     let expected = u64::from(generation.expected_output_tokens());
     let most = u64::from(generation.max_output_tokens);
-    let longest_ms = BEGIN_MS + Millis(most * TOKEN_MS);
+    let max_ms = BEGIN_MS + Millis(most * TOKEN_MS);
     let estimate_ms = BEGIN_MS + Millis(expected * TOKEN_MS * ESTIMATE_MARGIN_PERCENT / 100);
-    Span {
-        expected_ms: estimate_ms.min(longest_ms),
-        longest_ms,
+    DurationEstimate {
+        expected_ms: estimate_ms.min(max_ms),
+        max_ms,
     }
 }
--- a/filbertpaddle-forward/src/envelope.rs
+++ b/filbertpaddle-forward/src/request_metadata.rs
@@ -5,7 +5,7 @@
 
 /// What a caller's headers say of its request, decoded once.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Envelope {
+pub struct RequestMetadata {
     /// The caller's identity of this attempt.
     pub attempt: Name,
     /// How long the caller waits, from the moment it was read.
@@ -13,14 +13,14 @@
     /// The caller's key.
     pub key: Option<Name>,
     /// Size of a generation; `None` for other requests.
-    pub generation: Option<Generation>,
+    pub generation: Option<GenerationSize>,
     /// Last event that the caller has of a stream that it resumes.
     pub last_event: Option<u64>,
 }
 
 /// Size of a generation as its caller states it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Generation {
+pub struct GenerationSize {
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// Most tokens of the output.
@@ -28,10 +28,10 @@
     /// The caller's estimate of the output's length.
     pub output_estimate_tokens: Option<u32>,
     /// Parts of the prompt in order: identity and tokens.
-    pub parts: Vec<(Name, u32)>,
+    pub prompt_parts: Vec<(Name, u32)>,
 }
 
-impl Generation {
+impl GenerationSize {
     /// Output tokens to plan with.
     pub fn expected_output_tokens(&self) -> u32 {
         self.output_estimate_tokens
--- a/filbertpaddle-forward/tests/limits.rs
+++ b/filbertpaddle-forward/tests/limits.rs
@@ -3,7 +3,7 @@
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_forward::drain;
 use filbertpaddle_forward::drain::Drain;
-use filbertpaddle_forward::envelope::Generation;
+use filbertpaddle_forward::request_metadata::GenerationSize;
 use filbertpaddle_forward::retry_budget::RetryBudget;
 use filbertpaddle_forward::retry_budget::RetryLimits;
 use rand::RngExt;
@@ -79,17 +79,17 @@
         grace_ms: Millis(8_000),
     };
     let generation = |estimate, most| {
-        drain::span(&Generation {
+        drain::estimate_duration(&GenerationSize {
             prompt_tokens: 1_000,
             max_output_tokens: most,
             output_estimate_tokens: Some(estimate),
-            parts: Vec::new(),
+            prompt_parts: Vec::new(),
         })
     };
-    assert!(drain.takes(Millis(1_010), generation(100, 2_000)));
-    assert!(!drain.takes(Millis(1_010), generation(1_000, 2_000)));
+    assert!(drain.admits(Millis(1_010), generation(100, 2_000)));
+    assert!(!drain.admits(Millis(1_010), generation(1_000, 2_000)));
     // Late, a caller's estimate is not enough.
-    assert!(!drain.takes(Millis(4_000), generation(100, 2_000)));
-    assert!(drain.takes(Millis(4_000), generation(100, 150)));
-    assert!(!drain.takes(Millis(8_500), generation(1, 1)));
+    assert!(!drain.admits(Millis(4_000), generation(100, 2_000)));
+    assert!(drain.admits(Millis(4_000), generation(100, 150)));
+    assert!(!drain.admits(Millis(8_500), generation(1, 1)));
 }
--- a/filbertpaddle-gateway/src/dialect.rs
+++ b/filbertpaddle-gateway/src/dialect.rs
@@ -8,8 +8,8 @@
 use filbertpaddle_core::name::Name;
 use filbertpaddle_forward::directory::Batch;
 use filbertpaddle_forward::directory::Table;
-use filbertpaddle_forward::envelope::Envelope;
 use filbertpaddle_forward::migration::Copy;
+use filbertpaddle_forward::request_metadata::RequestMetadata;
 use filbertpaddle_forward::target::Target;
 use filbertpaddle_forward::target::TargetReport;
 use http::HeaderMap;
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Headers {
     /// Decodes a caller's headers.
-    pub envelope: fn(&HeaderMap) -> Result<Envelope, BadHeader>,
+    pub envelope: fn(&HeaderMap) -> Result<RequestMetadata, BadHeader>,
     /// Removes headers that are the system's own to set.
     pub strip: fn(&mut HeaderMap),
     /// Adds what a target is told.
--- a/filbertpaddle-gateway/src/job.rs
+++ b/filbertpaddle-gateway/src/job.rs
@@ -7,7 +7,7 @@
 use filbertpaddle_core::name::Name;
 use filbertpaddle_forward::configuration::Route;
 use filbertpaddle_forward::directory::Table;
-use filbertpaddle_forward::envelope::Envelope;
+use filbertpaddle_forward::request_metadata::RequestMetadata;
 use filbertpaddle_forward::target::Target;
 use filbertpaddle_forward::target_selector::PlacementError;
 use filbertpaddle_forward::target_selector::RequestDemand;
@@ -46,7 +46,7 @@
     /// Its route at the time of admission.
     pub route: Route,
     /// What its headers said.
-    pub envelope: Envelope,
+    pub envelope: RequestMetadata,
     /// Customer it belongs to.
     pub customer: Option<Name>,
     /// Rank among the requests of its service; 0 is served first.
--- a/filbertpaddle-gateway/src/request.rs
+++ b/filbertpaddle-gateway/src/request.rs
@@ -11,7 +11,7 @@
 use filbertpaddle_forward::configuration::Customer;
 use filbertpaddle_forward::configuration::Route;
 use filbertpaddle_forward::drain;
-use filbertpaddle_forward::envelope::Envelope;
+use filbertpaddle_forward::request_metadata::RequestMetadata;
 use filbertpaddle_forward::target_selector::RequestDemand;
 use http::HeaderMap;
 use http::HeaderValue;
@@ -132,7 +132,7 @@
 /// A whole request as its caller sent it.
 struct Received {
     at_ms: Millis,
-    envelope: Envelope,
+    envelope: RequestMetadata,
     head: Parts,
     body: Bytes,
 }
@@ -192,7 +192,7 @@
 }
 
 /// Whether a stopping node can still end a request.
-fn takes(state: &State, route: &Route, envelope: &Envelope) -> bool {
+fn takes(state: &State, route: &Route, envelope: &RequestMetadata) -> bool {
     if state.is_closing.get() {
         return false;
     }
@@ -200,16 +200,20 @@
         return true;
     };
     let span = envelope.generation.as_ref().map_or(
-        drain::Span {
+        drain::DurationEstimate {
             expected_ms: route.timeout_ms,
-            longest_ms: route.timeout_ms,
+            max_ms: route.timeout_ms,
         },
-        drain::span,
+        drain::estimate_duration,
     );
-    drain.takes(state.clock.now(), span)
+    drain.admits(state.clock.now(), span)
 }
 
-async fn read_body(state: &State, envelope: &Envelope, body: Incoming) -> Result<Bytes, Refusal> {
+async fn read_body(
+    state: &State,
+    envelope: &RequestMetadata,
+    body: Incoming,
+) -> Result<Bytes, Refusal> {
     let limits = state.directory.borrow().configuration().cloned();
     let max_bytes = limits
         .as_ref()
@@ -358,7 +362,7 @@
         .time(&format!("request.{}", job.route.kind), elapsed_ms);
 }
 
-fn ask(route: &Route, envelope: &Envelope) -> RequestDemand {
+fn ask(route: &Route, envelope: &RequestMetadata) -> RequestDemand {
     let service = route.pick_service(rand::random());
     let generation = envelope.generation.as_ref();
     RequestDemand {
