--- a/filbertpaddle-forward/src/cold_limit.rs
+++ b/filbertpaddle-forward/src/cold_limit.rs
@@ -1,4 +1,4 @@
-//! A node's share of what a cold target bears in a second.
+//! Rate limit on requests to a cold target, divided among the nodes.
 
 use std::collections::VecDeque;
 
@@ -9,53 +9,54 @@
 
 const WINDOW_MS: Millis = Millis::from_secs(1);
 
-/// Requests that a node may send in a second to a cold target that bears
-/// `per_sec` from all `nodes` together.
+/// Returns how many requests per second `node` may send to a cold target that accepts
+/// `per_sec` requests per second from all `nodes` together.
 ///
-/// Where there are more nodes than requests, as many nodes have a share as there
-/// are requests, others for each target; one at least, so that no target starves.
-/// A node that no list names has none.
+/// If there are more nodes than requests, each of `per_sec` nodes may send one request,
+/// and the others none. A hash of target and node selects them, so that the nodes differ
+/// from target to target. At least one node may send, so that no target is left without
+/// requests. A node that is not in `nodes` may send none.
 pub fn node_share(target: &str, per_sec: f64, node: &Name, nodes: &[Name]) -> usize {
-    let most = (per_sec as usize).max(1);
+    let limit = (per_sec as usize).max(1);
     if !nodes.contains(node) {
         return 0;
     }
-    if nodes.len() <= most {
-        return most / nodes.len();
+    if nodes.len() <= limit {
+        return limit / nodes.len();
     }
     let seed = xxh3_64(target.as_bytes());
-    let place = |name: &Name| xxh3_64_with_seed(name.as_bytes(), seed);
-    let own = place(node);
-    let before = nodes.iter().filter(|name| place(name) < own).count();
-    usize::from(before < most)
+    let rank = |name: &Name| xxh3_64_with_seed(name.as_bytes(), seed);
+    let own_rank = rank(node);
+    let lower = nodes.iter().filter(|name| rank(name) < own_rank).count();
+    usize::from(lower < limit)
 }
 
-/// Times of the requests that a node sent to one cold target.
+/// Sliding window over the requests that a node has sent to one cold target.
 #[derive(Clone, Debug, Default)]
 pub struct SendRate {
-    sent: VecDeque<Millis>,
+    sent_at_ms: VecDeque<Millis>,
 }
 
 impl SendRate {
-    /// Whether one more request fits this node's share.
+    /// Returns whether one more request is within this node's `share`.
     pub fn has_capacity(&self, now: Millis, share: usize) -> bool {
         let recent = self
-            .sent
+            .sent_at_ms
             .iter()
             .filter(|at| now.since(**at) < WINDOW_MS)
             .count();
         recent < share
     }
 
-    /// Counts a request.
+    /// Records a sent request.
     pub fn record_sent(&mut self, now: Millis) {
         while self
-            .sent
+            .sent_at_ms
             .front()
             .is_some_and(|at| now.since(*at) >= WINDOW_MS)
         {
-            self.sent.pop_front();
+            self.sent_at_ms.pop_front();
         }
-        self.sent.push_back(now);
+        self.sent_at_ms.push_back(now);
     }
 }
--- a/filbertpaddle-forward/src/lib.rs
+++ b/filbertpaddle-forward/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decisions of the forwarding path: routes, targets, placement, retries and
-//! the migration of running generations.
+//! Decision logic of the forwarding path: routing, target selection, retry budgets,
+//! draining and the migration of running generations.
 //!
 //! As in `filbertpaddle-core`, nothing here performs I/O or reads a clock.
 
--- a/filbertpaddle-forward/src/load_table.rs
+++ b/filbertpaddle-forward/src/load_table.rs
@@ -1,34 +1,34 @@
-//! What all nodes have given each target, as far as it is known.
+//! Load that all nodes place on each target, as last reported.
 //!
-//! A node tells its reader what it has at each target; readers tell each other
-//! the sums of their groups. So each learns of all others' work through one
-//! link, however many nodes there are.
+//! A node reports its load on each target to the reader of its group, and readers
+//! exchange the totals of their groups. A node thus learns the load of all others
+//! over a single link, however many nodes there are.
 
 use filbertpaddle_core::name::Name;
 use indexmap::IndexMap;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Work at one target.
+/// Load on one target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Memory that they are expected to need at their ends.
+    /// Memory, in tokens, that these requests are expected to need when they end.
     pub tokens: u64,
-    /// Prompt tokens still to be read.
+    /// Prompt tokens that are not yet processed.
     pub prompt_tokens: u64,
-    /// Nodes whose connections it has refused of late.
+    /// Nodes whose connections the target has recently refused.
     pub refusals: u32,
 }
 
-/// Work by target.
+/// Load by target ID.
 pub type LoadByTarget = IndexMap<Name, TargetLoad>;
 
-/// Changed entries of a [`LoadByTarget`]; an empty one is gone.
+/// Changed entries of a [`LoadByTarget`]; an empty load removes the entry.
 pub type LoadChanges = Vec<(Name, TargetLoad)>;
 
-/// Work of the nodes of this node's group, and of other groups.
+/// Load reported by the members of this node's group and by the readers of other groups.
 #[derive(Clone, Debug, Default)]
 pub struct LoadTable {
     members: IndexMap<Name, LoadByTarget>,
@@ -36,12 +36,12 @@
 }
 
 impl TargetLoad {
-    /// Whether there is none.
+    /// Returns whether there is no load.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Adds other work.
+    /// Adds another load to this one.
     pub fn add(&mut self, other: &Self) {
         self.running += other.running;
         self.tokens += other.tokens;
@@ -49,7 +49,7 @@
         self.refusals += other.refusals;
     }
 
-    /// Returns what is left without `other`.
+    /// Returns this load less `other`; no count goes below zero.
     pub fn without(&self, other: &Self) -> Self {
         Self {
             running: self.running.saturating_sub(other.running),
@@ -61,64 +61,64 @@
 }
 
 impl LoadTable {
-    /// Knows of no work.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A member of this node's group told what changed.
+    /// Applies changes reported by a member of this node's group.
     pub fn update_member(&mut self, node: &Name, changes: &LoadChanges) {
         apply_changes(self.members.entry(node.clone()).or_default(), changes);
     }
 
-    /// A reader told what changed of its group.
+    /// Applies changes reported by the reader of another group.
     pub fn update_group(&mut self, reader: &Name, changes: &LoadChanges) {
         apply_changes(self.groups.entry(reader.clone()).or_default(), changes);
     }
 
-    /// A member is no longer linked.
+    /// Removes the load of a member whose link is closed.
     pub fn remove_member(&mut self, node: &str) {
         self.members.shift_remove(node);
     }
 
-    /// A reader is no longer linked.
+    /// Removes the load of a group whose reader's link is closed.
     pub fn remove_group(&mut self, reader: &str) {
         self.groups.shift_remove(reader);
     }
 
-    /// Work of this node's group.
+    /// Returns the total load of this node's group.
     pub fn group_total(&self) -> LoadByTarget {
         sum(self.members.values())
     }
 
-    /// Work of all nodes.
+    /// Returns the total load of all nodes.
     pub fn total(&self) -> LoadByTarget {
         sum(self.members.values().chain(self.groups.values()))
     }
 }
 
-/// Takes changed entries.
+/// Applies changed entries to `known`.
 pub fn apply_changes(known: &mut LoadByTarget, changes: &LoadChanges) {
-    for (target, work) in changes {
-        if work.is_empty() {
+    for (target, load) in changes {
+        if load.is_empty() {
             known.shift_remove(target);
         } else {
-            known.insert(target.clone(), *work);
+            known.insert(target.clone(), *load);
         }
     }
 }
 
-/// Returns what must be told to someone who knows `told`.
-pub fn changes_since(told: &LoadByTarget, now: &LoadByTarget) -> LoadChanges {
-    let changed = now
+/// Returns the changes that turn `published` into `current`.
+pub fn changes_since(published: &LoadByTarget, current: &LoadByTarget) -> LoadChanges {
+    let changed = current
         .iter()
-        .filter(|(target, work)| told.get(*target) != Some(*work))
-        .map(|(target, work)| (target.clone(), *work));
-    let gone = told
+        .filter(|(target, load)| published.get(*target) != Some(*load))
+        .map(|(target, load)| (target.clone(), *load));
+    let removed = published
         .keys()
-        .filter(|target| !now.contains_key(*target))
+        .filter(|target| !current.contains_key(*target))
         .map(|target| (target.clone(), TargetLoad::default()));
-    changed.chain(gone).collect()
+    changed.chain(removed).collect()
 }
 
 fn sum<'a, I>(parts: I) -> LoadByTarget
@@ -126,8 +126,8 @@
     I: Iterator<Item = &'a LoadByTarget>,
 {
     let mut total = LoadByTarget::new();
-    for (target, work) in parts.flatten() {
-        total.entry(target.clone()).or_default().add(work);
+    for (target, load) in parts.flatten() {
+        total.entry(target.clone()).or_default().add(load);
     }
     total
 }
--- a/filbertpaddle-forward/src/retry_budget.rs
+++ b/filbertpaddle-forward/src/retry_budget.rs
@@ -1,28 +1,28 @@
-//! A node's share of the retries that all nodes may make towards a service.
+//! Retry budget of a service, divided among the nodes.
 
 use std::collections::VecDeque;
 
 use filbertpaddle_core::clock::Millis;
 
-/// What all nodes together may retry.
+/// Limits on the retries of all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimits {
-    /// Retries allowed for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Retries allowed in a window besides.
+    /// Retries allowed per window in addition to `ratio`.
     pub slack: f64,
-    /// Length of a window.
+    /// Length of the sliding window.
     pub window_ms: Millis,
 }
 
-/// Part of a node's share that it uses, since its requests and its retries
-/// are not counted in quite the same windows.
+/// Fraction of its share that a node uses. The margin is needed because requests and
+/// retries are not counted over exactly the same windows.
 const USED_SHARE: f64 = 0.8;
 
-/// The retries of one node towards one service.
+/// One node's share of the retry budget of one service.
 ///
-/// Shares add up: each node takes its own requests and an equal part of the
-/// slack, so the sum over all nodes holds whoever the requests come to.
+/// A node's share is computed from its own requests and an equal part of the slack.
+/// The shares of all nodes add up to the budget, however requests are spread over them.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     requests: VecDeque<Millis>,
@@ -35,23 +35,24 @@
         Self::default()
     }
 
-    /// Counts a caller's request.
+    /// Records a caller's request.
     pub fn record_request(&mut self, now: Millis) {
         self.requests.push_back(now);
     }
 
-    /// Counts a retry that could not be put off.
+    /// Records a migration, which counts as a retry but is not subject to the limit.
     pub fn record_migration(&mut self, now: Millis) {
         self.retries.push_back(now);
     }
 
-    /// Takes one retry; `false` if the node's share is used up. A node that does
-    /// not know how many `nodes` there are has no part of the slack.
-    pub fn try_acquire(&mut self, now: Millis, terms: &RetryLimits, nodes: Option<usize>) -> bool {
-        self.expire(now, terms.window_ms);
+    /// Takes one retry, or returns `false` if the node's share is used up.
+    ///
+    /// If the number of `nodes` is unknown, the node has no part of the slack.
+    pub fn try_acquire(&mut self, now: Millis, limits: &RetryLimits, nodes: Option<usize>) -> bool {
+        self.expire(now, limits.window_ms);
         let requests = self.requests.len() as f64;
-        let slack = nodes.map_or(0.0, |nodes| terms.slack / nodes.max(1) as f64);
-        let share = terms.ratio * requests + slack;
+        let slack = nodes.map_or(0.0, |nodes| limits.slack / nodes.max(1) as f64);
+        let share = limits.ratio * requests + slack;
         if (self.retries.len() + 1) as f64 > share * USED_SHARE {
             return false;
         }
