--- a/filbertpaddle-forward/src/drain.rs
+++ b/filbertpaddle-forward/src/drain.rs
@@ -1,63 +1,65 @@
-//! What a node that was told to stop still takes.
+//! Admission of requests at a node that is draining.
 //!
-//! The balancer sends callers on for some seconds, and kept connections bring
-//! requests as long as they stand. One that would not end in time is better
-//! refused at once, unrun, than cut: its caller comes back to another node.
+//! After a stop begins, the load balancer still sends callers for some seconds, and
+//! requests arrive on kept-alive connections. A request that is unlikely to end within the
+//! grace period is refused before it runs rather than cut off, and its caller retries it
+//! at another node.
 
 use filbertpaddle_core::clock::Millis;
 
 use crate::migration::TOKEN_MS;
 use crate::request_metadata::GenerationSize;
 
-/// Time that a generation may take to begin.
-const BEGIN_MS: Millis = Millis(1_000);
-/// How much longer than its caller's estimate an output may be, in percent.
-const ESTIMATE_MARGIN_PERCENT: u64 = 150;
-/// Part of the grace, at its end, that is kept free, in percent.
-const SPARE_PERCENT: u64 = 10;
+/// Time allowed until the first token of a generation.
+const FIRST_TOKEN_MS: Millis = Millis(1_000);
+/// Output length to plan for, as a percentage of the caller's estimate.
+const PLANNED_OUTPUT_PERCENT: u64 = 150;
+/// Reserve at the end of the grace period, as a percentage of it.
+const GRACE_RESERVE_PERCENT: u64 = 10;
 
-/// Time after which a request counts on being answered whole: the balancer no
-/// longer sends callers here by then, and a caller's estimate is not enough.
-const LATE_MS: Millis = Millis(2_500);
+/// Time after which a request is admitted only if its maximum duration fits, not just its
+/// caller's estimate. The load balancer no longer sends callers to the node by then.
+const STRICT_AFTER_MS: Millis = Millis(2_500);
 
-/// How long a request may take.
+/// Estimated and maximum duration of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DurationEstimate {
-    /// By its caller's estimate.
+    /// Duration according to the caller's estimate.
     pub expected_ms: Millis,
-    /// At the most.
+    /// Maximum duration.
     pub max_ms: Millis,
 }
 
-/// A stop that has begun.
+/// Graceful stop in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Drain {
-    /// When the node was told to stop.
+    /// Time when the stop was requested.
     pub began_ms: Millis,
-    /// How long it may take.
+    /// Grace period until the node exits.
     pub grace_ms: Millis,
 }
 
 impl Drain {
-    /// Whether a request that comes now ends in time.
-    pub fn admits(&self, now: Millis, span: DurationEstimate) -> bool {
-        let is_late = now.since(self.began_ms) >= LATE_MS;
-        let expected_ms = if is_late {
-            span.max_ms
+    /// Returns whether a request that arrives at `now` is expected to end within the grace
+    /// period.
+    pub fn admits(&self, now: Millis, estimate: DurationEstimate) -> bool {
+        let is_strict = now.since(self.began_ms) >= STRICT_AFTER_MS;
+        let expected_ms = if is_strict {
+            estimate.max_ms
         } else {
-            span.expected_ms
+            estimate.expected_ms
         };
-        let spare_ms = Millis(self.grace_ms.0 * SPARE_PERCENT / 100);
-        now + expected_ms + spare_ms < self.began_ms + self.grace_ms
+        let reserve_ms = Millis(self.grace_ms.0 * GRACE_RESERVE_PERCENT / 100);
+        now + expected_ms + reserve_ms < self.began_ms + self.grace_ms
     }
 }
 
-/// How long a generation may take.
+/// Returns the estimated and the maximum duration of a generation.
 pub fn estimate_duration(generation: &GenerationSize) -> DurationEstimate {
     let expected = u64::from(generation.expected_output_tokens());
-    let most = u64::from(generation.max_output_tokens);
-    let max_ms = BEGIN_MS + Millis(most * TOKEN_MS);
-    let estimate_ms = BEGIN_MS + Millis(expected * TOKEN_MS * ESTIMATE_MARGIN_PERCENT / 100);
+    let max = u64::from(generation.max_output_tokens);
+    let max_ms = FIRST_TOKEN_MS + Millis(max * TOKEN_MS);
+    let estimate_ms = FIRST_TOKEN_MS + Millis(expected * TOKEN_MS * PLANNED_OUTPUT_PERCENT / 100);
     DurationEstimate {
         expected_ms: estimate_ms.min(max_ms),
         max_ms,
--- a/filbertpaddle-forward/src/event_stream.rs
+++ b/filbertpaddle-forward/src/event_stream.rs
@@ -1,29 +1,29 @@
-//! Splits a stream of server-sent events into whole events.
+//! Splitter of a byte stream into server-sent events.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Largest event; a target that sends more has failed.
+/// Maximum size of an event. A larger one counts as a failure of the target.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One whole event, as it was sent.
+/// Complete event, byte for byte as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its id, if it has one.
+    /// Event ID, if the event has a numeric one.
     pub id: Option<u64>,
-    /// Its bytes, with the blank line that ends it.
+    /// Bytes of the event, including the blank line at its end.
     pub bytes: Bytes,
 }
 
-/// Bytes of a stream that are not a whole event yet.
+/// Buffer that splits received bytes into events.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
 }
 
-/// An event is larger than [`MAX_EVENT_BYTES`].
+/// Error for an event that is larger than [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("event larger than {MAX_EVENT_BYTES} bytes")]
+#[error("server-sent event is larger than {MAX_EVENT_BYTES} bytes; stream of the target counts as broken")]
 pub struct EventTooLarge;
 
 impl EventSplitter {
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`EventTooLarge`] if no event ends within the limit.
+    /// Returns [`EventTooLarge`] if more than [`MAX_EVENT_BYTES`] bytes are buffered.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLarge> {
         self.pending.extend_from_slice(bytes);
         if self.pending.len() > MAX_EVENT_BYTES {
@@ -45,7 +45,7 @@
         Ok(())
     }
 
-    /// Takes the next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = event_end(&self.pending)?;
         let bytes = self.pending.split_to(end).freeze();
@@ -55,13 +55,13 @@
         })
     }
 
-    /// Whether part of an event is left.
+    /// Returns whether an incomplete event is buffered.
     pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 }
 
-/// Returns where the first event ends: behind a blank line.
+/// Returns the index just after the blank line that ends the first event.
 fn event_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
--- a/filbertpaddle-forward/src/request_metadata.rs
+++ b/filbertpaddle-forward/src/request_metadata.rs
@@ -1,38 +1,39 @@
-//! What a caller's headers say of its request.
+//! Metadata of a request, decoded from its headers.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
 
-/// What a caller's headers say of its request, decoded once.
+/// Metadata of a request, decoded once from the headers that its caller sent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestMetadata {
-    /// The caller's identity of this attempt.
+    /// Attempt ID that the caller assigned.
     pub attempt: Name,
-    /// How long the caller waits, from the moment it was read.
+    /// Time that the caller waits for the answer, counted from when the request was read.
     pub deadline_ms: Option<Millis>,
-    /// The caller's key.
+    /// API key of the caller.
     pub key: Option<Name>,
     /// Size of a generation; `None` for other requests.
     pub generation: Option<GenerationSize>,
-    /// Last event that the caller has of a stream that it resumes.
+    /// ID of the last event that the caller received, if it resumes a stream.
     pub last_event: Option<u64>,
 }
 
-/// Size of a generation as its caller states it.
+/// Size of a generation, as stated by its caller.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GenerationSize {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Most tokens of the output.
+    /// Maximum number of tokens of the output.
     pub max_output_tokens: u32,
-    /// The caller's estimate of the output's length.
+    /// Caller's estimate of the number of tokens of the output.
     pub output_estimate_tokens: Option<u32>,
-    /// Parts of the prompt in order: identity and tokens.
+    /// Parts of the prompt in order, each with its ID and number of tokens.
     pub prompt_parts: Vec<(Name, u32)>,
 }
 
 impl GenerationSize {
-    /// Output tokens to plan with.
+    /// Returns the expected number of output tokens: the caller's estimate, if there is one,
+    /// and at most the maximum.
     pub fn expected_output_tokens(&self) -> u32 {
         self.output_estimate_tokens
             .map_or(self.max_output_tokens, |estimate| {
@@ -40,7 +41,7 @@
             })
     }
 
-    /// Memory that the generation is expected to need at its end.
+    /// Returns the memory, in tokens, that the generation is expected to need when it ends.
     pub fn expected_tokens(&self) -> u32 {
         self.prompt_tokens
             .saturating_add(self.expected_output_tokens())
--- a/filbertpaddle-forward/src/target.rs
+++ b/filbertpaddle-forward/src/target.rs
@@ -1,41 +1,41 @@
-//! Targets as the platform lists them.
+//! Targets, as listed by the platform and as reported by themselves.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One target as the platform lists it.
+/// Target, as listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Identity of the target.
+    /// ID of the target.
     pub id: Name,
     /// Service it belongs to.
     pub service: Name,
     /// Address, as `IP:PORT`.
     pub address: Name,
-    /// Data centre it stands in.
+    /// Data centre of the target.
     pub data_centre: Name,
-    /// Requests it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it has announced that it leaves.
+    /// Whether the target has announced that it will stop.
     pub is_draining: bool,
-    /// How long it stays cold, from when the entry was read.
+    /// Time for which the target stays cold, counted from when the entry was read.
     pub cold_ms: Millis,
-    /// When it was started, in Unix time; tells two lives of one id apart.
+    /// Start time in Unix time, which distinguishes instances of the target.
     pub started_ms: Option<Millis>,
 }
 
 impl Target {
-    /// Whether `other` is the same life of the same target.
+    /// Returns whether `other` is the same instance of the same target, not a restarted one.
     pub fn is_same_instance(&self, other: &Self) -> bool {
         self.id == other.id && self.address == other.address && self.started_ms == other.started_ms
     }
 }
 
-/// A target's own word of itself, some hundred milliseconds old.
+/// State that a target reports about itself; some hundred milliseconds old.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TargetReport {
-    /// Whether the target is leaving.
+    /// Whether the target is about to stop.
     pub is_draining: bool,
 }
