--- a/filbertpaddle-forward/src/event_stream.rs
+++ b/filbertpaddle-forward/src/event_stream.rs
@@ -23,7 +23,9 @@
 
 /// Error for an event that is larger than [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("server-sent event is larger than {MAX_EVENT_BYTES} bytes; stream of the target counts as broken")]
+#[error(
+    "server-sent event is larger than {MAX_EVENT_BYTES} bytes; stream of the target counts as broken"
+)]
 pub struct EventTooLarge;
 
 impl EventSplitter {
--- a/filbertpaddle-forward/src/target_selector.rs
+++ b/filbertpaddle-forward/src/target_selector.rs
@@ -1,4 +1,5 @@
-//! Load and health of targets as one node sees them, and the choice among them.
+//! Selection of the target for a request, by the load and health of the targets as seen
+//! by one node.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
@@ -9,135 +10,138 @@
 use crate::directory::Directory;
 use crate::load_table::LoadByTarget;
 use crate::load_table::TargetLoad;
-
 use crate::target::Target;
 
-/// How long a target is passed over after a first failure.
-const SHUN_MS: Millis = Millis(400);
-/// Longest time for which a failing target is passed over.
-const MAX_SHUN_MS: Millis = Millis(3_200);
-/// Weight of prompts still to be read against memory in use, since they
-/// hold up every other stream of the target.
-const PROMPT_WEIGHT: f64 = 5.0;
-/// Weight of the link between data centres, as a share of a target's memory.
-const FAR_WEIGHT: f64 = 0.25;
-/// The same for a copy, which takes twice as long between data centres and
-/// holds up the copies behind it.
-const FAR_COPY_WEIGHT: f64 = 0.5;
-/// Spread of a draw that keeps nodes from choosing alike.
-const DRAW_WEIGHT: f64 = 0.08;
-/// How far past its memory a target is filled while others have room.
-const FULL_SHARE: f64 = 1.0;
-/// Cost of a target whose memory is expected to overflow.
-const FULL_COST: f64 = 4.0;
-/// Targets among which a request's is chosen, where there are more. Nodes learn of
-/// each other's choices a tenth of a second late; in a large service many would
-/// choose the same.
-const CANDIDATES: f64 = 16.0;
-/// Cost of a target that is not drawn as a candidate: all candidates may be full.
-const NOT_DRAWN_COST: f64 = 2.0;
-/// Cost of a target that refuses other nodes' connections and runs nothing.
-const GONE_COST: f64 = 8.0;
-/// Cost of a cold target that has been given what it bears, to a generation that
-/// would otherwise be lost.
-const COLD_COST: f64 = 16.0;
+/// Back-off after the first failure of a target; it doubles with each further one.
+const INITIAL_BACKOFF_MS: Millis = Millis(400);
+/// Maximum back-off.
+const MAX_BACKOFF_MS: Millis = Millis(3_200);
+/// Weight of unprocessed prompt tokens relative to memory in use, since prompt processing
+/// delays every other stream of the target.
+const PREFILL_WEIGHT: f64 = 5.0;
+/// Cost of a target in another data centre, as a fraction of a target's memory.
+const CROSS_DATA_CENTRE_COST: f64 = 0.25;
+/// Cost of a copy to another data centre, which takes twice as long as one within a data
+/// centre and delays the copies queued behind it.
+const CROSS_DATA_CENTRE_COPY_COST: f64 = 0.5;
+/// Upper bound of a random cost that keeps nodes from all choosing the same target.
+const JITTER_COST: f64 = 0.08;
+/// Expected memory use, as a fraction of a target's memory, above which
+/// [`OVERCOMMIT_COST`] applies.
+const MAX_MEMORY_SHARE: f64 = 1.0;
+/// Cost of a target whose memory is expected to be overcommitted.
+const OVERCOMMIT_COST: f64 = 4.0;
+/// Expected number of candidates that are drawn for a request if the service has more
+/// targets. Nodes learn of each other's choices with a delay of about 100 ms; without the
+/// draw, many nodes would choose the same target of a large service.
+const EXPECTED_CANDIDATES: f64 = 16.0;
+/// Cost of a target that is not drawn as a candidate. It can still be chosen, because all
+/// candidates may be full.
+const NON_CANDIDATE_COST: f64 = 2.0;
+/// Cost of a target that refuses connections of other nodes and runs no requests.
+const UNREACHABLE_COST: f64 = 8.0;
+/// Cost of copying to a cold target above its rate limit. The copy is still allowed,
+/// because the generation would otherwise be lost.
+const COLD_COPY_COST: f64 = 16.0;
 
-/// What a request asks of a target.
+/// Resources that a request needs at a target.
 #[derive(Clone, Debug, Default)]
 pub struct RequestDemand {
-    /// Service that runs it.
+    /// Service that runs the request.
     pub service: Name,
-    /// Tokens to be read before the first output.
+    /// Prompt tokens that are processed before the first output.
     pub prompt_tokens: u32,
-    /// Memory it is expected to need at its end.
+    /// Memory, in tokens, that the request is expected to need when it ends.
     pub total_tokens: u32,
 }
 
-/// Why no target takes a request.
+/// Reason why no target can be given a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlacementError {
-    /// The service has no target that is in service and does not leave.
-    #[error("no target in service")]
+    /// The service has no target that is in service and not draining.
+    #[error("service has no target that is in service and not draining")]
     NoneInService,
-    /// All targets have failed of late.
-    #[error("no target answers")]
+    /// The targets failed recently, or are excluded for this request.
+    #[error("targets of the service failed recently or are excluded for this request")]
     AllFailing,
-    /// All targets are cold and have been given what they bear.
-    #[error("all targets are cold")]
+    /// The available targets are cold and have reached their rate limit.
+    #[error("available targets of the service are cold and at their rate limit")]
     AllCold,
 }
 
-/// Work of this node at one target, and how it went.
+/// This node's load on one target, and the target's health.
 #[derive(Clone, Debug, Default)]
-struct Load {
-    life: Option<Target>,
+struct TargetState {
+    instance: Option<Target>,
     own: TargetLoad,
     failures: u32,
-    shunned_until_ms: Millis,
-    /// Whether nothing listened there when it failed last.
+    backoff_until_ms: Millis,
+    /// Whether its last failure was a refused connection.
     is_refusing: bool,
     cold: cold_limit::SendRate,
 }
 
-/// Load and health of all targets.
+/// Load and health of all targets, as seen by one node.
 #[derive(Clone, Debug)]
 pub struct TargetSelector {
     node: Name,
     data_centre: Name,
-    /// The nodes that are alive, this one among them, as far as it is known.
+    /// Nodes known to be alive, including this one.
     nodes: Vec<Name>,
-    loads: IndexMap<Name, Load>,
-    /// Work of other nodes.
+    states: IndexMap<Name, TargetState>,
+    /// Load of the other nodes.
     others: LoadByTarget,
 }
 
 impl TargetSelector {
-    /// Knows of no load and no other node; `node` stands in `data_centre`.
+    /// Creates the selector of `node` in `data_centre`, without load or other nodes.
     pub fn new(node: Name, data_centre: Name) -> Self {
         Self {
             nodes: Vec::new(),
             node,
             data_centre,
-            loads: IndexMap::new(),
+            states: IndexMap::new(),
             others: LoadByTarget::new(),
         }
     }
 
-    /// Takes over which nodes share the limits of targets.
+    /// Sets the nodes that share the rate limits of cold targets.
     pub fn set_nodes(&mut self, nodes: Vec<Name>) {
         self.nodes = nodes;
     }
 
-    /// Takes over which targets there are; a new life starts without a past.
+    /// Updates the targets from the directory. The failures of a target's former instance
+    /// are discarded.
     pub fn update_targets(&mut self, directory: &Directory) {
         for (target, _) in directory.targets() {
-            let load = self.loads.entry(target.id.clone()).or_default();
-            let is_same = load
-                .life
+            let state = self.states.entry(target.id.clone()).or_default();
+            let is_same = state
+                .instance
                 .as_ref()
-                .is_some_and(|life| life.is_same_instance(target));
+                .is_some_and(|instance| instance.is_same_instance(target));
             if !is_same {
-                load.failures = 0;
-                load.shunned_until_ms = Millis::ZERO;
-                load.is_refusing = false;
+                state.failures = 0;
+                state.backoff_until_ms = Millis::ZERO;
+                state.is_refusing = false;
             }
-            load.life = Some(target.clone());
+            state.instance = Some(target.clone());
         }
-        self.loads
-            .retain(|id, load| load.own.running > 0 || directory.target(id).is_some());
+        self.states
+            .retain(|id, state| state.own.running > 0 || directory.target(id).is_some());
     }
 
-    /// Chooses a target for a request; `draw` yields numbers from 0 to 1.
+    /// Chooses the target with the lowest cost for a request; `draw` returns random numbers
+    /// from 0 to 1.
     ///
     /// # Errors
     ///
-    /// Returns [`PlacementError`] if no target may be given the request now.
+    /// Returns [`PlacementError`] if no target can be given the request now.
     pub fn choose<'a, D>(
         &self,
         now: Millis,
         directory: &'a Directory,
-        ask: &RequestDemand,
-        passed_over: &[Name],
+        demand: &RequestDemand,
+        excluded: &[Name],
         mut draw: D,
     ) -> Result<&'a Target, PlacementError>
     where
@@ -148,27 +152,31 @@
             .ok_or(PlacementError::NoneInService)?;
         let mut reason = PlacementError::NoneInService;
         let mut best: Option<(f64, &Target)> = None;
-        let share = candidate_share(directory, &ask.service);
+        let share = candidate_share(directory, &demand.service);
         for (target, read_ms) in directory.targets() {
-            if target.service != ask.service || target.is_draining {
+            if target.service != demand.service || target.is_draining {
                 continue;
             }
             if directory.is_out(&target.data_centre) {
                 continue;
             }
-            if passed_over.contains(&target.id) || self.is_shunned(now, &target.id) {
+            if excluded.contains(&target.id) || self.is_in_backoff(now, &target.id) {
                 reason = PlacementError::AllFailing;
                 continue;
             }
-            if !self.bears(now, configuration, target, read_ms) {
+            if !self.is_within_cold_limit(now, configuration, target, read_ms) {
                 reason = PlacementError::AllCold;
                 continue;
             }
             let is_candidate = draw() < share;
-            let cost = self.cost(configuration, target, ask)
-                + far(target, &self.data_centre, FAR_WEIGHT)
-                + DRAW_WEIGHT * draw()
-                + if is_candidate { 0.0 } else { NOT_DRAWN_COST };
+            let cost = self.cost(configuration, target, demand)
+                + cross_data_centre_cost(target, &self.data_centre, CROSS_DATA_CENTRE_COST)
+                + JITTER_COST * draw()
+                + if is_candidate {
+                    0.0
+                } else {
+                    NON_CANDIDATE_COST
+                };
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, target));
             }
@@ -176,149 +184,158 @@
         best.map(|(_, target)| target).ok_or(reason)
     }
 
-    /// Chooses where a running generation of `source` is copied to.
+    /// Chooses the target to which a running generation of `source` is copied.
     pub fn choose_copy_target<'a, D>(
         &self,
         now: Millis,
         directory: &'a Directory,
         source: &Target,
-        ask: &RequestDemand,
-        passed_over: &[Name],
+        demand: &RequestDemand,
+        excluded: &[Name],
         mut draw: D,
     ) -> Option<&'a Target>
     where
         D: FnMut() -> f64,
     {
         let configuration = directory.configuration()?;
-        let may_take = |target: &Target| {
+        let is_eligible = |target: &Target| {
             target.service == source.service
                 && target.id != source.id
                 && !target.is_draining
                 && !directory.is_out(&target.data_centre)
-                && !passed_over.contains(&target.id)
-                && !self.is_shunned(now, &target.id)
+                && !excluded.contains(&target.id)
+                && !self.is_in_backoff(now, &target.id)
         };
         let share = candidate_share(directory, &source.service);
         directory
             .targets()
-            .filter(|(target, _)| may_take(target))
+            .filter(|(target, _)| is_eligible(target))
             .map(|(target, read_ms)| {
-                let is_cold = !self.bears(now, configuration, target, read_ms);
-                let cost = self.cost(configuration, target, ask)
-                    + far(target, &source.data_centre, FAR_COPY_WEIGHT)
-                    + if is_cold { COLD_COST } else { 0.0 }
-                    + if draw() < share { 0.0 } else { NOT_DRAWN_COST };
-                (cost + DRAW_WEIGHT * draw(), target)
+                let is_over_limit = !self.is_within_cold_limit(now, configuration, target, read_ms);
+                let cost = self.cost(configuration, target, demand)
+                    + cross_data_centre_cost(
+                        target,
+                        &source.data_centre,
+                        CROSS_DATA_CENTRE_COPY_COST,
+                    )
+                    + if is_over_limit { COLD_COPY_COST } else { 0.0 }
+                    + if draw() < share {
+                        0.0
+                    } else {
+                        NON_CANDIDATE_COST
+                    };
+                (cost + JITTER_COST * draw(), target)
             })
             .min_by(|(a, _), (b, _)| a.total_cmp(b))
             .map(|(_, target)| target)
     }
 
-    /// A request was given to a target.
-    pub fn record_sent(&mut self, now: Millis, target: &Target, ask: &RequestDemand) {
-        let load = self.loads.entry(target.id.clone()).or_default();
-        load.own.add(&TargetLoad::from(ask));
-        load.cold.record_sent(now);
+    /// Records that a request was sent to a target.
+    pub fn record_sent(&mut self, now: Millis, target: &Target, demand: &RequestDemand) {
+        let state = self.states.entry(target.id.clone()).or_default();
+        state.own.add(&TargetLoad::from(demand));
+        state.cold.record_sent(now);
     }
 
-    /// A target has read a request's prompt.
-    pub fn record_prefilled(&mut self, id: &str, ask: &RequestDemand) {
-        if let Some(load) = self.loads.get_mut(id) {
-            let read = TargetLoad {
-                prompt_tokens: u64::from(ask.prompt_tokens),
+    /// Records that a target has processed a request's prompt.
+    pub fn record_prefilled(&mut self, id: &str, demand: &RequestDemand) {
+        if let Some(state) = self.states.get_mut(id) {
+            let prefilled = TargetLoad {
+                prompt_tokens: u64::from(demand.prompt_tokens),
                 ..TargetLoad::default()
             };
-            load.own = load.own.without(&read);
+            state.own = state.own.without(&prefilled);
         }
     }
 
-    /// A request has ended at a target; `was_started` as told by [`Self::record_prefilled`].
-    pub fn record_ended(&mut self, id: &str, ask: &RequestDemand, was_started: bool) {
-        if !was_started {
-            self.record_prefilled(id, ask);
+    /// Records that a request has ended at a target; `was_prefilled` is whether
+    /// [`Self::record_prefilled`] was called for it.
+    pub fn record_ended(&mut self, id: &str, demand: &RequestDemand, was_prefilled: bool) {
+        if !was_prefilled {
+            self.record_prefilled(id, demand);
         }
-        if let Some(load) = self.loads.get_mut(id) {
+        if let Some(state) = self.states.get_mut(id) {
             let ended = TargetLoad {
                 prompt_tokens: 0,
-                ..TargetLoad::from(ask)
+                ..TargetLoad::from(demand)
             };
-            load.own = load.own.without(&ended);
+            state.own = state.own.without(&ended);
         }
     }
 
-    /// A target gave a good answer.
+    /// Records a successful answer, which ends the target's back-off.
     pub fn record_success(&mut self, id: &str) {
-        if let Some(load) = self.loads.get_mut(id) {
-            load.failures = 0;
-            load.shunned_until_ms = Millis::ZERO;
-            load.is_refusing = false;
+        if let Some(state) = self.states.get_mut(id) {
+            state.failures = 0;
+            state.backoff_until_ms = Millis::ZERO;
+            state.is_refusing = false;
         }
     }
 
-    /// A target refused a connection; returns until when it is passed over.
+    /// Records a refused connection, and returns the end of the target's back-off.
     ///
-    /// Other nodes are told, and pass over it where nothing runs: while the store
-    /// is away, lost targets stay listed and look idle.
+    /// The refusal is published to the other nodes, which avoid the target if it runs no
+    /// requests: crashed targets stay listed and look idle while the store is unavailable.
     pub fn record_refused(&mut self, now: Millis, id: &str) -> Millis {
         let until_ms = self.record_failure(now, id);
-        if let Some(load) = self.loads.get_mut(id) {
-            load.is_refusing = true;
+        if let Some(state) = self.states.get_mut(id) {
+            state.is_refusing = true;
         }
         until_ms
     }
 
-    /// A target failed a request; returns until when it is passed over.
+    /// Records a failed request, and returns the end of the target's back-off.
     pub fn record_failure(&mut self, now: Millis, id: &str) -> Millis {
-        let load = self.loads.entry(id.into()).or_default();
-        let span = Millis(SHUN_MS.0 << load.failures.min(8)).min(MAX_SHUN_MS);
-        load.failures += 1;
-        load.is_refusing = false;
-        load.shunned_until_ms = now + span;
-        load.shunned_until_ms
+        let state = self.states.entry(id.into()).or_default();
+        let backoff_ms = Millis(INITIAL_BACKOFF_MS.0 << state.failures.min(8)).min(MAX_BACKOFF_MS);
+        state.failures += 1;
+        state.is_refusing = false;
+        state.backoff_until_ms = now + backoff_ms;
+        state.backoff_until_ms
     }
 
-    /// Work of this node by target, and what refuses its connections.
+    /// Returns this node's load by target, and which targets refuse its connections.
     pub fn own_load(&self, now: Millis) -> LoadByTarget {
-        let told = |load: &Load| TargetLoad {
-            refusals: u32::from(load.is_refusing && now < load.shunned_until_ms),
-            ..load.own
+        let reported = |state: &TargetState| TargetLoad {
+            refusals: u32::from(state.is_refusing && now < state.backoff_until_ms),
+            ..state.own
         };
-        self.loads
+        self.states
             .iter()
-            .map(|(id, load)| (id.clone(), told(load)))
-            .filter(|(_, work)| !work.is_empty())
+            .map(|(id, state)| (id.clone(), reported(state)))
+            .filter(|(_, load)| !load.is_empty())
             .collect()
     }
 
-    /// Takes over the work of other nodes.
+    /// Sets the load of the other nodes.
     pub fn set_other_load(&mut self, others: LoadByTarget) {
         self.others = others;
     }
 
-    /// Work of all nodes at a target.
-    fn work(&self, id: &str) -> TargetLoad {
-        let mut work = self
-            .loads
+    /// Returns the load of all nodes on a target.
+    fn total_load(&self, id: &str) -> TargetLoad {
+        let mut load = self
+            .states
             .get(id)
-            .map_or_else(TargetLoad::default, |load| load.own);
+            .map_or_else(TargetLoad::default, |state| state.own);
         if let Some(others) = self.others.get(id) {
-            work.add(others);
+            load.add(others);
         }
-        work
+        load
     }
 
-    /// Requests of this node that run at a target.
+    /// Returns the number of this node's requests that run at a target.
     pub fn running(&self, id: &str) -> u32 {
-        self.loads.get(id).map_or(0, |load| load.own.running)
+        self.states.get(id).map_or(0, |state| state.own.running)
     }
 
-    fn is_shunned(&self, now: Millis, id: &str) -> bool {
-        self.loads
+    fn is_in_backoff(&self, now: Millis, id: &str) -> bool {
+        self.states
             .get(id)
-            .is_some_and(|load| now < load.shunned_until_ms)
+            .is_some_and(|state| now < state.backoff_until_ms)
     }
 
-    fn bears(
+    fn is_within_cold_limit(
         &self,
         now: Millis,
         configuration: &Configuration,
@@ -336,49 +353,61 @@
         }
         let share =
             cold_limit::node_share(&target.id, service.cold_per_sec, &self.node, &self.nodes);
-        let load = self.loads.get(&target.id);
-        load.map_or(share > 0, |load| load.cold.has_capacity(now, share))
+        let state = self.states.get(&target.id);
+        state.map_or(share > 0, |state| state.cold.has_capacity(now, share))
     }
 
-    fn cost(&self, configuration: &Configuration, target: &Target, ask: &RequestDemand) -> f64 {
+    fn cost(&self, configuration: &Configuration, target: &Target, demand: &RequestDemand) -> f64 {
         let service = configuration.services.get(&target.service);
         let engine = service.and_then(|service| service.engine.as_ref());
-        let work = self.work(&target.id);
-        let is_gone = work.refusals > 0 && work.running == 0;
-        let gone = if is_gone { GONE_COST } else { 0.0 };
+        let load = self.total_load(&target.id);
+        let is_unreachable = load.refusals > 0 && load.running == 0;
+        let unreachable_cost = if is_unreachable {
+            UNREACHABLE_COST
+        } else {
+            0.0
+        };
         let Some(engine) = engine else {
-            return gone + f64::from(work.running) / f64::from(target.slots.max(1));
+            return unreachable_cost + f64::from(load.running) / f64::from(target.slots.max(1));
         };
         let memory = f64::from(engine.memory_tokens.max(1));
-        let used = (work.tokens + u64::from(ask.total_tokens)) as f64 / memory;
-        let full = if used > FULL_SHARE { FULL_COST } else { 0.0 };
-        full + gone + used + PROMPT_WEIGHT * work.prompt_tokens as f64 / memory
+        let used = (load.tokens + u64::from(demand.total_tokens)) as f64 / memory;
+        let overcommit_cost = if used > MAX_MEMORY_SHARE {
+            OVERCOMMIT_COST
+        } else {
+            0.0
+        };
+        overcommit_cost
+            + unreachable_cost
+            + used
+            + PREFILL_WEIGHT * load.prompt_tokens as f64 / memory
     }
 }
 
 impl From<&RequestDemand> for TargetLoad {
-    fn from(ask: &RequestDemand) -> Self {
+    fn from(demand: &RequestDemand) -> Self {
         Self {
             running: 1,
             refusals: 0,
-            tokens: u64::from(ask.total_tokens),
-            prompt_tokens: u64::from(ask.prompt_tokens),
+            tokens: u64::from(demand.total_tokens),
+            prompt_tokens: u64::from(demand.prompt_tokens),
         }
     }
 }
 
-/// Share of a service's targets among which a request's is chosen.
+/// Returns the probability with which a target of a service is drawn as a candidate; 1 or
+/// more if all are.
 fn candidate_share(directory: &Directory, service: &Name) -> f64 {
     let targets = directory.targets();
     let count = targets.filter(|(target, _)| target.service == *service);
-    CANDIDATES / count.count().max(1) as f64
+    EXPECTED_CANDIDATES / count.count().max(1) as f64
 }
 
-/// Cost of a target that stands in another data centre.
-fn far(target: &Target, data_centre: &Name, weight: f64) -> f64 {
+/// Returns `cost` if a target is in another data centre than `data_centre`, else 0.
+fn cross_data_centre_cost(target: &Target, data_centre: &Name, cost: f64) -> f64 {
     if target.data_centre == *data_centre {
         0.0
     } else {
-        weight
+        cost
     }
 }
