--- a/filbertpaddle-forward/src/target_selector.rs
+++ b/filbertpaddle-forward/src/target_selector.rs
@@ -275,7 +275,7 @@
     /// Records a refused connection, and returns the end of the target's back-off.
     ///
     /// The refusal is published to the other nodes, which avoid the target if it runs no
-    /// requests: crashed targets stay listed and look idle while the store is unavailable.
+    /// requests: failed targets stay listed and look idle while the store is unavailable.
     pub fn record_refused(&mut self, now: Millis, id: &str) -> Millis {
         let until_ms = self.record_failure(now, id);
         if let Some(state) = self.states.get_mut(id) {
--- a/filbertpaddle-forward/tests/directory.rs
+++ b/filbertpaddle-forward/tests/directory.rs
@@ -1,4 +1,4 @@
-//! What a node takes from the store and from peers, in any order.
+//! Changes from the store and from peers, applied in any order.
 
 use std::sync::Arc;
 
@@ -51,8 +51,8 @@
         .collect()
 }
 
-/// A directory that lists two targets at revision 2.
-fn listed() -> Directory {
+/// Returns a directory that lists the targets `a` and `b` at revision 2.
+fn directory_with_two_targets() -> Directory {
     let mut directory = Directory::new();
     let changes = vec![
         (1, Entry::Target(target("a", false))),
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_configuration_never_reverts() {
+fn configuration_never_reverts_to_an_older_version() {
     let mut directory = Directory::new();
     for (revision, version) in [(5, 3), (9, 2), (4, 7), (10, 6)] {
         let changes = vec![(revision, configuration(version))];
@@ -76,8 +76,8 @@
 }
 
 #[test]
-fn an_entry_older_than_its_removal_does_not_come_back() {
-    let mut directory = listed();
+fn entry_older_than_its_removal_is_ignored() {
+    let mut directory = directory_with_two_targets();
     let removal = vec![(5, Entry::NoTarget("a".into()))];
     directory.apply(
         Millis(20),
@@ -102,21 +102,21 @@
 }
 
 #[test]
-fn what_a_whole_table_does_not_name_is_gone() {
-    let mut directory = listed();
+fn targets_missing_from_a_whole_table_are_removed() {
+    let mut directory = directory_with_two_targets();
     let changes = vec![(7, Entry::Target(target("c", false)))];
-    let effect = directory.apply(
+    let applied = directory.apply(
         Millis(20),
         Millis(20),
         &batch(Table::Targets, true, 7, changes),
     );
     assert_eq!(ids(&directory), ["c"]);
-    assert_eq!(effect.targets.len(), 3);
+    assert_eq!(applied.targets.len(), 3);
 }
 
 #[test]
-fn removals_after_an_outage_are_doubted_for_a_while() {
-    let mut directory = listed();
+fn removals_after_an_outage_are_deferred() {
+    let mut directory = directory_with_two_targets();
     directory.record_store_lost(Table::Targets);
     assert!(directory.is_store_lost());
     directory.record_store_regained(Millis(5_000), Table::Targets);
@@ -127,27 +127,25 @@
     let now = Millis(5_001);
     directory.apply(now, now, &batch(Table::Targets, false, 9, removal));
     assert_eq!(ids(&directory), ["a", "b"]);
-    // One of the two lives and is listed again.
+    // One of the two is alive and lists itself again.
     let back = vec![(11, Entry::Target(target("b", false)))];
     let now = Millis(6_500);
     directory.apply(now, now, &batch(Table::Targets, false, 11, back));
     directory.apply_due_removals(Millis(7_499));
     assert_eq!(ids(&directory), ["a", "b"]);
-    let effect = directory.apply_due_removals(Millis(7_500));
+    let applied = directory.apply_due_removals(Millis(7_500));
     assert_eq!(ids(&directory), ["b"]);
-    assert_eq!(effect.targets, ["a"]);
+    assert_eq!(applied.targets, ["a"]);
 }
 
-/// A node regains the store 0.5 s before a target leaves: taking that for a lapse
-/// would send to it for 2.5 s, beyond the platform's bound of 2 s.
-/// A reader that was cut off from the store doubts what it then hears to be gone;
-/// its followers, which were not, are told and need not.
+/// A reader that was cut off from the store defers removals. Its followers were not cut off,
+/// and must apply the removals that it publishes at once.
 #[test]
-fn a_doubted_removal_is_told_to_those_who_need_not_doubt() {
-    let mut reader = listed();
+fn deferred_removal_is_applied_at_once_by_followers() {
+    let mut reader = directory_with_two_targets();
     let mut follower = Directory::new();
-    let told = reader.changes_after(Table::Targets, 0);
-    follower.apply(Millis(10), Millis(10), &told);
+    let published = reader.changes_after(Table::Targets, 0);
+    follower.apply(Millis(10), Millis(10), &published);
     let sequence = reader.sequence();
     reader.record_store_lost(Table::Targets);
     reader.record_store_regained(Millis(5_000), Table::Targets);
@@ -159,28 +157,28 @@
     );
     reader.apply(Millis(5_010), Millis(5_010), &gone);
     assert_eq!(ids(&reader), ["a", "b"]);
-    let told = reader.changes_after(Table::Targets, sequence);
-    follower.apply(Millis(5_020), Millis(5_020), &told);
+    let published = reader.changes_after(Table::Targets, sequence);
+    follower.apply(Millis(5_020), Millis(5_020), &published);
     assert_eq!(ids(&follower), ["b"]);
-    // One that starts now takes it for listed until the reader is sure.
-    let mut newcomer = Directory::new();
-    newcomer.apply(
+    // A follower that starts now lists the target until the reader applies the removal.
+    let mut late_follower = Directory::new();
+    late_follower.apply(
         Millis(5_030),
         Millis(5_030),
         &reader.changes_after(Table::Targets, 0),
     );
-    assert_eq!(ids(&newcomer), ["a", "b"]);
+    assert_eq!(ids(&late_follower), ["a", "b"]);
     let sequence = reader.sequence();
     reader.apply_due_removals(Millis(60_000));
-    let told = reader.changes_after(Table::Targets, sequence);
-    newcomer.apply(Millis(60_010), Millis(60_010), &told);
-    assert_eq!(ids(&newcomer), ["b"]);
+    let published = reader.changes_after(Table::Targets, sequence);
+    late_follower.apply(Millis(60_010), Millis(60_010), &published);
+    assert_eq!(ids(&late_follower), ["b"]);
 }
 
-/// Peers may tell late what was listed before the removal.
+/// Peers may deliver an entry from before the removal late; it must not cancel the removal.
 #[test]
-fn an_old_word_does_not_end_the_doubt() {
-    let mut directory = listed();
+fn outdated_entry_does_not_cancel_a_deferred_removal() {
+    let mut directory = directory_with_two_targets();
     directory.record_store_lost(Table::Targets);
     directory.record_store_regained(Millis(5_000), Table::Targets);
     let gone = batch(
@@ -201,9 +199,12 @@
     assert_eq!(ids(&directory), ["b"]);
 }
 
+/// If a target stops 0.5 s after the store is reachable again, its removal must not be taken
+/// for an expired entry and deferred: requests would be sent to it for 2.5 s, more than the
+/// 2 s that the platform allows.
 #[test]
-fn a_removal_after_the_return_is_believed_at_once() {
-    let mut directory = listed();
+fn removal_after_the_first_batch_takes_effect_at_once() {
+    let mut directory = directory_with_two_targets();
     directory.record_store_lost(Table::Targets);
     directory.record_store_regained(Millis(5_000), Table::Targets);
     let first = batch(Table::Targets, false, 9, Vec::new());
@@ -215,8 +216,8 @@
 }
 
 #[test]
-fn a_target_that_was_leaving_is_gone_at_once_after_an_outage() {
-    let mut directory = listed();
+fn removal_of_a_draining_target_is_not_deferred() {
+    let mut directory = directory_with_two_targets();
     let leaving = vec![(3, Entry::Target(target("a", true)))];
     directory.apply(
         Millis(20),
@@ -234,24 +235,25 @@
     assert_eq!(ids(&directory), ["b"]);
 }
 
-/// Crashed targets stay listed for a while, and others start at their addresses.
+/// A crashed target stays listed until its entry expires, and another may have started at
+/// its address by then.
 #[test]
-fn a_target_at_the_address_of_another_takes_its_place() {
+fn newer_target_replaces_an_older_one_at_its_address() {
     let at = |id: &str| Target {
         address: "shared.test:1".into(),
         ..target(id, false)
     };
     let (old, new) = ((3, Entry::Target(at("old"))), (7, Entry::Target(at("new"))));
     for changes in [[old.clone(), new.clone()], [new.clone(), old.clone()]] {
-        let mut directory = listed();
-        let effect = directory.apply(
+        let mut directory = directory_with_two_targets();
+        let applied = directory.apply(
             Millis(20),
             Millis(20),
             &batch(Table::Targets, false, 7, changes.to_vec()),
         );
         assert_eq!(ids(&directory), ["a", "b", "new"]);
-        assert!(effect.targets.contains(&"new".into()));
-        // A word of the old one that is newer than the new one is believed.
+        assert!(applied.targets.contains(&"new".into()));
+        // An entry of the old target that is newer than that of the new one replaces it.
         let back = vec![(8, Entry::Target(at("old")))];
         let again = batch(Table::Targets, false, 8, back);
         directory.apply(Millis(30), Millis(30), &again);
@@ -260,14 +262,14 @@
 }
 
 #[test]
-fn a_target_that_says_it_leaves_is_believed_until_a_new_life() {
-    let mut directory = listed();
+fn target_stays_marked_as_draining_until_it_restarts() {
+    let mut directory = directory_with_two_targets();
     assert!(directory.mark_draining(&target("a", false)));
     assert!(!directory.mark_draining(&target("a", false)));
     assert!(directory.target("a").unwrap().is_draining);
-    let mut reborn = target("a", false);
-    reborn.started_ms = Some(Millis(2));
-    let changes = vec![(3, Entry::Target(reborn.clone()))];
+    let mut restarted = target("a", false);
+    restarted.started_ms = Some(Millis(2));
+    let changes = vec![(3, Entry::Target(restarted.clone()))];
     directory.apply(
         Millis(20),
         Millis(20),
@@ -278,7 +280,7 @@
 }
 
 #[test]
-fn a_data_centre_that_is_not_named_is_in_service() {
+fn data_centre_missing_from_a_whole_table_is_in_service() {
     let mut directory = Directory::new();
     let out = |revision, is_out| {
         let name = "dc-a".into();
@@ -297,17 +299,17 @@
 }
 
 #[test]
-fn a_peer_that_is_told_changes_ends_with_the_same() {
-    let mut source = listed();
+fn peer_that_follows_changes_has_the_same_state() {
+    let mut source = directory_with_two_targets();
     let mut peer = Directory::new();
-    let mut told = 0;
-    let mut pass_on = |source: &Directory, peer: &mut Directory, now| {
+    let mut published = 0;
+    let mut publish = |source: &Directory, peer: &mut Directory, now| {
         for table in [Table::Operator, Table::Targets] {
-            peer.apply(now, now, &source.changes_after(table, told));
+            peer.apply(now, now, &source.changes_after(table, published));
         }
-        told = source.sequence();
+        published = source.sequence();
     };
-    pass_on(&source, &mut peer, Millis(11));
+    publish(&source, &mut peer, Millis(11));
     let changes = vec![
         (4, Entry::NoTarget("a".into())),
         (5, Entry::Target(target("b", true))),
@@ -324,7 +326,7 @@
         Millis(21),
         &batch(Table::Operator, false, 7, changes),
     );
-    pass_on(&source, &mut peer, Millis(22));
+    publish(&source, &mut peer, Millis(22));
     assert_eq!(ids(&peer), ["b", "c"]);
     assert!(peer.target("b").unwrap().is_draining);
     assert_eq!(peer.configuration().unwrap().version, 3);
--- a/filbertpaddle-forward/tests/stream.rs
+++ b/filbertpaddle-forward/tests/event_stream_and_migration.rs
@@ -1,4 +1,4 @@
-//! Events of a stream, and when a generation moves.
+//! Splitting of event streams, and the steps of a migration.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_forward::event_stream::EventSplitter;
@@ -11,9 +11,9 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// However the bytes fall into pieces, the same events come out unchanged.
+/// The events must be the same, byte for byte, however the stream is split into chunks.
 #[test]
-fn events_come_out_whole_however_their_bytes_arrive() {
+fn events_do_not_depend_on_how_the_bytes_are_split() {
     let stream = b"id: 1\ndata: a\n\nweights: 4\nid: 2\r\ndata: b\r\n\r\ndata: no id\n\nid: 3\nda";
     for seed in 0..500 {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -21,9 +21,9 @@
         let mut rest = &stream[..];
         let (mut ids, mut bytes) = (Vec::new(), Vec::new());
         while !rest.is_empty() {
-            let (piece, left) = rest.split_at(rng.random_range(1..=rest.len().min(9)));
-            rest = left;
-            splitter.push(piece).unwrap();
+            let (chunk, remaining) = rest.split_at(rng.random_range(1..=rest.len().min(9)));
+            rest = remaining;
+            splitter.push(chunk).unwrap();
             while let Some(event) = splitter.next_event() {
                 ids.push(event.id);
                 bytes.extend_from_slice(&event.bytes);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_event_without_an_end_is_refused() {
+fn event_above_the_size_limit_is_rejected() {
     let mut splitter = EventSplitter::new();
     splitter.push(&vec![b'x'; MAX_EVENT_BYTES]).unwrap();
     assert_eq!(splitter.push(b"x"), Err(EventTooLarge));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_long_generation_is_copied_at_once_and_goes_on_from_the_copy() {
+fn long_generation_is_copied_at_once_and_switches_to_the_copy() {
     let mut migration = Migration::new();
     assert_eq!(migration.next_step(Millis(0)), MigrationStep::Wait(None));
     migration.schedule(Millis(10), 500);
@@ -64,27 +64,27 @@
 }
 
 #[test]
-fn a_generation_that_ends_soon_does_not_hold_up_others() {
+fn generation_that_ends_soon_is_copied_later() {
     let mut migration = Migration::new();
     migration.schedule(Millis(10), 20);
     let MigrationStep::Wait(Some(at)) = migration.next_step(Millis(10)) else {
-        panic!("it is copied at once");
+        panic!("a generation that ends soon is copied without a wait");
     };
     assert!(at > Millis(500));
     assert_eq!(migration.next_step(at), MigrationStep::Copy);
-    // A later notice does not put it off again.
+    // A second notice does not postpone the copy again.
     migration.schedule(at, 20);
     assert_eq!(migration.next_step(at), MigrationStep::Copy);
 }
 
 #[test]
-fn a_copy_that_fails_is_tried_again_after_a_pause() {
+fn failed_copy_is_retried_after_a_delay() {
     let mut migration = Migration::new();
     migration.schedule(Millis(10), 500);
     migration.record_copy_started();
     migration.record_copy_failed(Millis(20));
     let MigrationStep::Wait(Some(at)) = migration.next_step(Millis(20)) else {
-        panic!("no pause");
+        panic!("a failed copy is retried without a delay");
     };
     assert_eq!(migration.next_step(at), MigrationStep::Copy);
 }
--- a/filbertpaddle-forward/tests/load_table.rs
+++ b/filbertpaddle-forward/tests/load_table.rs
@@ -1,4 +1,4 @@
-//! Work that nodes tell each other.
+//! Load that nodes report to each other.
 
 use filbertpaddle_core::name::Name;
 use filbertpaddle_forward::load_table;
@@ -9,57 +9,57 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-fn work(rng: &mut StdRng) -> LoadByTarget {
+fn random_load(rng: &mut StdRng) -> LoadByTarget {
     (0..rng.random_range(0..6))
         .map(|_| {
             let target = Name::from(format!("t{}", rng.random_range(0..8)));
-            let work = TargetLoad {
+            let load = TargetLoad {
                 running: rng.random_range(1..5),
                 tokens: rng.random_range(0..9_000),
                 prompt_tokens: rng.random_range(0..3_000),
                 refusals: rng.random_range(0..2),
             };
-            (target, work)
+            (target, load)
         })
         .collect()
 }
 
-/// Two readers that tell each other only what changes know the same sum as one
-/// that sees everything.
+/// Two readers that exchange only changes of their groups' totals must have the same total
+/// as one that sees the load of every node.
 #[test]
-fn sums_over_groups_are_those_of_all_nodes() {
+fn totals_of_groups_add_up_to_the_load_of_all_nodes() {
     for seed in 0..300 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut boards = [LoadTable::new(), LoadTable::new()];
+        let mut tables = [LoadTable::new(), LoadTable::new()];
         let names = ["r0", "r1"].map(Name::from);
-        let mut told_groups = [LoadByTarget::new(), LoadByTarget::new()];
+        let mut published = [LoadByTarget::new(), LoadByTarget::new()];
         let mut nodes: Vec<LoadByTarget> = vec![LoadByTarget::new(); 5];
         for _ in 0..20 {
             let node = rng.random_range(0..nodes.len());
-            let now = work(&mut rng);
+            let now = random_load(&mut rng);
             let changes = load_table::changes_since(&nodes[node], &now);
             let name = Name::from(format!("n{node}"));
-            boards[node % 2].update_member(&name, &changes);
+            tables[node % 2].update_member(&name, &changes);
             nodes[node] = now;
             for reader in 0..2 {
-                let sum = boards[reader].group_total();
-                let changes = load_table::changes_since(&told_groups[reader], &sum);
-                boards[1 - reader].update_group(&names[reader], &changes);
-                told_groups[reader] = sum;
+                let sum = tables[reader].group_total();
+                let changes = load_table::changes_since(&published[reader], &sum);
+                tables[1 - reader].update_group(&names[reader], &changes);
+                published[reader] = sum;
             }
             let mut all = LoadByTarget::new();
-            for (target, work) in nodes.iter().flatten() {
-                all.entry(target.clone()).or_default().add(work);
+            for (target, load) in nodes.iter().flatten() {
+                all.entry(target.clone()).or_default().add(load);
             }
-            assert_eq!(boards[0].total(), all, "seed {seed}");
-            assert_eq!(boards[1].total(), all, "seed {seed}");
+            assert_eq!(tables[0].total(), all, "seed {seed}");
+            assert_eq!(tables[1].total(), all, "seed {seed}");
         }
     }
 }
 
 #[test]
-fn the_work_of_a_node_that_is_gone_is_gone() {
-    let mut board = LoadTable::new();
+fn load_of_an_unlinked_node_is_removed() {
+    let mut table = LoadTable::new();
     let changes = vec![(
         "t".into(),
         TargetLoad {
@@ -67,10 +67,10 @@
             ..TargetLoad::default()
         },
     )];
-    board.update_member(&"n".into(), &changes);
-    board.update_group(&"r".into(), &changes);
-    assert_eq!(board.total()["t"].running, 2);
-    board.remove_member("n");
-    board.remove_group("r");
-    assert!(board.total().is_empty());
+    table.update_member(&"n".into(), &changes);
+    table.update_group(&"r".into(), &changes);
+    assert_eq!(table.total()["t"].running, 2);
+    table.remove_member("n");
+    table.remove_group("r");
+    assert!(table.total().is_empty());
 }
--- a/filbertpaddle-forward/tests/limits.rs
+++ b/filbertpaddle-forward/tests/retry_budget_and_drain.rs
@@ -1,4 +1,4 @@
-//! Limits that all nodes share: retries, the end of a stopping node.
+//! Retry budget that all nodes share, and admission at a draining node.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_forward::drain;
@@ -10,30 +10,30 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-const TERMS: RetryLimits = RetryLimits {
+const LIMITS: RetryLimits = RetryLimits {
     ratio: 0.2,
     slack: 58.0,
     window_ms: Millis::from_secs(10),
 };
 
-/// Retries of all nodes in any window stay within what the requests of that
-/// window and the slack allow, however the requests fall on the nodes.
+/// However requests are distributed over the nodes, the retries of all nodes in any window
+/// must stay within the limit that the window's requests and the slack give.
 #[test]
 fn retries_of_all_nodes_stay_within_the_budget() {
     for seed in 0..1_000 {
         let mut rng = StdRng::seed_from_u64(seed);
         let nodes = rng.random_range(1..=12);
         let mut budgets = vec![RetryBudget::new(); nodes];
-        let favourite = rng.random_range(0..nodes);
+        let preferred = rng.random_range(0..nodes);
         let (mut requests, mut retries) = (Vec::new(), Vec::new());
         for now in (0..30_000).step_by(20).map(Millis) {
             let node = match rng.random_bool(0.5) {
-                true => favourite,
+                true => preferred,
                 false => rng.random_range(0..nodes),
             };
             budgets[node].record_request(now);
             requests.push(now);
-            if rng.random_bool(0.7) && budgets[node].try_acquire(now, &TERMS, Some(nodes)) {
+            if rng.random_bool(0.7) && budgets[node].try_acquire(now, &LIMITS, Some(nodes)) {
                 retries.push(now);
             }
         }
@@ -41,54 +41,54 @@
             let count = |times: &[Millis]| {
                 times
                     .iter()
-                    .filter(|at| **at <= end && end.since(**at) <= TERMS.window_ms)
+                    .filter(|at| **at <= end && end.since(**at) <= LIMITS.window_ms)
                     .count() as f64
             };
-            let allowed = TERMS.ratio * count(&requests) + TERMS.slack;
+            let allowed = LIMITS.ratio * count(&requests) + LIMITS.slack;
             assert!(count(&retries) <= allowed, "seed {seed} at {end}");
         }
     }
 }
 
 #[test]
-fn a_node_that_knows_no_other_has_no_slack() {
+fn no_slack_while_the_number_of_nodes_is_unknown() {
     let mut budget = RetryBudget::new();
-    assert!(!budget.try_acquire(Millis(0), &TERMS, None));
+    assert!(!budget.try_acquire(Millis(0), &LIMITS, None));
     for _ in 0..10 {
         budget.record_request(Millis(0));
     }
-    assert!(budget.try_acquire(Millis(0), &TERMS, None));
-    assert!(!budget.try_acquire(Millis(0), &TERMS, None));
+    assert!(budget.try_acquire(Millis(0), &LIMITS, None));
+    assert!(!budget.try_acquire(Millis(0), &LIMITS, None));
 }
 
 #[test]
-fn moves_use_up_retries() {
+fn migrations_count_against_the_retry_budget() {
     let mut budget = RetryBudget::new();
-    assert!(budget.try_acquire(Millis(0), &TERMS, Some(2)));
+    assert!(budget.try_acquire(Millis(0), &LIMITS, Some(2)));
     for _ in 0..50 {
         budget.record_migration(Millis(1));
     }
-    assert!(!budget.try_acquire(Millis(2), &TERMS, Some(2)));
-    assert!(budget.try_acquire(Millis(20_000), &TERMS, Some(2)));
+    assert!(!budget.try_acquire(Millis(2), &LIMITS, Some(2)));
+    assert!(budget.try_acquire(Millis(20_000), &LIMITS, Some(2)));
 }
 
 #[test]
-fn a_stopping_node_takes_what_it_can_end() {
+fn draining_node_admits_requests_that_end_within_the_grace_period() {
     let drain = Drain {
         began_ms: Millis(1_000),
         grace_ms: Millis(8_000),
     };
-    let generation = |estimate, most| {
+    let generation = |estimate, max| {
         drain::estimate_duration(&GenerationSize {
             prompt_tokens: 1_000,
-            max_output_tokens: most,
+            max_output_tokens: max,
             output_estimate_tokens: Some(estimate),
             prompt_parts: Vec::new(),
         })
     };
     assert!(drain.admits(Millis(1_010), generation(100, 2_000)));
     assert!(!drain.admits(Millis(1_010), generation(1_000, 2_000)));
-    // Late, a caller's estimate is not enough.
+    // After 2.5 s, the maximum duration must fit, not just the estimate.
     assert!(!drain.admits(Millis(4_000), generation(100, 2_000)));
     assert!(drain.admits(Millis(4_000), generation(100, 150)));
     assert!(!drain.admits(Millis(8_500), generation(1, 1)));
--- a/filbertpaddle-forward/tests/target_selector.rs
+++ b/filbertpaddle-forward/tests/target_selector.rs
@@ -1,4 +1,4 @@
-//! Placement, and the load patterns that each of its decisions answers.
+//! Target selection under the load patterns that its costs and limits are made for.
 
 use std::sync::Arc;
 
@@ -73,14 +73,14 @@
     directory.apply(Millis::ZERO, Millis::ZERO, &batch);
 }
 
-/// The only node.
-fn fleet(data_centre: &str) -> TargetSelector {
-    let mut fleet = TargetSelector::new("node".into(), data_centre.into());
-    fleet.set_nodes(vec!["node".into()]);
-    fleet
+/// Returns the selector of the only node.
+fn selector(data_centre: &str) -> TargetSelector {
+    let mut selector = TargetSelector::new("node".into(), data_centre.into());
+    selector.set_nodes(vec!["node".into()]);
+    selector
 }
 
-fn ask(prompt_tokens: u32, total_tokens: u32) -> RequestDemand {
+fn demand(prompt_tokens: u32, total_tokens: u32) -> RequestDemand {
     RequestDemand {
         service: "engine".into(),
         prompt_tokens,
@@ -89,59 +89,65 @@
 }
 
 fn choose(
-    fleet: &TargetSelector,
+    selector: &TargetSelector,
     directory: &Directory,
-    ask: &RequestDemand,
+    demand: &RequestDemand,
 ) -> Result<Name, PlacementError> {
-    let chosen = fleet.choose(Millis(10_000), directory, ask, &[], || 0.5);
+    let chosen = selector.choose(Millis(10_000), directory, demand, &[], || 0.5);
     chosen.map(|target| target.id.clone())
 }
 
 #[test]
-fn prompts_that_are_still_read_keep_others_away() {
+fn target_with_unprocessed_prompts_is_avoided() {
     let directory = directory(&[target("a", "dc"), target("b", "dc")]);
-    let mut fleet = fleet("dc");
-    fleet.update_targets(&directory);
-    // One reads a prompt; the other decodes with more memory in use.
-    fleet.record_sent(
+    let mut selector = selector("dc");
+    selector.update_targets(&directory);
+    // Target a processes a prompt; target b decodes with more memory in use.
+    selector.record_sent(
         Millis::ZERO,
         directory.target("a").unwrap(),
-        &ask(3_000, 3_500),
+        &demand(3_000, 3_500),
     );
-    fleet.record_sent(
+    selector.record_sent(
         Millis::ZERO,
         directory.target("b").unwrap(),
-        &ask(3_000, 9_000),
+        &demand(3_000, 9_000),
+    );
+    selector.record_prefilled("b", &demand(3_000, 9_000));
+    assert_eq!(
+        choose(&selector, &directory, &demand(2_000, 2_100)).unwrap(),
+        "b"
+    );
+    selector.record_prefilled("a", &demand(3_000, 3_500));
+    assert_eq!(
+        choose(&selector, &directory, &demand(2_000, 2_100)).unwrap(),
+        "a"
     );
-    fleet.record_prefilled("b", &ask(3_000, 9_000));
-    assert_eq!(choose(&fleet, &directory, &ask(2_000, 2_100)).unwrap(), "b");
-    fleet.record_prefilled("a", &ask(3_000, 3_500));
-    assert_eq!(choose(&fleet, &directory, &ask(2_000, 2_100)).unwrap(), "a");
 }
 
-/// In a large service many nodes choose within the time in which they learn of
-/// each other's choices; not all may take the target that looks emptiest.
+/// In a large service, many nodes choose before they learn of each other's choices. They
+/// must not all choose the target that looks least loaded.
 #[test]
-fn nodes_that_choose_at_once_do_not_all_choose_alike() {
+fn concurrent_choices_are_spread_over_targets() {
     let names: Vec<_> = (0..60).map(|number| format!("t{number}")).collect();
     let targets: Vec<_> = names.iter().map(|name| target(name, "dc")).collect();
     let directory = directory(&targets);
-    let mut fleet = fleet("dc");
-    fleet.update_targets(&directory);
-    let work = |tokens| TargetLoad {
+    let mut selector = selector("dc");
+    selector.update_targets(&directory);
+    let load = |tokens| TargetLoad {
         running: 1,
         tokens,
         ..TargetLoad::default()
     };
     let others = names[1..]
         .iter()
-        .map(|name| (name.as_str().into(), work(10_000)));
-    fleet.set_other_load(others.collect());
+        .map(|name| (name.as_str().into(), load(10_000)));
+    selector.set_other_load(others.collect());
     for seed in 0..100 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut choose = || {
             let draw = || rng.random_range(0.0..1.0);
-            let chosen = fleet.choose(Millis(10_000), &directory, &ask(100, 200), &[], draw);
+            let chosen = selector.choose(Millis(10_000), &directory, &demand(100, 200), &[], draw);
             chosen.unwrap().id.clone()
         };
         let same = (0..20).filter(|_| choose() == "t0").count();
@@ -150,7 +156,8 @@
         let mut copy = || {
             let draw = || rng.random_range(0.0..1.0);
             let now = Millis(10_000);
-            let chosen = fleet.choose_copy_target(now, &directory, source, &ask(0, 200), &[], draw);
+            let chosen =
+                selector.choose_copy_target(now, &directory, source, &demand(0, 200), &[], draw);
             chosen.unwrap().id.clone()
         };
         let same = (0..20).filter(|_| copy() == "t0").count();
@@ -158,31 +165,31 @@
     }
 }
 
-/// A service with few targets leaves none out.
+/// All targets of a small service are candidates.
 #[test]
-fn the_emptiest_of_a_few_targets_is_chosen() {
+fn least_loaded_of_a_few_targets_is_chosen() {
     let directory = directory(&[target("a", "dc"), target("b", "dc"), target("c", "dc")]);
-    let mut fleet = fleet("dc");
-    fleet.update_targets(&directory);
+    let mut selector = selector("dc");
+    selector.update_targets(&directory);
     for id in ["a", "c"] {
         let taken = directory.target(id).unwrap();
-        fleet.record_sent(Millis::ZERO, taken, &ask(1_000, 9_000));
+        selector.record_sent(Millis::ZERO, taken, &demand(1_000, 9_000));
     }
     let mut rng = StdRng::seed_from_u64(1);
     for _ in 0..100 {
         let draw = || rng.random_range(0.0..1.0);
-        let chosen = fleet.choose(Millis(10_000), &directory, &ask(1, 2), &[], draw);
+        let chosen = selector.choose(Millis(10_000), &directory, &demand(1, 2), &[], draw);
         assert_eq!(chosen.unwrap().id, "b");
     }
 }
 
-/// While the store is away, targets that it still lists are lost, and each looks
-/// idle to a node that has not tried it.
+/// While the store is unavailable, failed targets stay listed and look idle to a node that
+/// has not tried to connect to them.
 #[test]
-fn a_target_that_refuses_other_nodes_comes_last_unless_it_runs_something() {
+fn idle_target_that_refuses_other_nodes_is_chosen_last() {
     let directory = directory(&[target("idle", "dc"), target("busy", "dc")]);
-    let mut fleet = fleet("dc");
-    fleet.update_targets(&directory);
+    let mut selector = selector("dc");
+    selector.update_targets(&directory);
     let busy = TargetLoad {
         running: 5,
         tokens: 20_000,
@@ -196,36 +203,42 @@
     let mut others = LoadByTarget::new();
     others.insert("busy".into(), busy);
     others.insert("idle".into(), refusing);
-    fleet.set_other_load(others.clone());
-    assert_eq!(choose(&fleet, &directory, &ask(100, 200)).unwrap(), "busy");
-    // One node is cut off from what serves all others.
+    selector.set_other_load(others.clone());
+    assert_eq!(
+        choose(&selector, &directory, &demand(100, 200)).unwrap(),
+        "busy"
+    );
+    // Only one node is cut off from a target that serves all others.
     let running = TargetLoad {
         running: 1,
         ..refusing
     };
     others.insert("idle".into(), running);
-    fleet.set_other_load(others);
-    assert_eq!(choose(&fleet, &directory, &ask(100, 200)).unwrap(), "idle");
+    selector.set_other_load(others);
+    assert_eq!(
+        choose(&selector, &directory, &demand(100, 200)).unwrap(),
+        "idle"
+    );
 }
 
 #[test]
-fn a_refused_connection_is_told_until_it_is_tried_again() {
+fn refused_connection_is_reported_until_the_back_off_ends() {
     let directory = directory(&[target("a", "dc")]);
-    let mut fleet = fleet("dc");
-    fleet.update_targets(&directory);
-    let until_ms = fleet.record_refused(Millis(10), "a");
-    assert_eq!(fleet.own_load(Millis(20))["a"].refusals, 1);
-    assert!(fleet.own_load(until_ms).is_empty());
-    fleet.record_refused(until_ms, "a");
-    fleet.record_success("a");
-    assert!(fleet.own_load(until_ms).is_empty());
+    let mut selector = selector("dc");
+    selector.update_targets(&directory);
+    let until_ms = selector.record_refused(Millis(10), "a");
+    assert_eq!(selector.own_load(Millis(20))["a"].refusals, 1);
+    assert!(selector.own_load(until_ms).is_empty());
+    selector.record_refused(until_ms, "a");
+    selector.record_success("a");
+    assert!(selector.own_load(until_ms).is_empty());
 }
 
 #[test]
-fn work_of_other_nodes_counts_like_own() {
+fn load_of_other_nodes_counts_like_own_load() {
     let directory = directory(&[target("a", "dc"), target("b", "dc")]);
-    let mut fleet = fleet("dc");
-    fleet.update_targets(&directory);
+    let mut selector = selector("dc");
+    selector.update_targets(&directory);
     let mut others = LoadByTarget::new();
     let busy = TargetLoad {
         running: 5,
@@ -234,67 +247,73 @@
         refusals: 0,
     };
     others.insert("a".into(), busy);
-    fleet.set_other_load(others);
-    assert_eq!(choose(&fleet, &directory, &ask(500, 1_000)).unwrap(), "b");
+    selector.set_other_load(others);
+    assert_eq!(
+        choose(&selector, &directory, &demand(500, 1_000)).unwrap(),
+        "b"
+    );
 }
 
 #[test]
 fn another_data_centre_is_used_when_the_own_one_is_full() {
     let directory = directory(&[target("near", "dc-a"), target("far", "dc-b")]);
-    let mut fleet = fleet("dc-a");
-    fleet.update_targets(&directory);
+    let mut selector = selector("dc-a");
+    selector.update_targets(&directory);
     assert_eq!(
-        choose(&fleet, &directory, &ask(500, 1_000)).unwrap(),
+        choose(&selector, &directory, &demand(500, 1_000)).unwrap(),
         "near"
     );
     let near = directory.target("near").unwrap();
     for _ in 0..10 {
-        fleet.record_sent(Millis::ZERO, near, &ask(0, 3_000));
+        selector.record_sent(Millis::ZERO, near, &demand(0, 3_000));
     }
-    assert_eq!(choose(&fleet, &directory, &ask(500, 1_000)).unwrap(), "far");
+    assert_eq!(
+        choose(&selector, &directory, &demand(500, 1_000)).unwrap(),
+        "far"
+    );
 }
 
 #[test]
-fn a_failing_target_is_passed_over_for_ever_longer() {
+fn back_off_of_a_failing_target_grows() {
     let directory = directory(&[target("a", "dc")]);
-    let mut fleet = fleet("dc");
-    fleet.update_targets(&directory);
+    let mut selector = selector("dc");
+    selector.update_targets(&directory);
     let spans: Vec<_> = (0..5)
         .map(|_| {
-            fleet
+            selector
                 .record_failure(Millis(10_000), "a")
                 .since(Millis(10_000))
         })
         .collect();
     assert!(spans.windows(2).all(|pair| pair[0] <= pair[1]));
     assert_eq!(
-        choose(&fleet, &directory, &ask(1, 1)),
+        choose(&selector, &directory, &demand(1, 1)),
         Err(PlacementError::AllFailing)
     );
-    fleet.record_success("a");
-    assert_eq!(choose(&fleet, &directory, &ask(1, 1)).unwrap(), "a");
+    selector.record_success("a");
+    assert_eq!(choose(&selector, &directory, &demand(1, 1)).unwrap(), "a");
 }
 
 #[test]
-fn ended_work_leaves_nothing_behind() {
+fn ended_requests_leave_no_load() {
     let directory = directory(&[target("a", "dc")]);
-    let mut fleet = fleet("dc");
-    fleet.update_targets(&directory);
+    let mut selector = selector("dc");
+    selector.update_targets(&directory);
     let target = directory.target("a").unwrap();
     for is_started in [true, false] {
-        fleet.record_sent(Millis::ZERO, target, &ask(100, 300));
+        selector.record_sent(Millis::ZERO, target, &demand(100, 300));
         if is_started {
-            fleet.record_prefilled("a", &ask(100, 300));
+            selector.record_prefilled("a", &demand(100, 300));
         }
-        fleet.record_ended("a", &ask(100, 300), is_started);
+        selector.record_ended("a", &demand(100, 300), is_started);
     }
-    assert!(fleet.own_load(Millis(10_000)).is_empty());
+    assert!(selector.own_load(Millis(10_000)).is_empty());
 }
 
-/// Many nodes that place by their own draws and what they were last told: a
-/// cold target gets at most its share from all of them together.
+/// Many nodes choose independently. Together, they must not exceed the rate limit of a cold
+/// target.
 #[test]
-fn a_cold_target_gets_what_it_bears_from_all_nodes_together() {
+fn all_nodes_together_respect_the_limit_of_a_cold_target() {
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut cold = target("cold", "dc");
@@ -302,20 +321,20 @@
         let directory = directory(&[cold]);
         let nodes = rng.random_range(1..=100);
         let names: Vec<Name> = (0..nodes).map(|node| format!("n{node}").into()).collect();
-        let mut fleets: Vec<_> = names
+        let mut selectors: Vec<_> = names
             .iter()
             .map(|name| TargetSelector::new(name.clone(), "dc".into()))
             .collect();
-        for fleet in &mut fleets {
-            fleet.set_nodes(names.clone());
+        for selector in &mut selectors {
+            selector.set_nodes(names.clone());
         }
         let mut sent = Vec::new();
         for now in (0..4_000).map(Millis) {
-            let fleet = &mut fleets[rng.random_range(0..nodes)];
-            let ask = ask(1, 1);
-            let chosen = fleet.choose(now, &directory, &ask, &[], || 0.5);
+            let selector = &mut selectors[rng.random_range(0..nodes)];
+            let demand = demand(1, 1);
+            let chosen = selector.choose(now, &directory, &demand, &[], || 0.5);
             if let Ok(target) = chosen {
-                fleet.record_sent(now, target, &ask);
+                selector.record_sent(now, target, &demand);
                 sent.push(now);
             }
         }
@@ -331,7 +350,7 @@
 }
 
 #[test]
-fn a_copy_goes_to_a_target_that_stays() {
+fn copy_goes_to_a_target_that_is_not_draining() {
     let mut leaving = target("leaving", "dc-a");
     leaving.is_draining = true;
     let source = target("source", "dc-a");
@@ -342,12 +361,13 @@
         target("far", "dc-b"),
     ];
     let directory = directory(&targets);
-    let mut fleet = fleet("dc-b");
-    fleet.update_targets(&directory);
-    let ask = ask(0, 4_000);
-    let destination = |passed_over: &[Name]| {
+    let mut selector = selector("dc-b");
+    selector.update_targets(&directory);
+    let demand = demand(0, 4_000);
+    let destination = |excluded: &[Name]| {
         let now = Millis(10_000);
-        let chosen = fleet.choose_copy_target(now, &directory, &source, &ask, passed_over, || 0.5);
+        let chosen =
+            selector.choose_copy_target(now, &directory, &source, &demand, excluded, || 0.5);
         chosen.map(|target| target.id.clone())
     };
     assert_eq!(destination(&[]).unwrap(), "near");
