--- a/filbertpaddle-forward/src/migration.rs
+++ b/filbertpaddle-forward/src/migration.rs
@@ -30,7 +30,7 @@
 
 /// Next step of a migration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MigrationStep {
+pub enum Step {
     /// Wait until this time, or for the next event if `None`.
     Wait(Option<Millis>),
     /// Copy the KV cache, or what was added to it since the last copy.
@@ -94,16 +94,16 @@
     }
 
     /// Returns the next step.
-    pub fn next_step(&self, now: Millis) -> MigrationStep {
+    pub fn next_step(&self, now: Millis) -> Step {
         if !self.is_scheduled || self.is_copying {
-            return MigrationStep::Wait(None);
+            return Step::Wait(None);
         }
         if self.copy.is_some() {
-            return MigrationStep::Switch;
+            return Step::Switch;
         }
         if now < self.not_before_ms {
-            return MigrationStep::Wait(Some(self.not_before_ms));
+            return Step::Wait(Some(self.not_before_ms));
         }
-        MigrationStep::Copy
+        Step::Copy
     }
 }
--- a/filbertpaddle-forward/src/target.rs
+++ b/filbertpaddle-forward/src/target.rs
@@ -35,7 +35,7 @@
 
 /// State that a target reports about itself; some hundred milliseconds old.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TargetReport {
+pub struct Report {
     /// Whether the target is about to stop.
     pub is_draining: bool,
 }
--- a/filbertpaddle-forward/tests/event_stream_and_migration.rs
+++ b/filbertpaddle-forward/tests/event_stream_and_migration.rs
@@ -6,7 +6,7 @@
 use filbertpaddle_forward::event_stream::MAX_EVENT_BYTES;
 use filbertpaddle_forward::migration::Copy;
 use filbertpaddle_forward::migration::Migration;
-use filbertpaddle_forward::migration::MigrationStep;
+use filbertpaddle_forward::migration::Step;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -53,13 +53,13 @@
 #[test]
 fn long_generation_is_copied_at_once_and_switches_to_the_copy() {
     let mut migration = Migration::new();
-    assert_eq!(migration.next_step(Millis(0)), MigrationStep::Wait(None));
+    assert_eq!(migration.next_step(Millis(0)), Step::Wait(None));
     migration.schedule(Millis(10), 500);
-    assert_eq!(migration.next_step(Millis(10)), MigrationStep::Copy);
+    assert_eq!(migration.next_step(Millis(10)), Step::Copy);
     migration.record_copy_started();
-    assert_eq!(migration.next_step(Millis(11)), MigrationStep::Wait(None));
+    assert_eq!(migration.next_step(Millis(11)), Step::Wait(None));
     migration.record_copied(copy("b"));
-    assert_eq!(migration.next_step(Millis(12)), MigrationStep::Switch);
+    assert_eq!(migration.next_step(Millis(12)), Step::Switch);
     assert_eq!(migration.take_copy(), Some(copy("b")));
 }
 
@@ -67,14 +67,14 @@
 fn generation_that_ends_soon_is_copied_later() {
     let mut migration = Migration::new();
     migration.schedule(Millis(10), 20);
-    let MigrationStep::Wait(Some(at)) = migration.next_step(Millis(10)) else {
+    let Step::Wait(Some(at)) = migration.next_step(Millis(10)) else {
         panic!("a generation that ends soon is copied without a wait");
     };
     assert!(at > Millis(500));
-    assert_eq!(migration.next_step(at), MigrationStep::Copy);
+    assert_eq!(migration.next_step(at), Step::Copy);
     // A second notice does not postpone the copy again.
     migration.schedule(at, 20);
-    assert_eq!(migration.next_step(at), MigrationStep::Copy);
+    assert_eq!(migration.next_step(at), Step::Copy);
 }
 
 #[test]
@@ -83,8 +83,8 @@
     migration.schedule(Millis(10), 500);
     migration.record_copy_started();
     migration.record_copy_failed(Millis(20));
-    let MigrationStep::Wait(Some(at)) = migration.next_step(Millis(20)) else {
+    let Step::Wait(Some(at)) = migration.next_step(Millis(20)) else {
         panic!("a failed copy is retried without a delay");
     };
-    assert_eq!(migration.next_step(at), MigrationStep::Copy);
+    assert_eq!(migration.next_step(at), Step::Copy);
 }
--- a/filbertpaddle-gateway/src/dialect.rs
+++ b/filbertpaddle-gateway/src/dialect.rs
@@ -10,8 +10,8 @@
 use filbertpaddle_forward::directory::Table;
 use filbertpaddle_forward::migration::Copy;
 use filbertpaddle_forward::request_metadata::RequestMetadata;
+use filbertpaddle_forward::target::Report;
 use filbertpaddle_forward::target::Target;
-use filbertpaddle_forward::target::TargetReport;
 use http::HeaderMap;
 use http::Method;
 use http::StatusCode;
@@ -105,7 +105,7 @@
     /// Asks an engine for its report.
     pub report: fn() -> Call,
     /// Decodes the report.
-    pub decode_report: fn(&[u8]) -> Result<TargetReport, Undecodable>,
+    pub decode_report: fn(&[u8]) -> Result<Report, Undecodable>,
     /// Asks for a copy of a running generation.
     pub copy: fn(&CopyOrder<'_>) -> Call,
     /// Decodes the answer to such a call.
--- a/filbertpaddle-gateway/src/generation.rs
+++ b/filbertpaddle-gateway/src/generation.rs
@@ -8,7 +8,7 @@
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_forward::event_stream::Event;
-use filbertpaddle_forward::migration::MigrationStep;
+use filbertpaddle_forward::migration::Step;
 use filbertpaddle_forward::target::Target;
 use slog::info;
 use tokio::select;
@@ -168,9 +168,9 @@
         self.look(source);
         let clock = self.job.state.clock;
         let due_ms = match self.mover.step(source) {
-            MigrationStep::Switch => return Happening::Switch,
-            MigrationStep::Wait(at) => at,
-            MigrationStep::Copy => None,
+            Step::Switch => return Happening::Switch,
+            Step::Wait(at) => at,
+            Step::Copy => None,
         };
         let stall_ms = self
             .can_go_on()
--- a/filbertpaddle-gateway/src/mover.rs
+++ b/filbertpaddle-gateway/src/mover.rs
@@ -10,7 +10,7 @@
 use filbertpaddle_core::name::Name;
 use filbertpaddle_forward::migration::Copy;
 use filbertpaddle_forward::migration::Migration;
-use filbertpaddle_forward::migration::MigrationStep;
+use filbertpaddle_forward::migration::Step;
 use filbertpaddle_forward::target::Target;
 use filbertpaddle_forward::target_selector::RequestDemand;
 use slog::info;
@@ -78,11 +78,11 @@
     }
 
     /// Begins a copy if it is time; returns what remains to be done.
-    pub fn step(&mut self, source: &Source) -> MigrationStep {
+    pub fn step(&mut self, source: &Source) -> Step {
         let now = self.job.state.clock.now();
         self.drop_lost_copy();
         let step = self.migration.next_step(now);
-        if step != MigrationStep::Copy {
+        if step != Step::Copy {
             return step;
         }
         self.begin_copy(now, source);
