--- a/filbertpaddle-forward/src/directory.rs
+++ b/filbertpaddle-forward/src/directory.rs
@@ -204,8 +204,8 @@
     /// Records that a table could be read.
     ///
     /// Entries of live targets expire while the store is unavailable. Removals up to the
-    /// revision of the first batch after an outage are therefore deferred, and later ones
-    /// take effect at once.
+    /// revision of the first batch after an outage are therefore deferred. Later ones, and
+    /// those of draining targets, take effect at once.
     pub fn record_store_regained(&mut self, now: Millis, table: Table) {
         let was_lost = std::mem::take(&mut self.is_store_lost[table as usize]);
         if was_lost && table == Table::Targets {
@@ -273,8 +273,8 @@
         self.sequence
     }
 
-    /// Returns the changes of a table after the change with sequence number `sequence`; the
-    /// whole table for 0.
+    /// Returns the changes of a table after the change with sequence number `sequence`, or
+    /// the whole table if it is 0.
     pub fn changes_after(&self, table: Table, sequence: u64) -> Batch {
         let changes = match table {
             Table::Operator => self.operator_changes(sequence),
--- a/filbertpaddle-forward/src/migration.rs
+++ b/filbertpaddle-forward/src/migration.rs
@@ -31,7 +31,7 @@
 /// Next step of a migration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Wait until this time, or for the next event if `None`.
+    /// Do nothing until this time; `None` if no step is planned.
     Wait(Option<Millis>),
     /// Copy the KV cache, or what was added to it since the last copy.
     Copy,
