--- a/filbertpaddle-forward/src/lib.rs
+++ b/filbertpaddle-forward/src/lib.rs
@@ -1,16 +1,16 @@
-//! Decisions of the forwarding path: routes, targets, placement, retries and
-//! the migration of running generations.
+//! Decision logic of the forwarding path: routing, target selection, retry budgets,
+//! draining and the migration of running generations.
 //!
 //! As in `filbertpaddle-core`, nothing here performs I/O or reads a clock.
 
-pub mod board;
-pub mod budget;
-pub mod cold;
+pub mod cold_limit;
 pub mod configuration;
 pub mod directory;
 pub mod drain;
-pub mod envelope;
 pub mod event_stream;
-pub mod fleet;
+pub mod load_table;
 pub mod migration;
+pub mod request_metadata;
+pub mod retry_budget;
 pub mod target;
+pub mod target_selector;
--- a/filbertpaddle-gateway/src/mover.rs
+++ b/filbertpaddle-gateway/src/mover.rs
@@ -8,11 +8,11 @@
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
-use filbertpaddle_forward::fleet::Ask;
 use filbertpaddle_forward::migration::Copy;
 use filbertpaddle_forward::migration::Migration;
 use filbertpaddle_forward::migration::Step;
 use filbertpaddle_forward::target::Target;
+use filbertpaddle_forward::target_selector::RequestDemand;
 use slog::info;
 
 use crate::dialect::CopyAnswer;
@@ -69,7 +69,7 @@
     pub fn noticed(&mut self, events: u64) {
         let now = self.job.state.clock.now();
         let remaining_tokens = self.job.remaining_tokens(events);
-        self.migration.noticed(now, remaining_tokens);
+        self.migration.schedule(now, remaining_tokens);
     }
 
     /// Whether the generation could go on from a copy.
@@ -81,12 +81,12 @@
     pub fn step(&mut self, source: &Source) -> Step {
         let now = self.job.state.clock.now();
         self.drop_lost_copy();
-        let step = self.migration.next(now);
+        let step = self.migration.next_step(now);
         if step != Step::Copy {
             return step;
         }
         self.begin_copy(now, source);
-        self.migration.next(now)
+        self.migration.next_step(now)
     }
 
     /// Waits for the copy that is being made.
@@ -111,14 +111,14 @@
         match answer {
             CopyAnswer::Copied(copy) => {
                 self.source_address = source.target.address.clone();
-                self.migration.copied(copy);
+                self.migration.record_copied(copy);
             }
             CopyAnswer::Refused => {
                 self.refused.push(to.id);
                 self.release_hold();
-                self.migration.copy_failed(now);
+                self.migration.record_copy_failed(now);
             }
-            CopyAnswer::NotRunning | CopyAnswer::Busy => self.migration.copy_failed(now),
+            CopyAnswer::NotRunning | CopyAnswer::Busy => self.migration.record_copy_failed(now),
         }
     }
 
@@ -150,7 +150,7 @@
         let directory = self.job.state.directory.borrow();
         let listed = directory.target(&held.id);
         let is_there =
-            listed.is_some_and(|listed| listed.is_same_life(held) && !listed.is_draining);
+            listed.is_some_and(|listed| listed.is_same_instance(held) && !listed.is_draining);
         drop(directory);
         if !is_there && self.copying.is_none() {
             self.migration.take_copy();
@@ -161,7 +161,7 @@
     fn begin_copy(&mut self, now: Millis, source: &Source) {
         let Some(to) = self.destination(now, source) else {
             self.refused.clear();
-            self.migration.copy_failed(now);
+            self.migration.record_copy_failed(now);
             return;
         };
         let call = copy(
@@ -170,10 +170,10 @@
             source.target.address.clone(),
             to.clone(),
         );
-        self.migration.copying();
+        self.migration.record_copy_started();
         if self.held.is_none() {
             let mut fleet = self.job.state.fleet.borrow_mut();
-            fleet.sent(now, &to, &self.moved_ask());
+            fleet.record_sent(now, &to, &self.moved_ask());
             drop(fleet);
             self.held = Some(to.clone());
         }
@@ -190,13 +190,13 @@
         let ask = self.moved_ask();
         let draw = rand::random::<f64>;
         let chosen =
-            fleet.choose_destination(now, &directory, &source.target, &ask, &self.refused, draw);
+            fleet.choose_copy_target(now, &directory, &source.target, &ask, &self.refused, draw);
         chosen.cloned()
     }
 
     /// What the generation asks of its next target: its prompt is not read again.
-    fn moved_ask(&self) -> Ask {
-        Ask {
+    fn moved_ask(&self) -> RequestDemand {
+        RequestDemand {
             prompt_tokens: 0,
             ..self.job.ask.clone()
         }
@@ -205,7 +205,7 @@
     fn release_hold(&mut self) {
         if let Some(held) = self.held.take() {
             let mut fleet = self.job.state.fleet.borrow_mut();
-            fleet.ended(&held.id, &self.moved_ask(), true);
+            fleet.record_ended(&held.id, &self.moved_ask(), true);
         }
     }
 }
--- a/filbertpaddle-gateway/src/peers.rs
+++ b/filbertpaddle-gateway/src/peers.rs
@@ -10,9 +10,9 @@
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
-use filbertpaddle_forward::board;
-use filbertpaddle_forward::board::ByTarget;
 use filbertpaddle_forward::directory::Table;
+use filbertpaddle_forward::load_table;
+use filbertpaddle_forward::load_table::LoadByTarget;
 use rand::seq::IndexedRandom;
 use slog::debug;
 use slog::info;
@@ -65,13 +65,13 @@
         "peer" => %address, "is_reader" => state.is_reader(),
         "age_ms" => state.age_ms(Table::Targets).0);
     state.metrics.count("peer.followed");
-    let mut work = ByTarget::new();
+    let mut work = LoadByTarget::new();
     let mut due = interval(TELL);
     let mut heard = Instant::now();
     loop {
         tokio::select! {
             _ = due.tick() => {
-                let own = state.fleet.borrow().own_work(state.clock.now());
+                let own = state.fleet.borrow().own_load(state.clock.now());
                 link.tell(state, own).await?;
             }
             () = sleep_until(heard + SILENCE) => return Err(Error::Timeout),
@@ -79,7 +79,7 @@
                 heard = Instant::now();
                 match message? {
                     Message::Work(changes) => {
-                        board::apply(&mut work, &changes);
+                        load_table::apply_changes(&mut work, &changes);
                         set_others(state, &work, link.told_work());
                     }
                     message => take(state, message)?,
@@ -121,8 +121,8 @@
                 return Err(Error::TooOld);
             }
             let mut directory = state.directory.borrow_mut();
-            directory.heard(Table::Operator, as_of(operator_ms));
-            directory.heard(Table::Targets, as_of(targets_ms));
+            directory.record_current(Table::Operator, as_of(operator_ms));
+            directory.record_current(Table::Targets, as_of(targets_ms));
             drop(directory);
             state.set_link(Link {
                 is_up: true,
--- a/filbertpaddle-gateway/src/state.rs
+++ b/filbertpaddle-gateway/src/state.rs
@@ -7,15 +7,15 @@
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::suspect::Suspects;
-use filbertpaddle_forward::board::Board;
-use filbertpaddle_forward::budget::Budget;
+use filbertpaddle_forward::directory::AppliedChanges;
 use filbertpaddle_forward::directory::Batch;
 use filbertpaddle_forward::directory::Directory;
-use filbertpaddle_forward::directory::Effect;
 use filbertpaddle_forward::directory::Table;
 use filbertpaddle_forward::drain::Drain;
-use filbertpaddle_forward::fleet::Fleet;
+use filbertpaddle_forward::load_table::LoadTable;
+use filbertpaddle_forward::retry_budget::RetryBudget;
 use filbertpaddle_forward::target::Target;
+use filbertpaddle_forward::target_selector::TargetSelector;
 use indexmap::IndexMap;
 use slog::Logger;
 use slog::info;
@@ -64,16 +64,16 @@
     /// Configuration, targets, data centres.
     pub directory: RefCell<Directory>,
     /// Load and health of targets.
-    pub fleet: RefCell<Fleet>,
+    pub fleet: RefCell<TargetSelector>,
     /// Other nodes.
     pub nodes: RefCell<Nodes>,
     /// The link to a node that reads the store for this one.
     pub link: Cell<Link>,
     /// What other nodes have given targets.
-    pub board: RefCell<Board>,
+    pub board: RefCell<LoadTable>,
     /// When the last link was lost, or the node could first have had one.
     pub link_lost_ms: Cell<Millis>,
-    budgets: RefCell<IndexMap<Name, Budget>>,
+    budgets: RefCell<IndexMap<Name, RetryBudget>>,
     /// Requests that were running when their target crashed.
     pub suspects: RefCell<Suspects>,
     /// Whether the node has tried to learn of the others.
@@ -93,7 +93,7 @@
     /// Starts with nothing known.
     pub fn new(settings: Settings, dialect: Dialect, log: Logger) -> Rc<Self> {
         let clock = Clock::new();
-        let fleet = Fleet::new(settings.node.clone(), settings.data_centre.clone());
+        let fleet = TargetSelector::new(settings.node.clone(), settings.data_centre.clone());
         Rc::new(Self {
             tuning: RefCell::new(settings.tuning.clone()),
             settings,
@@ -107,7 +107,7 @@
             nodes: RefCell::new(Nodes::new()),
             link: Cell::default(),
             link_lost_ms: Cell::default(),
-            board: RefCell::new(Board::new()),
+            board: RefCell::new(LoadTable::new()),
             budgets: RefCell::default(),
             suspects: RefCell::new(Suspects::new()),
             is_registered: Cell::new(false),
@@ -129,14 +129,14 @@
     /// Believes what time has shown.
     pub fn tick(&self) {
         let now = self.clock.now();
-        let effect = self.directory.borrow_mut().tick(now);
+        let effect = self.directory.borrow_mut().apply_due_removals(now);
         self.took("timer", now, &effect);
     }
 
     /// Does something with the retry budget of a service.
     pub fn budget<T, F>(&self, service: &Name, action: F) -> T
     where
-        F: FnOnce(&mut Budget) -> T,
+        F: FnOnce(&mut RetryBudget) -> T,
     {
         let mut budgets = self.budgets.borrow_mut();
         action(budgets.entry(service.clone()).or_default())
@@ -163,7 +163,7 @@
 
     /// Takes a target's own word that it leaves.
     pub fn target_leaves(&self, target: &Target) {
-        let is_news = self.directory.borrow_mut().leaves(target);
+        let is_news = self.directory.borrow_mut().mark_draining(target);
         if is_news {
             info!(self.log, "target says that it leaves"; "target" => target.id.as_str());
             self.notify();
@@ -172,7 +172,7 @@
 
     /// Age of what is known of a table.
     pub fn age_ms(&self, table: Table) -> Millis {
-        let heard_ms = self.directory.borrow().heard_ms(table);
+        let heard_ms = self.directory.borrow().current_at_ms(table);
         self.clock.now().since(heard_ms)
     }
 
@@ -230,7 +230,7 @@
         self.drain.get().is_none() && self.directory.borrow().is_complete()
     }
 
-    fn took(&self, source: &str, as_of_ms: Millis, effect: &Effect) {
+    fn took(&self, source: &str, as_of_ms: Millis, effect: &AppliedChanges) {
         if effect.is_empty() {
             return;
         }
@@ -247,7 +247,9 @@
         for id in &effect.targets {
             self.log_target(id, source, age_ms);
         }
-        self.fleet.borrow_mut().update(&self.directory.borrow());
+        self.fleet
+            .borrow_mut()
+            .update_targets(&self.directory.borrow());
         self.notify();
     }
 
