--- a/filbertpaddle-core/benches/claims.rs
+++ b/filbertpaddle-core/benches/claims.rs
@@ -11,7 +11,6 @@
 use criterion::Criterion;
 use criterion::Throughput;
 use filbertpaddle_core::attempt::Verdict;
-use filbertpaddle_core::batch;
 use filbertpaddle_core::claim::Answer;
 use filbertpaddle_core::claim::Ending;
 use filbertpaddle_core::claim::Id;
@@ -21,6 +20,7 @@
 use filbertpaddle_core::claims::Request;
 use filbertpaddle_core::claims::Settings;
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::group_commit;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::outcome::Outcome;
 use rand::RngExt;
@@ -92,7 +92,7 @@
         while let Some(Reverse((now_ms, _, due))) = self.events.pop() {
             let event = match due {
                 Due::Arrival(number) => Event::Claim(request(number)),
-                Due::Commit => Event::Answered(batch::Answer::Committed {
+                Due::Commit => Event::Answered(group_commit::Answer::Committed {
                     revision: self.transactions,
                 }),
                 Due::Finish(number) => finish(number),
@@ -164,7 +164,7 @@
 
 fn print_row(pace_ms: u64, per_sec: f64) {
     let mut settings = Settings::default();
-    settings.batch.pace_ms = Millis(pace_ms);
+    settings.group_commit.pace_ms = Millis(pace_ms);
     let mut simulation = Simulation::new(settings);
     simulation.arrive(per_sec);
     simulation.run();
@@ -198,7 +198,7 @@
 
 /// Commits the transaction in flight; returns whether none followed.
 fn settle(claims: &mut Claims) -> bool {
-    let committed = Event::Answered(batch::Answer::Committed { revision: 1 });
+    let committed = Event::Answered(group_commit::Answer::Committed { revision: 1 });
     let actions = claims.on(Millis::ZERO, committed);
     !actions
         .iter()
@@ -211,7 +211,7 @@
         group.throughput(Throughput::Elements(count as u64));
         group.bench_function(BenchmarkId::from_parameter(count), |bencher| {
             let mut settings = Settings::default();
-            settings.batch.pace_ms = Millis::ZERO;
+            settings.group_commit.pace_ms = Millis::ZERO;
             let mut claims = Claims::new("node".into(), 1, settings);
             bencher.iter(|| round(&mut claims, count));
         });
--- a/filbertpaddle-core/benches/commit.rs
+++ b/filbertpaddle-core/benches/commit.rs
@@ -8,8 +8,6 @@
 use std::collections::BinaryHeap;
 
 use filbertpaddle_core::attempt::Verdict;
-use filbertpaddle_core::batch;
-use filbertpaddle_core::batch::Change;
 use filbertpaddle_core::claim::Answer;
 use filbertpaddle_core::claim::Ending;
 use filbertpaddle_core::claim::Id;
@@ -19,6 +17,8 @@
 use filbertpaddle_core::commit;
 use filbertpaddle_core::commit::Committer;
 use filbertpaddle_core::commit::Unit;
+use filbertpaddle_core::group_commit;
+use filbertpaddle_core::group_commit::Change;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::outcome::Outcome;
 use rand::RngExt;
@@ -72,7 +72,7 @@
             .map(|own| index(&commit::choose(own, &names, nodes_per_committer)))
             .collect();
         let mut settings = claims::Settings::default();
-        settings.batch.pace_ms = Millis(pace_ms);
+        settings.group_commit.pace_ms = Millis(pace_ms);
         let committer = Committer::new(commit::Settings {
             pace_ms: Millis(pace_ms),
             ..commit::Settings::default()
@@ -119,7 +119,7 @@
                 Due::Finish(node, number) => self.node(now, node, finish(number)),
                 Due::Tick(node) => self.node(now, node, claims::Event::Tick),
                 Due::Answer(node, revision) => {
-                    let answer = batch::Answer::Committed { revision };
+                    let answer = group_commit::Answer::Committed { revision };
                     self.node(now, node, claims::Event::Answered(answer));
                 }
                 Due::Submit(committer, node, sequence, unit) => {
@@ -132,7 +132,7 @@
                 }
                 Due::Commit(committer) => {
                     let revision = self.transactions;
-                    let answer = batch::Answer::Committed { revision };
+                    let answer = group_commit::Answer::Committed { revision };
                     self.committer(now, committer, commit::Event::Answered(answer));
                 }
                 Due::CommitterTick(committer) => {
@@ -181,7 +181,7 @@
                     self.push(now + COMMIT_MS, Due::Commit(committer));
                 }
                 commit::Action::Reply { to, answer, .. } => {
-                    assert!(matches!(answer, batch::Answer::Committed { .. }));
+                    assert!(matches!(answer, group_commit::Answer::Committed { .. }));
                     let node = self.names.iter().position(|name| *name == to);
                     let node = node.unwrap_or_default();
                     let at_ms = now + link_ms(node, committer);
--- a/filbertpaddle-core/src/attempt.rs
+++ b/filbertpaddle-core/src/attempt.rs
@@ -1,14 +1,14 @@
 //! One request with effects on the node that holds it, from its claim to its end.
 
-use crate::batch::Change;
-use crate::batch::Done;
-use crate::batch::Fate;
 use crate::claim::Ending;
 use crate::claim::Id;
 use crate::claim::Record;
 use crate::claim::Row;
 use crate::claim::State;
 use crate::claim::Status;
+use crate::group_commit::Change;
+use crate::group_commit::Done;
+use crate::group_commit::Fate;
 use crate::name::Name;
 use crate::outcome::Outcome;
 use crate::outcome::Reason;
@@ -140,7 +140,7 @@
 
     /// Gives up on a request that is not held yet: its caller waits no longer.
     ///
-    /// `queued` is the attempt's claim if it was taken back from the batch.
+    /// `queued` is the attempt's claim if it was taken back from the queue.
     pub fn give_up(&mut self, queued: Option<Change>) -> Vec<Step> {
         let Phase::Claiming { expected } = self.phase else {
             return match self.phase {
--- a/filbertpaddle-core/src/claims.rs
+++ b/filbertpaddle-core/src/claims.rs
@@ -7,10 +7,6 @@
 use crate::attempt::Attempt;
 use crate::attempt::Step;
 use crate::attempt::Verdict;
-use crate::batch;
-use crate::batch::Batch;
-use crate::batch::Change;
-use crate::batch::Done;
 use crate::claim::Ending;
 use crate::claim::Id;
 use crate::claim::Question;
@@ -20,6 +16,10 @@
 use crate::claim::State;
 use crate::claim::Status;
 use crate::clock::Millis;
+use crate::group_commit;
+use crate::group_commit::Change;
+use crate::group_commit::Done;
+use crate::group_commit::GroupCommit;
 use crate::name::Name;
 use crate::outcome::Outcome;
 use crate::outcome::Reason;
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
     /// How often and how large transactions are.
-    pub batch: batch::Settings,
+    pub group_commit: group_commit::Settings,
     /// Most abandoned claims whose rows wait to be cleared.
     pub max_backlog: usize,
 }
@@ -36,7 +36,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            batch: batch::Settings::default(),
+            group_commit: group_commit::Settings::default(),
             max_backlog: 4_096,
         }
     }
@@ -78,7 +78,7 @@
         ending: Ending,
     },
     /// The platform answered the transaction in flight, or failed to.
-    Answered(batch::Answer),
+    Answered(group_commit::Answer),
     /// The rows asked for were read, absent ones left out; `None` if that failed.
     ReadBack(Option<BTreeMap<Id, Row>>),
     /// Another node asks about an attempt of this one.
@@ -141,7 +141,7 @@
     live: BTreeMap<Id, Name>,
     releasing: BTreeSet<Name>,
     dropped: u64,
-    batch: Batch,
+    group_commit: GroupCommit,
 }
 
 impl Claims {
@@ -155,13 +155,13 @@
             live: BTreeMap::new(),
             releasing: BTreeSet::new(),
             dropped: 0,
-            batch: Batch::new(settings.batch),
+            group_commit: GroupCommit::new(settings.group_commit),
         }
     }
 
     /// Returns when [`Event::Tick`] is needed next, if at all.
     pub fn next_tick(&self) -> Option<Millis> {
-        self.batch.next_start()
+        self.group_commit.next_start()
     }
 
     /// Returns the number of attempts that are not settled.
@@ -194,7 +194,7 @@
             Event::Finish { attempt, ending } => self.finish(&attempt, ending, &mut actions),
             Event::Answered(answer) => self.answered(now, answer, &mut actions),
             Event::ReadBack(rows) => {
-                let done = self.batch.read_back(now, rows.as_ref());
+                let done = self.group_commit.read_back(now, rows.as_ref());
                 self.settle(done, &mut actions);
                 self.refuse_queued(now, &mut actions);
             }
@@ -203,7 +203,7 @@
             Event::Expired(rows) => self.expire(rows),
             Event::Tick => {}
         }
-        actions.extend(self.batch.start(now).map(Action::Transact));
+        actions.extend(self.group_commit.start(now).map(Action::Transact));
         actions
     }
 
@@ -245,7 +245,7 @@
                 _ => Verdict::Refused(attempt::may_have_run(Reason::KeyInUse)),
             });
         }
-        let retry_after_ms = self.batch.outage(now)?;
+        let retry_after_ms = self.group_commit.outage(now)?;
         Some(Verdict::Refused(unavailable(retry_after_ms)))
     }
 
@@ -253,7 +253,7 @@
         let Some(attempt) = self.attempts.get_mut(name) else {
             return;
         };
-        let queued = self.batch.cancel_claim(name);
+        let queued = self.group_commit.cancel_claim(name);
         let steps = attempt.give_up(queued);
         self.perform(name, steps, actions);
     }
@@ -277,10 +277,10 @@
         self.perform(name, steps, actions);
     }
 
-    fn answered(&mut self, now: Millis, answer: batch::Answer, actions: &mut Vec<Action>) {
-        let done = self.batch.answered(now, answer);
+    fn answered(&mut self, now: Millis, answer: group_commit::Answer, actions: &mut Vec<Action>) {
+        let done = self.group_commit.answered(now, answer);
         self.settle(done, actions);
-        let unsettled = self.batch.unsettled();
+        let unsettled = self.group_commit.unsettled();
         if !unsettled.is_empty() {
             actions.push(Action::Read(unsettled));
         }
@@ -289,10 +289,10 @@
 
     /// Refuses at once what waits for a platform that has just failed.
     fn refuse_queued(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        if self.batch.outage(now).is_none() {
+        if self.group_commit.outage(now).is_none() {
             return;
         }
-        for change in self.batch.cancel_claims() {
+        for change in self.group_commit.cancel_claims() {
             let name = change.attempt.clone();
             let Some(attempt) = self.attempts.get_mut(&name) else {
                 continue;
@@ -344,7 +344,7 @@
 
     fn expire(&mut self, rows: Vec<(Id, Row)>) {
         for (id, row) in rows {
-            self.batch.push_rest(Change {
+            self.group_commit.push_rest(Change {
                 // No attempt waits for the fate of the row.
                 attempt: Name::default(),
                 id,
@@ -359,7 +359,7 @@
         self.unlist_unsent(name);
         for step in steps {
             match step {
-                Step::Claim(change) => self.batch.push_claim(change),
+                Step::Claim(change) => self.group_commit.push_claim(change),
                 Step::Rest(change) => self.push_rest(name, change),
                 Step::Ask(row) => self.ask(name, &row, actions),
                 Step::Decide(verdict) => actions.push(self.decide(name, verdict)),
@@ -389,7 +389,7 @@
             }
             self.releasing.insert(name.clone());
         }
-        self.batch.push_rest(change);
+        self.group_commit.push_rest(change);
     }
 
     fn ask(&mut self, asker: &Name, row: &Row, actions: &mut Vec<Action>) {
@@ -415,7 +415,9 @@
 
     fn decide(&self, name: &Name, verdict: Verdict) -> Action {
         let verdict = match verdict {
-            Verdict::Unavailable => Verdict::Refused(unavailable(self.settings.batch.backoff_ms)),
+            Verdict::Unavailable => {
+                Verdict::Refused(unavailable(self.settings.group_commit.backoff_ms))
+            }
             verdict => verdict,
         };
         Action::Decide {
--- a/filbertpaddle-core/src/commit.rs
+++ b/filbertpaddle-core/src/commit.rs
@@ -9,10 +9,10 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::batch::Answer;
-use crate::batch::Change;
 use crate::claim::Id;
 use crate::clock::Millis;
+use crate::group_commit::Answer;
+use crate::group_commit::Change;
 use crate::name::Name;
 
 /// How a committer works.
--- a/filbertpaddle-core/src/batch.rs
+++ b/filbertpaddle-core/src/group_commit.rs
@@ -123,7 +123,7 @@
 /// The next transaction starts when the one before is settled, so its size
 /// follows the load and an idle node adds no delay.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Batch {
+pub struct GroupCommit {
     settings: Settings,
     claims: VecDeque<Change>,
     rest: VecDeque<Change>,
@@ -132,8 +132,8 @@
     failing: bool,
 }
 
-impl Batch {
-    /// Makes an empty batch.
+impl GroupCommit {
+    /// Creates an empty queue.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -182,7 +182,7 @@
         Some(self.earliest_ms.since(now).max(self.settings.backoff_ms))
     }
 
-    /// Returns when [`Batch::start`] should be called next, if anything waits.
+    /// Returns when [`GroupCommit::start`] should be called next, if anything waits.
     pub fn next_start(&self) -> Option<Millis> {
         let waiting = !self.claims.is_empty() || !self.rest.is_empty();
         (self.stage == Stage::Idle && waiting).then_some(self.earliest_ms)
@@ -216,7 +216,7 @@
     /// Takes in the platform's answer to the transaction in flight.
     ///
     /// After [`Answer::Unknown`] the rows must be read back: the caller reads
-    /// [`Batch::unsettled`] and passes what it found to [`Batch::read_back`].
+    /// [`GroupCommit::unsettled`] and passes what it found to [`GroupCommit::read_back`].
     pub fn answered(&mut self, now: Millis, answer: Answer) -> Vec<Done> {
         let Stage::Writing(changes) = std::mem::replace(&mut self.stage, Stage::Idle) else {
             return Vec::new();
--- a/filbertpaddle-core/tests/claim_model/world.rs
+++ b/filbertpaddle-core/tests/claim_model/world.rs
@@ -6,8 +6,6 @@
 use std::hash::Hasher;
 
 use filbertpaddle_core::attempt::Verdict;
-use filbertpaddle_core::batch;
-use filbertpaddle_core::batch::Change;
 use filbertpaddle_core::claim::Answer;
 use filbertpaddle_core::claim::Ending;
 use filbertpaddle_core::claim::Id;
@@ -21,6 +19,8 @@
 use filbertpaddle_core::claims::Request;
 use filbertpaddle_core::claims::Settings;
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::group_commit;
+use filbertpaddle_core::group_commit::Change;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_core::outcome::Reason;
@@ -105,7 +105,7 @@
     },
     Answer {
         node: usize,
-        answer: batch::Answer,
+        answer: group_commit::Answer,
     },
     Read {
         node: usize,
@@ -271,7 +271,7 @@
                 awaited,
             } => world.transact_steps(node, changes, awaited),
             Flight::Answer { node, answer } => {
-                let lost = world.lose(node, Event::Answered(batch::Answer::Unknown));
+                let lost = world.lose(node, Event::Answered(group_commit::Answer::Unknown));
                 world.on(node, Event::Answered(answer));
                 lost.into_iter().chain([world]).collect()
             }
@@ -297,8 +297,8 @@
     fn transact_steps(&self, node: usize, changes: Vec<Change>, awaited: bool) -> Vec<Self> {
         let mut next = Vec::new();
         if awaited {
-            next.extend(self.lose(node, Event::Answered(batch::Answer::NotDone)));
-            let late = self.lose(node, Event::Answered(batch::Answer::Unknown));
+            next.extend(self.lose(node, Event::Answered(group_commit::Answer::NotDone)));
+            let late = self.lose(node, Event::Answered(group_commit::Answer::Unknown));
             next.extend(late.map(|mut world| {
                 world.put(Flight::Transact {
                     node,
@@ -354,18 +354,18 @@
         Some(world)
     }
 
-    fn transact(&mut self, changes: &[Change]) -> batch::Answer {
+    fn transact(&mut self, changes: &[Change]) -> group_commit::Answer {
         let revision = self.row.as_ref().map(|row| row.revision);
         if changes.iter().any(|change| change.expected != revision) {
             let rows = BTreeMap::from([(id(), self.row.clone())]);
-            return batch::Answer::Conflict { rows };
+            return group_commit::Answer::Conflict { rows };
         }
         self.revision += 1;
         let revision = self.revision;
         for change in changes {
             self.row = change.record.clone().map(|record| Row { record, revision });
         }
-        batch::Answer::Committed { revision }
+        group_commit::Answer::Committed { revision }
     }
 
     fn on(&mut self, node: usize, event: Event) {
@@ -443,7 +443,7 @@
 impl Node {
     fn new(index: usize, incarnation: u64) -> Self {
         let settings = Settings {
-            batch: batch::Settings {
+            group_commit: group_commit::Settings {
                 max_rows: 4,
                 pace_ms: Millis::ZERO,
                 backoff_ms: Millis::ZERO,
--- a/filbertpaddle-core/tests/claims.rs
+++ b/filbertpaddle-core/tests/claims.rs
@@ -3,8 +3,6 @@
 use std::collections::BTreeMap;
 
 use filbertpaddle_core::attempt::Verdict;
-use filbertpaddle_core::batch::Answer;
-use filbertpaddle_core::batch::Change;
 use filbertpaddle_core::claim;
 use filbertpaddle_core::claim::Ending;
 use filbertpaddle_core::claim::Id;
@@ -17,6 +15,8 @@
 use filbertpaddle_core::claims::Request;
 use filbertpaddle_core::claims::Settings;
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::group_commit::Answer;
+use filbertpaddle_core::group_commit::Change;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_core::outcome::Reason;
--- a/filbertpaddle-core/tests/commit.rs
+++ b/filbertpaddle-core/tests/commit.rs
@@ -3,8 +3,6 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-use filbertpaddle_core::batch::Answer;
-use filbertpaddle_core::batch::Change;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::commit;
@@ -13,6 +11,8 @@
 use filbertpaddle_core::commit::Event;
 use filbertpaddle_core::commit::Settings;
 use filbertpaddle_core::commit::Unit;
+use filbertpaddle_core::group_commit::Answer;
+use filbertpaddle_core::group_commit::Change;
 use filbertpaddle_core::name::Name;
 
 fn id(key: u32) -> Id {
--- a/filbertpaddle-core/tests/sweep.rs
+++ b/filbertpaddle-core/tests/sweep.rs
@@ -1,6 +1,5 @@
 //! Which claims are kept, and how a pass goes on.
 
-use filbertpaddle_core::batch::Answer;
 use filbertpaddle_core::claim::Ending;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claim::Record;
@@ -11,6 +10,7 @@
 use filbertpaddle_core::claims::Event;
 use filbertpaddle_core::claims::Settings;
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::group_commit::Answer;
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_core::sweep;
 use filbertpaddle_core::sweep::Entry;
--- a/filbertpaddle-wire/src/claim.rs
+++ b/filbertpaddle-wire/src/claim.rs
@@ -1,9 +1,9 @@
 //! Messages about claims on idempotency keys.
 
-use filbertpaddle_core::batch::Answer;
-use filbertpaddle_core::batch::Change;
 use filbertpaddle_core::claim::Question;
 use filbertpaddle_core::claim::Reply;
+use filbertpaddle_core::group_commit::Answer;
+use filbertpaddle_core::group_commit::Change;
 use serde::Deserialize;
 use serde::Serialize;
 
--- a/filbertpaddle-wire/tests/claim.rs
+++ b/filbertpaddle-wire/tests/claim.rs
@@ -1,12 +1,12 @@
 //! Changes of claims as they travel to a committer.
 
-use filbertpaddle_core::batch::Change;
 use filbertpaddle_core::claim::Answer;
 use filbertpaddle_core::claim::Ending;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claim::Record;
 use filbertpaddle_core::claim::State;
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::group_commit::Change;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_wire::claim;
--- a/filbertpaddle/src/claim_actor.rs
+++ b/filbertpaddle/src/claim_actor.rs
@@ -4,8 +4,6 @@
 use std::time::Duration;
 
 use filbertpaddle_core::attempt::Verdict;
-use filbertpaddle_core::batch::Answer;
-use filbertpaddle_core::batch::Change;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claim::Question;
 use filbertpaddle_core::claim::Reply;
@@ -15,6 +13,8 @@
 use filbertpaddle_core::claims::Event;
 use filbertpaddle_core::claims::Request;
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::group_commit::Answer;
+use filbertpaddle_core::group_commit::Change;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_platform::client::Client;
 use filbertpaddle_wire::claim;
--- a/filbertpaddle/src/claim_commit.rs
+++ b/filbertpaddle/src/claim_commit.rs
@@ -2,13 +2,13 @@
 
 use std::sync::Arc;
 
-use filbertpaddle_core::batch::Answer;
-use filbertpaddle_core::batch::Change;
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::commit::Action;
 use filbertpaddle_core::commit::Committer;
 use filbertpaddle_core::commit::Event;
 use filbertpaddle_core::commit::Unit;
+use filbertpaddle_core::group_commit::Answer;
+use filbertpaddle_core::group_commit::Change;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_platform::client::Client;
 use filbertpaddle_wire::claim;
--- a/filbertpaddle/src/claim_route.rs
+++ b/filbertpaddle/src/claim_route.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use filbertpaddle_core::batch::Change;
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::commit;
 use filbertpaddle_core::commit::Unit;
+use filbertpaddle_core::group_commit::Change;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_wire::claim;
 use filbertpaddle_wire::message::Message;
--- a/filbertpaddle/src/claim_store.rs
+++ b/filbertpaddle/src/claim_store.rs
@@ -3,8 +3,6 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use filbertpaddle_core::batch::Answer;
-use filbertpaddle_core::batch::Change;
 use filbertpaddle_core::claim;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claim::MAX_INLINE_BYTES;
@@ -12,6 +10,8 @@
 use filbertpaddle_core::claim::Row;
 use filbertpaddle_core::claim::State;
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::group_commit::Answer;
+use filbertpaddle_core::group_commit::Change;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_platform::client::Client;
 use filbertpaddle_platform::error::Error;
--- a/filbertpaddle/src/claims.rs
+++ b/filbertpaddle/src/claims.rs
@@ -274,7 +274,7 @@
 fn claims(parts: &Parts, committer: Address<claim_commit::Actor>) -> Actor {
     let own = &parts.own;
     let mut settings = core::Settings::default();
-    settings.batch.pace_ms = parts.settings.pace_ms;
+    settings.group_commit.pace_ms = parts.settings.pace_ms;
     let route = Route::new(
         own.clone(),
         parts.settings.nodes_per_committer.get(),
