--- a/filbertpaddle-core/benches/claims.rs
+++ b/filbertpaddle-core/benches/claims.rs
@@ -11,9 +11,9 @@
 use criterion::Criterion;
 use criterion::Throughput;
 use filbertpaddle_core::attempt::Verdict;
-use filbertpaddle_core::claim::Answer;
 use filbertpaddle_core::claim::Ending;
 use filbertpaddle_core::claim::Id;
+use filbertpaddle_core::claim::StoredAnswer;
 use filbertpaddle_core::claims::Action;
 use filbertpaddle_core::claims::Claims;
 use filbertpaddle_core::claims::Event;
@@ -92,7 +92,7 @@
         while let Some(Reverse((now_ms, _, due))) = self.events.pop() {
             let event = match due {
                 Due::Arrival(number) => Event::Claim(request(number)),
-                Due::Commit => Event::Answered(group_commit::Answer::Committed {
+                Due::Commit => Event::TransactionDone(group_commit::TransactionResult::Committed {
                     revision: self.transactions,
                 }),
                 Due::Finish(number) => finish(number),
@@ -146,7 +146,7 @@
         attempt: number.to_string().into(),
         ending: Ending {
             outcome: Outcome::Complete { tokens: 1 },
-            answer: Answer::Inline("done".into()),
+            answer: StoredAnswer::Inline("done".into()),
         },
     }
 }
@@ -198,7 +198,8 @@
 
 /// Commits the transaction in flight; returns whether none followed.
 fn settle(claims: &mut Claims) -> bool {
-    let committed = Event::Answered(group_commit::Answer::Committed { revision: 1 });
+    let committed =
+        Event::TransactionDone(group_commit::TransactionResult::Committed { revision: 1 });
     let actions = claims.on(Millis::ZERO, committed);
     !actions
         .iter()
--- a/filbertpaddle-core/benches/commit.rs
+++ b/filbertpaddle-core/benches/commit.rs
@@ -8,9 +8,9 @@
 use std::collections::BinaryHeap;
 
 use filbertpaddle_core::attempt::Verdict;
-use filbertpaddle_core::claim::Answer;
 use filbertpaddle_core::claim::Ending;
 use filbertpaddle_core::claim::Id;
+use filbertpaddle_core::claim::StoredAnswer;
 use filbertpaddle_core::claims;
 use filbertpaddle_core::claims::Claims;
 use filbertpaddle_core::clock::Millis;
@@ -119,8 +119,8 @@
                 Due::Finish(node, number) => self.node(now, node, finish(number)),
                 Due::Tick(node) => self.node(now, node, claims::Event::Tick),
                 Due::Answer(node, revision) => {
-                    let answer = group_commit::Answer::Committed { revision };
-                    self.node(now, node, claims::Event::Answered(answer));
+                    let result = group_commit::TransactionResult::Committed { revision };
+                    self.node(now, node, claims::Event::TransactionDone(result));
                 }
                 Due::Submit(committer, node, sequence, unit) => {
                     let unit = Unit {
@@ -132,8 +132,8 @@
                 }
                 Due::Commit(committer) => {
                     let revision = self.transactions;
-                    let answer = group_commit::Answer::Committed { revision };
-                    self.committer(now, committer, commit::Event::Answered(answer));
+                    let result = group_commit::TransactionResult::Committed { revision };
+                    self.committer(now, committer, commit::Event::TransactionDone(result));
                 }
                 Due::CommitterTick(committer) => {
                     self.committer(now, committer, commit::Event::Tick);
@@ -180,8 +180,11 @@
                     self.transactions += 1;
                     self.push(now + COMMIT_MS, Due::Commit(committer));
                 }
-                commit::Action::Reply { to, answer, .. } => {
-                    assert!(matches!(answer, group_commit::Answer::Committed { .. }));
+                commit::Action::Reply { to, result, .. } => {
+                    assert!(matches!(
+                        result,
+                        group_commit::TransactionResult::Committed { .. }
+                    ));
                     let node = self.names.iter().position(|name| *name == to);
                     let node = node.unwrap_or_default();
                     let at_ms = now + link_ms(node, committer);
@@ -218,7 +221,7 @@
         attempt: number.to_string().into(),
         ending: Ending {
             outcome: Outcome::Complete { tokens: 1 },
-            answer: Answer::Inline("done".into()),
+            answer: StoredAnswer::Inline("done".into()),
         },
     }
 }
--- a/filbertpaddle-core/src/claim.rs
+++ b/filbertpaddle-core/src/claim.rs
@@ -66,13 +66,13 @@
     pub outcome: Outcome,
     /// Where its answer is kept.
     #[serde(rename = "w")]
-    pub answer: Answer,
+    pub answer: StoredAnswer,
 }
 
 /// Where the answer to a finished request is kept.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Answer {
+pub enum StoredAnswer {
     /// There is none, or it could not be kept.
     #[default]
     Absent,
--- a/filbertpaddle-core/src/claims.rs
+++ b/filbertpaddle-core/src/claims.rs
@@ -78,7 +78,7 @@
         ending: Ending,
     },
     /// The platform answered the transaction in flight, or failed to.
-    Answered(group_commit::Answer),
+    TransactionDone(group_commit::TransactionResult),
     /// The rows asked for were read, absent ones left out; `None` if that failed.
     ReadBack(Option<BTreeMap<Id, Row>>),
     /// Another node asks about an attempt of this one.
@@ -99,7 +99,7 @@
 /// What must be done for the claims of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Perform a transaction and report with [`Event::Answered`].
+    /// Perform a transaction and report with [`Event::TransactionDone`].
     Transact(Vec<Change>),
     /// Read rows and report with [`Event::ReadBack`].
     Read(Vec<Id>),
@@ -192,7 +192,7 @@
             Event::GiveUp { attempt } => self.give_up(&attempt, &mut actions),
             Event::Release { attempt } => self.release(&attempt, &mut actions),
             Event::Finish { attempt, ending } => self.finish(&attempt, ending, &mut actions),
-            Event::Answered(answer) => self.answered(now, answer, &mut actions),
+            Event::TransactionDone(result) => self.on_transaction_done(now, result, &mut actions),
             Event::ReadBack(rows) => {
                 let done = self.group_commit.read_back(now, rows.as_ref());
                 self.settle(done, &mut actions);
@@ -277,8 +277,13 @@
         self.perform(name, steps, actions);
     }
 
-    fn answered(&mut self, now: Millis, answer: group_commit::Answer, actions: &mut Vec<Action>) {
-        let done = self.group_commit.answered(now, answer);
+    fn on_transaction_done(
+        &mut self,
+        now: Millis,
+        result: group_commit::TransactionResult,
+        actions: &mut Vec<Action>,
+    ) {
+        let done = self.group_commit.on_transaction_done(now, result);
         self.settle(done, actions);
         let unsettled = self.group_commit.unsettled();
         if !unsettled.is_empty() {
--- a/filbertpaddle-core/src/commit.rs
+++ b/filbertpaddle-core/src/commit.rs
@@ -11,8 +11,8 @@
 
 use crate::claim::Id;
 use crate::clock::Millis;
-use crate::group_commit::Answer;
 use crate::group_commit::Change;
+use crate::group_commit::TransactionResult;
 use crate::name::Name;
 
 /// How a committer works.
@@ -56,7 +56,7 @@
     /// A node hands its changes in.
     Submit(Unit),
     /// The platform answered the transaction in flight, or failed to.
-    Answered(Answer),
+    TransactionDone(TransactionResult),
     /// Time has passed.
     Tick,
 }
@@ -64,7 +64,7 @@
 /// What a committer does.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Perform a transaction and report with [`Event::Answered`].
+    /// Perform a transaction and report with [`Event::TransactionDone`].
     Transact(Vec<Change>),
     /// Tell a node what became of its changes.
     Reply {
@@ -73,7 +73,7 @@
         /// Number that it gave its changes.
         sequence: u64,
         /// What became of them.
-        answer: Answer,
+        result: TransactionResult,
     },
 }
 
@@ -113,7 +113,7 @@
     pub fn on(&mut self, now: Millis, event: Event) -> Vec<Action> {
         let mut actions = match event {
             Event::Submit(unit) => self.submit(now, unit),
-            Event::Answered(answer) => self.answered(&answer),
+            Event::TransactionDone(result) => self.on_transaction_done(&result),
             Event::Tick => Vec::new(),
         };
         actions.extend(self.expire(now));
@@ -123,19 +123,19 @@
 
     fn submit(&mut self, now: Millis, unit: Unit) -> Vec<Action> {
         if self.queue.len() >= self.settings.max_queue {
-            return vec![reply(&unit, Answer::NotDone)];
+            return vec![reply(&unit, TransactionResult::NotDone)];
         }
         let since_ms = now;
         self.queue.push_back(Waiting { unit, since_ms });
         Vec::new()
     }
 
-    fn answered(&mut self, answer: &Answer) -> Vec<Action> {
+    fn on_transaction_done(&mut self, result: &TransactionResult) -> Vec<Action> {
         let units = std::mem::take(&mut self.in_flight);
-        let Answer::Conflict { rows } = answer else {
+        let TransactionResult::Conflict { rows } = result else {
             return units
                 .iter()
-                .map(|waiting| reply(&waiting.unit, answer.clone()))
+                .map(|waiting| reply(&waiting.unit, result.clone()))
                 .collect();
         };
         let (out, kept): (Vec<_>, Vec<_>) = units.into_iter().partition(|waiting| {
@@ -143,7 +143,7 @@
             changes.any(|change| rows.contains_key(&change.id))
         });
         if out.is_empty() {
-            let refuse = |waiting: &Waiting| reply(&waiting.unit, Answer::NotDone);
+            let refuse = |waiting: &Waiting| reply(&waiting.unit, TransactionResult::NotDone);
             return kept.iter().map(refuse).collect();
         }
         for waiting in kept.into_iter().rev() {
@@ -155,7 +155,7 @@
                 let own: BTreeMap<Id, _> = ids
                     .filter_map(|id| Some((id.clone(), rows.get(id)?.clone())))
                     .collect();
-                reply(&waiting.unit, Answer::Conflict { rows: own })
+                reply(&waiting.unit, TransactionResult::Conflict { rows: own })
             })
             .collect()
     }
@@ -169,7 +169,7 @@
         self.queue = kept;
         expired
             .iter()
-            .map(|waiting| reply(&waiting.unit, Answer::NotDone))
+            .map(|waiting| reply(&waiting.unit, TransactionResult::NotDone))
             .collect()
     }
 
@@ -221,10 +221,10 @@
         .clone()
 }
 
-fn reply(unit: &Unit, answer: Answer) -> Action {
+fn reply(unit: &Unit, result: TransactionResult) -> Action {
     Action::Reply {
         to: unit.from.clone(),
         sequence: unit.sequence,
-        answer,
+        result,
     }
 }
--- a/filbertpaddle-core/src/group_commit.rs
+++ b/filbertpaddle-core/src/group_commit.rs
@@ -72,7 +72,7 @@
 
 /// What the platform said about the transaction in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Answer {
+pub enum TransactionResult {
     /// All changes were made.
     Committed {
         /// Table revision of the writes.
@@ -215,26 +215,28 @@
 
     /// Takes in the platform's answer to the transaction in flight.
     ///
-    /// After [`Answer::Unknown`] the rows must be read back: the caller reads
+    /// After [`TransactionResult::Unknown`] the rows must be read back: the caller reads
     /// [`GroupCommit::unsettled`] and passes what it found to [`GroupCommit::read_back`].
-    pub fn answered(&mut self, now: Millis, answer: Answer) -> Vec<Done> {
+    pub fn on_transaction_done(&mut self, now: Millis, result: TransactionResult) -> Vec<Done> {
         let Stage::Writing(changes) = std::mem::replace(&mut self.stage, Stage::Idle) else {
             return Vec::new();
         };
-        match answer {
-            Answer::Committed { .. } | Answer::Conflict { .. } => self.failing = false,
-            Answer::NotDone => self.fail(now),
+        match result {
+            TransactionResult::Committed { .. } | TransactionResult::Conflict { .. } => {
+                self.failing = false;
+            }
+            TransactionResult::NotDone => self.fail(now),
             // One lost answer is no outage: what is read back decides.
-            Answer::Unknown => {}
+            TransactionResult::Unknown => {}
         }
-        match answer {
-            Answer::Committed { revision } => settle(changes, |change| {
+        match result {
+            TransactionResult::Committed { revision } => settle(changes, |change| {
                 let revision = change.record.as_ref().map_or(0, |_| revision);
                 Fate::Committed { revision }
             }),
-            Answer::Conflict { rows } => self.take_out(changes, &rows),
-            Answer::NotDone => settle(without_try(changes), |_| Fate::NotDone),
-            Answer::Unknown => {
+            TransactionResult::Conflict { rows } => self.take_out(changes, &rows),
+            TransactionResult::NotDone => settle(without_try(changes), |_| Fate::NotDone),
+            TransactionResult::Unknown => {
                 self.stage = Stage::Reading(changes);
                 Vec::new()
             }
--- a/filbertpaddle-core/tests/claim_model/world.rs
+++ b/filbertpaddle-core/tests/claim_model/world.rs
@@ -6,13 +6,13 @@
 use std::hash::Hasher;
 
 use filbertpaddle_core::attempt::Verdict;
-use filbertpaddle_core::claim::Answer;
 use filbertpaddle_core::claim::Ending;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claim::Question;
 use filbertpaddle_core::claim::Reply;
 use filbertpaddle_core::claim::Row;
 use filbertpaddle_core::claim::Status;
+use filbertpaddle_core::claim::StoredAnswer;
 use filbertpaddle_core::claims::Action;
 use filbertpaddle_core::claims::Claims;
 use filbertpaddle_core::claims::Event;
@@ -105,7 +105,7 @@
     },
     Answer {
         node: usize,
-        answer: group_commit::Answer,
+        answer: group_commit::TransactionResult,
     },
     Read {
         node: usize,
@@ -254,7 +254,7 @@
         world.nodes[node].tasks.remove(attempt);
         let ending = Ending {
             outcome: Outcome::Complete { tokens: 1 },
-            answer: Answer::Inline(attempt.clone()),
+            answer: StoredAnswer::Inline(attempt.clone()),
         };
         let attempt = attempt.clone();
         world.on(node, Event::Finish { attempt, ending });
@@ -271,8 +271,11 @@
                 awaited,
             } => world.transact_steps(node, changes, awaited),
             Flight::Answer { node, answer } => {
-                let lost = world.lose(node, Event::Answered(group_commit::Answer::Unknown));
-                world.on(node, Event::Answered(answer));
+                let lost = world.lose(
+                    node,
+                    Event::TransactionDone(group_commit::TransactionResult::Unknown),
+                );
+                world.on(node, Event::TransactionDone(answer));
                 lost.into_iter().chain([world]).collect()
             }
             Flight::Read { node } => {
@@ -297,8 +300,14 @@
     fn transact_steps(&self, node: usize, changes: Vec<Change>, awaited: bool) -> Vec<Self> {
         let mut next = Vec::new();
         if awaited {
-            next.extend(self.lose(node, Event::Answered(group_commit::Answer::NotDone)));
-            let late = self.lose(node, Event::Answered(group_commit::Answer::Unknown));
+            next.extend(self.lose(
+                node,
+                Event::TransactionDone(group_commit::TransactionResult::NotDone),
+            ));
+            let late = self.lose(
+                node,
+                Event::TransactionDone(group_commit::TransactionResult::Unknown),
+            );
             next.extend(late.map(|mut world| {
                 world.put(Flight::Transact {
                     node,
@@ -354,18 +363,18 @@
         Some(world)
     }
 
-    fn transact(&mut self, changes: &[Change]) -> group_commit::Answer {
+    fn transact(&mut self, changes: &[Change]) -> group_commit::TransactionResult {
         let revision = self.row.as_ref().map(|row| row.revision);
         if changes.iter().any(|change| change.expected != revision) {
             let rows = BTreeMap::from([(id(), self.row.clone())]);
-            return group_commit::Answer::Conflict { rows };
+            return group_commit::TransactionResult::Conflict { rows };
         }
         self.revision += 1;
         let revision = self.revision;
         for change in changes {
             self.row = change.record.clone().map(|record| Row { record, revision });
         }
-        group_commit::Answer::Committed { revision }
+        group_commit::TransactionResult::Committed { revision }
     }
 
     fn on(&mut self, node: usize, event: Event) {
@@ -417,7 +426,7 @@
     }
 
     fn check_replay(&mut self, task: &Task, ending: &Ending) {
-        let Answer::Inline(attempt) = &ending.answer else {
+        let StoredAnswer::Inline(attempt) = &ending.answer else {
             return self.fail("replay without answer");
         };
         if self.seen.sent.get(attempt) != Some(&task.digest) {
--- a/filbertpaddle-core/tests/claims.rs
+++ b/filbertpaddle-core/tests/claims.rs
@@ -15,8 +15,8 @@
 use filbertpaddle_core::claims::Request;
 use filbertpaddle_core::claims::Settings;
 use filbertpaddle_core::clock::Millis;
-use filbertpaddle_core::group_commit::Answer;
 use filbertpaddle_core::group_commit::Change;
+use filbertpaddle_core::group_commit::TransactionResult;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_core::outcome::Reason;
@@ -88,11 +88,11 @@
     queued(&mut claims, 100);
     claims.on(
         Millis(15),
-        Event::Answered(Answer::Committed { revision: 1 }),
+        Event::TransactionDone(TransactionResult::Committed { revision: 1 }),
     );
     let actions = claims.on(Millis(20), Event::Tick);
     assert_eq!(transaction(&actions).len(), 100);
-    let committed = Event::Answered(Answer::Committed { revision: 2 });
+    let committed = Event::TransactionDone(TransactionResult::Committed { revision: 2 });
     let actions = claims.on(Millis(30), committed);
     let held = verdicts(&actions);
     assert_eq!(held.len(), 100);
@@ -105,11 +105,11 @@
     queued(&mut claims, 3);
     claims.on(
         Millis(20),
-        Event::Answered(Answer::Committed { revision: 1 }),
+        Event::TransactionDone(TransactionResult::Committed { revision: 1 }),
     );
     let ending = Ending {
         outcome: Outcome::Complete { tokens: 1 },
-        answer: claim::Answer::Absent,
+        answer: claim::StoredAnswer::Absent,
     };
     let row = Row {
         record: Record {
@@ -123,7 +123,10 @@
         revision: 1,
     };
     let rows = BTreeMap::from([(id(2), Some(row))]);
-    let actions = claims.on(Millis(40), Event::Answered(Answer::Conflict { rows }));
+    let actions = claims.on(
+        Millis(40),
+        Event::TransactionDone(TransactionResult::Conflict { rows }),
+    );
     let replay = Verdict::Replay(ending);
     assert_eq!(verdicts(&actions), [(&attempt(2), &replay)]);
     let retried = transaction(&actions);
@@ -134,8 +137,11 @@
 #[test]
 fn failed_transaction_refuses_all_that_wait_at_once() {
     let failures = [
-        vec![Event::Answered(Answer::NotDone)],
-        vec![Event::Answered(Answer::Unknown), Event::ReadBack(None)],
+        vec![Event::TransactionDone(TransactionResult::NotDone)],
+        vec![
+            Event::TransactionDone(TransactionResult::Unknown),
+            Event::ReadBack(None),
+        ],
     ];
     for events in failures {
         let unsettled = events.len() - 1;
@@ -159,7 +165,10 @@
 fn one_lost_answer_is_no_outage() {
     let mut claims = claims();
     queued(&mut claims, 3);
-    let actions = claims.on(Millis(20), Event::Answered(Answer::Unknown));
+    let actions = claims.on(
+        Millis(20),
+        Event::TransactionDone(TransactionResult::Unknown),
+    );
     assert_eq!(verdicts(&actions), []);
     assert_eq!(verdicts(&claims.on(Millis(21), claim(4))), []);
     // The lost claim has not landed, so it is tried again with the others.
@@ -167,10 +176,16 @@
     assert_eq!(verdicts(&actions), []);
     assert_eq!(transaction(&actions).len(), 5);
     // Lost twice in a row, it counts as an outage.
-    claims.on(Millis(50), Event::Answered(Answer::Unknown));
+    claims.on(
+        Millis(50),
+        Event::TransactionDone(TransactionResult::Unknown),
+    );
     let actions = claims.on(Millis(51), Event::ReadBack(Some(BTreeMap::new())));
     assert_eq!(transaction(&actions).len(), 5);
-    claims.on(Millis(80), Event::Answered(Answer::Unknown));
+    claims.on(
+        Millis(80),
+        Event::TransactionDone(TransactionResult::Unknown),
+    );
     let actions = claims.on(Millis(81), Event::ReadBack(Some(BTreeMap::new())));
     assert_eq!(verdicts(&actions).len(), 5);
 }
@@ -179,14 +194,17 @@
 fn one_claim_probes_after_the_pause() {
     let mut claims = claims();
     queued(&mut claims, 0);
-    claims.on(Millis(0), Event::Answered(Answer::NotDone));
+    claims.on(
+        Millis(0),
+        Event::TransactionDone(TransactionResult::NotDone),
+    );
     let actions = claims.on(Millis(500), claim(1));
     assert_eq!(transaction(&actions).len(), 1);
     let actions = claims.on(Millis(500), claim(2));
     assert!(is_unavailable(verdicts(&actions)[0].1));
     claims.on(
         Millis(501),
-        Event::Answered(Answer::Committed { revision: 1 }),
+        Event::TransactionDone(TransactionResult::Committed { revision: 1 }),
     );
     let actions = claims.on(Millis(520), claim(3));
     assert_eq!(transaction(&actions).len(), 1);
@@ -196,7 +214,10 @@
 fn claim_seen_after_a_lost_answer_is_held() {
     let mut claims = claims();
     let sent = transaction(&claims.on(Millis(0), claim(0)));
-    let actions = claims.on(Millis(10), Event::Answered(Answer::Unknown));
+    let actions = claims.on(
+        Millis(10),
+        Event::TransactionDone(TransactionResult::Unknown),
+    );
     assert_eq!(actions, [Action::Read(vec![id(0)])]);
     let row = Row {
         record: sent[0].record.clone().unwrap(),
@@ -217,7 +238,7 @@
     for round in 0..4 {
         let now = Millis(u64::from(round) * 1_000);
         claims.on(now, claim(round));
-        claims.on(now, Event::Answered(Answer::Unknown));
+        claims.on(now, Event::TransactionDone(TransactionResult::Unknown));
         claims.on(now, Event::ReadBack(None));
     }
     assert_eq!((claims.backlog(), claims.dropped()), (2, 2));
@@ -231,7 +252,7 @@
     }));
     claims.on(
         Millis(10_001),
-        Event::Answered(Answer::Committed { revision: 1 }),
+        Event::TransactionDone(TransactionResult::Committed { revision: 1 }),
     );
     assert!(claims.is_empty());
 }
@@ -242,11 +263,11 @@
     claims.on(Millis(0), claim(0));
     claims.on(
         Millis(1),
-        Event::Answered(Answer::Committed { revision: 1 }),
+        Event::TransactionDone(TransactionResult::Committed { revision: 1 }),
     );
     let ending = Ending {
         outcome: Outcome::Complete { tokens: 1 },
-        answer: claim::Answer::Inline("answer".into()),
+        answer: claim::StoredAnswer::Inline("answer".into()),
     };
     let finish = Event::Finish {
         attempt: attempt(0),
@@ -254,7 +275,10 @@
     };
     let actions = claims.on(Millis(100), finish);
     assert_eq!(transaction(&actions).len(), 1);
-    claims.on(Millis(100), Event::Answered(Answer::NotDone));
+    claims.on(
+        Millis(100),
+        Event::TransactionDone(TransactionResult::NotDone),
+    );
     let resent = Event::Claim(Request {
         id: id(0),
         attempt: attempt(9),
@@ -273,7 +297,7 @@
     );
     claims.on(
         Millis(601),
-        Event::Answered(Answer::Committed { revision: 2 }),
+        Event::TransactionDone(TransactionResult::Committed { revision: 2 }),
     );
     assert!(claims.is_empty());
 }
--- a/filbertpaddle-core/tests/commit.rs
+++ b/filbertpaddle-core/tests/commit.rs
@@ -11,8 +11,8 @@
 use filbertpaddle_core::commit::Event;
 use filbertpaddle_core::commit::Settings;
 use filbertpaddle_core::commit::Unit;
-use filbertpaddle_core::group_commit::Answer;
 use filbertpaddle_core::group_commit::Change;
+use filbertpaddle_core::group_commit::TransactionResult;
 use filbertpaddle_core::name::Name;
 
 fn id(key: u32) -> Id {
@@ -46,11 +46,11 @@
     changes.map(|change| change.id.key.to_string()).collect()
 }
 
-fn replies(actions: &[Action]) -> Vec<(&str, &Answer)> {
+fn replies(actions: &[Action]) -> Vec<(&str, &TransactionResult)> {
     actions
         .iter()
         .filter_map(|action| match action {
-            Action::Reply { to, answer, .. } => Some((to.as_str(), answer)),
+            Action::Reply { to, result, .. } => Some((to.as_str(), result)),
             Action::Transact(_) => None,
         })
         .collect()
@@ -67,8 +67,8 @@
     let mut committer = started();
     committer.on(Millis(1), submit("b", &[2, 3]));
     committer.on(Millis(2), submit("c", &[4]));
-    let committed = Answer::Committed { revision: 1 };
-    let actions = committer.on(Millis(30), Event::Answered(committed.clone()));
+    let committed = TransactionResult::Committed { revision: 1 };
+    let actions = committer.on(Millis(30), Event::TransactionDone(committed.clone()));
     assert_eq!(replies(&actions), [("a", &committed)]);
     assert_eq!(keys(&actions), ["2", "3", "4"]);
 }
@@ -80,11 +80,11 @@
     committer.on(Millis(2), submit("c", &[4]));
     committer.on(
         Millis(30),
-        Event::Answered(Answer::Committed { revision: 1 }),
+        Event::TransactionDone(TransactionResult::Committed { revision: 1 }),
     );
     let rows = BTreeMap::from([(id(3), None)]);
-    let conflict = Answer::Conflict { rows };
-    let actions = committer.on(Millis(60), Event::Answered(conflict.clone()));
+    let conflict = TransactionResult::Conflict { rows };
+    let actions = committer.on(Millis(60), Event::TransactionDone(conflict.clone()));
     assert_eq!(replies(&actions), [("b", &conflict)]);
     assert_eq!(keys(&actions), ["4"]);
 }
@@ -94,7 +94,7 @@
     let mut committer = started();
     committer.on(Millis(1), submit("b", &[2]));
     committer.on(Millis(2), submit("c", &[2]));
-    let committed = Event::Answered(Answer::Committed { revision: 1 });
+    let committed = Event::TransactionDone(TransactionResult::Committed { revision: 1 });
     let actions = committer.on(Millis(30), committed.clone());
     assert_eq!(keys(&actions), ["2"]);
     assert_eq!(keys(&committer.on(Millis(60), committed)), ["2"]);
@@ -102,10 +102,10 @@
 
 #[test]
 fn unknown_and_not_done_reach_every_node_in_flight() {
-    for answer in [Answer::Unknown, Answer::NotDone] {
+    for result in [TransactionResult::Unknown, TransactionResult::NotDone] {
         let mut committer = started();
-        let actions = committer.on(Millis(1), Event::Answered(answer.clone()));
-        assert_eq!(replies(&actions), [("a", &answer)]);
+        let actions = committer.on(Millis(1), Event::TransactionDone(result.clone()));
+        assert_eq!(replies(&actions), [("a", &result)]);
     }
 }
 
@@ -118,9 +118,9 @@
     committer.on(Millis(0), submit("a", &[1]));
     committer.on(Millis(1), submit("b", &[2]));
     let actions = committer.on(Millis(2), submit("c", &[3]));
-    assert_eq!(replies(&actions), [("c", &Answer::NotDone)]);
+    assert_eq!(replies(&actions), [("c", &TransactionResult::NotDone)]);
     let actions = committer.on(Millis(5_000), Event::Tick);
-    assert_eq!(replies(&actions), [("b", &Answer::NotDone)]);
+    assert_eq!(replies(&actions), [("b", &TransactionResult::NotDone)]);
 }
 
 #[test]
--- a/filbertpaddle-core/tests/sweep.rs
+++ b/filbertpaddle-core/tests/sweep.rs
@@ -10,7 +10,7 @@
 use filbertpaddle_core::claims::Event;
 use filbertpaddle_core::claims::Settings;
 use filbertpaddle_core::clock::Millis;
-use filbertpaddle_core::group_commit::Answer;
+use filbertpaddle_core::group_commit::TransactionResult;
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_core::sweep;
 use filbertpaddle_core::sweep::Entry;
@@ -85,6 +85,9 @@
     };
     assert_eq!(changes[0].expected, Some(7));
     assert_eq!(changes[0].record, None);
-    let lost = claims.on(Millis(1), Event::Answered(Answer::NotDone));
+    let lost = claims.on(
+        Millis(1),
+        Event::TransactionDone(TransactionResult::NotDone),
+    );
     assert!(lost.is_empty() && claims.is_empty());
 }
--- a/filbertpaddle-wire/src/claim.rs
+++ b/filbertpaddle-wire/src/claim.rs
@@ -2,8 +2,8 @@
 
 use filbertpaddle_core::claim::Question;
 use filbertpaddle_core::claim::Reply;
-use filbertpaddle_core::group_commit::Answer;
 use filbertpaddle_core::group_commit::Change;
+use filbertpaddle_core::group_commit::TransactionResult;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -34,6 +34,6 @@
         sequence: u64,
         /// What became of them.
         #[serde(rename = "a")]
-        answer: Answer,
+        answer: TransactionResult,
     },
 }
--- a/filbertpaddle-wire/tests/claim.rs
+++ b/filbertpaddle-wire/tests/claim.rs
@@ -1,10 +1,10 @@
 //! Changes of claims as they travel to a committer.
 
-use filbertpaddle_core::claim::Answer;
 use filbertpaddle_core::claim::Ending;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claim::Record;
 use filbertpaddle_core::claim::State;
+use filbertpaddle_core::claim::StoredAnswer;
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::group_commit::Change;
 use filbertpaddle_core::name::Name;
@@ -46,7 +46,7 @@
 fn changes_survive_a_frame() {
     let finished = State::Finished(Ending {
         outcome: Outcome::Complete { tokens: 1 },
-        answer: Answer::Inline("done".into()),
+        answer: StoredAnswer::Inline("done".into()),
     });
     let states = [State::Claimed, State::Released, finished];
     let sent = vec![commit(states.map(change).to_vec())];
--- a/filbertpaddle/src/claim_actor.rs
+++ b/filbertpaddle/src/claim_actor.rs
@@ -13,8 +13,8 @@
 use filbertpaddle_core::claims::Event;
 use filbertpaddle_core::claims::Request;
 use filbertpaddle_core::clock::Millis;
-use filbertpaddle_core::group_commit::Answer;
 use filbertpaddle_core::group_commit::Change;
+use filbertpaddle_core::group_commit::TransactionResult;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_platform::client::Client;
 use filbertpaddle_wire::claim;
@@ -55,7 +55,7 @@
 pub(crate) struct Settled {
     pub(crate) by: Name,
     pub(crate) sequence: u64,
-    pub(crate) answer: Answer,
+    pub(crate) answer: TransactionResult,
 }
 
 /// A committer has had long enough to answer.
@@ -119,7 +119,7 @@
 
     async fn handle(&mut self, settled: Settled, context: &mut Context<Self>) {
         if self.route.settle(settled.sequence, &settled.by) {
-            let event = Event::Answered(settled.answer);
+            let event = Event::TransactionDone(settled.answer);
             self.on(event, &context.mailbox().address());
         }
     }
@@ -132,7 +132,7 @@
         if self.route.settle(overdue.sequence, &overdue.by) {
             self.metrics.count("claim.committer_silent");
             self.route.avoid(self.clock.now(), overdue.by);
-            let event = Event::Answered(Answer::Unknown);
+            let event = Event::TransactionDone(TransactionResult::Unknown);
             self.on(event, &context.mailbox().address());
         }
     }
--- a/filbertpaddle/src/claim_commit.rs
+++ b/filbertpaddle/src/claim_commit.rs
@@ -7,8 +7,8 @@
 use filbertpaddle_core::commit::Committer;
 use filbertpaddle_core::commit::Event;
 use filbertpaddle_core::commit::Unit;
-use filbertpaddle_core::group_commit::Answer;
 use filbertpaddle_core::group_commit::Change;
+use filbertpaddle_core::group_commit::TransactionResult;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_platform::client::Client;
 use filbertpaddle_wire::claim;
@@ -33,7 +33,7 @@
 pub(crate) struct Submit(pub(crate) Unit);
 
 #[derive(Debug)]
-struct Answered(Answer);
+struct Answered(TransactionResult);
 
 #[derive(Debug)]
 struct Timer;
@@ -70,7 +70,10 @@
     type Return = ();
 
     async fn handle(&mut self, answered: Answered, context: &mut Context<Self>) {
-        self.on(Event::Answered(answered.0), &context.mailbox().address());
+        self.on(
+            Event::TransactionDone(answered.0),
+            &context.mailbox().address(),
+        );
     }
 }
 
@@ -91,8 +94,8 @@
                 Action::Reply {
                     to,
                     sequence,
-                    answer,
-                } => self.reply(&to, sequence, answer),
+                    result,
+                } => self.reply(&to, sequence, result),
             }
         }
         self.arm(own);
@@ -112,7 +115,7 @@
         });
     }
 
-    fn reply(&self, to: &Name, sequence: u64, answer: Answer) {
+    fn reply(&self, to: &Name, sequence: u64, answer: TransactionResult) {
         if *to != self.own {
             let message = claim::Message::Committed { sequence, answer };
             self.peers.send(to, Message::Claim(message));
--- a/filbertpaddle/src/claim_store.rs
+++ b/filbertpaddle/src/claim_store.rs
@@ -10,8 +10,8 @@
 use filbertpaddle_core::claim::Row;
 use filbertpaddle_core::claim::State;
 use filbertpaddle_core::clock::Millis;
-use filbertpaddle_core::group_commit::Answer;
 use filbertpaddle_core::group_commit::Change;
+use filbertpaddle_core::group_commit::TransactionResult;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_platform::client::Client;
 use filbertpaddle_platform::error::Error;
@@ -27,17 +27,17 @@
 const PUT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Makes the changes in one transaction.
-pub(crate) async fn transact(platform: &Client, changes: &[Change]) -> Answer {
+pub(crate) async fn transact(platform: &Client, changes: &[Change]) -> TransactionResult {
     let Some(transaction) = transaction(changes) else {
-        return Answer::NotDone;
+        return TransactionResult::NotDone;
     };
     match platform.transact(&transaction).await {
-        Ok(TransactAnswer::Committed { revision }) => Answer::Committed { revision },
-        Ok(TransactAnswer::Conflict { rows, keys }) => Answer::Conflict {
+        Ok(TransactAnswer::Committed { revision }) => TransactionResult::Committed { revision },
+        Ok(TransactAnswer::Conflict { rows, keys }) => TransactionResult::Conflict {
             rows: conflicts(changes, &keys, &rows),
         },
-        Err(Error::NotDone(_)) => Answer::NotDone,
-        Err(Error::Unknown(_)) => Answer::Unknown,
+        Err(Error::NotDone(_)) => TransactionResult::NotDone,
+        Err(Error::Unknown(_)) => TransactionResult::Unknown,
     }
 }
 
@@ -53,27 +53,31 @@
 }
 
 /// Stores the text of an answer; its place is lost if the object store stays out.
-pub(crate) async fn store_answer(platform: &Client, attempt: &Name, text: &str) -> claim::Answer {
+pub(crate) async fn store_answer(
+    platform: &Client,
+    attempt: &Name,
+    text: &str,
+) -> claim::StoredAnswer {
     if text.len() <= MAX_INLINE_BYTES {
-        return claim::Answer::Inline(text.into());
+        return claim::StoredAnswer::Inline(text.into());
     }
     let key = format!("answer/{attempt}");
     for _ in 0..MAX_PUTS {
         let put = platform.put_object(&key, text.as_bytes().to_vec()).await;
         if put.is_ok() {
-            return claim::Answer::Object(key.into());
+            return claim::StoredAnswer::Object(key.into());
         }
         tokio::time::sleep(PUT_INTERVAL).await;
     }
-    claim::Answer::Absent
+    claim::StoredAnswer::Absent
 }
 
 /// Reads the text of a stored answer; `None` if it cannot be had.
-pub(crate) async fn load_answer(platform: &Client, answer: claim::Answer) -> Option<String> {
+pub(crate) async fn load_answer(platform: &Client, answer: claim::StoredAnswer) -> Option<String> {
     match answer {
-        claim::Answer::Absent => None,
-        claim::Answer::Inline(text) => Some(text.to_string()),
-        claim::Answer::Object(key) => {
+        claim::StoredAnswer::Absent => None,
+        claim::StoredAnswer::Inline(text) => Some(text.to_string()),
+        claim::StoredAnswer::Object(key) => {
             let bytes = platform.get_object(&key).await.ok()??;
             String::from_utf8(bytes).ok()
         }
@@ -136,11 +140,11 @@
 }
 
 /// Names an answer for logs.
-pub(crate) fn kind(answer: &Answer) -> &'static str {
+pub(crate) fn kind(answer: &TransactionResult) -> &'static str {
     match answer {
-        Answer::Committed { .. } => "committed",
-        Answer::Conflict { .. } => "conflict",
-        Answer::NotDone => "not done",
-        Answer::Unknown => "unknown",
+        TransactionResult::Committed { .. } => "committed",
+        TransactionResult::Conflict { .. } => "conflict",
+        TransactionResult::NotDone => "not done",
+        TransactionResult::Unknown => "unknown",
     }
 }
--- a/filbertpaddle/src/claims.rs
+++ b/filbertpaddle/src/claims.rs
@@ -262,7 +262,7 @@
                 outcome: Outcome::MayHaveRun {
                     reason: Reason::TargetFailed,
                 },
-                answer: filbertpaddle_core::claim::Answer::Inline(Name::default()),
+                answer: filbertpaddle_core::claim::StoredAnswer::Inline(Name::default()),
             },
         };
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
--- a/filbertpaddle/tests/at_most_once.rs
+++ b/filbertpaddle/tests/at_most_once.rs
@@ -14,10 +14,10 @@
 use common::fleet::Platform;
 use common::wait;
 use filbertpaddle::clock;
-use filbertpaddle_core::claim::Answer;
 use filbertpaddle_core::claim::Ending;
 use filbertpaddle_core::claim::Record;
 use filbertpaddle_core::claim::State;
+use filbertpaddle_core::claim::StoredAnswer;
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::commit;
 use filbertpaddle_core::name::Name;
@@ -398,7 +398,7 @@
 fn finished_record(claimed_at_ms: Millis) -> String {
     let ending = Ending {
         outcome: COMPLETE,
-        answer: Answer::Inline("done".into()),
+        answer: StoredAnswer::Inline("done".into()),
     };
     let record = Record {
         attempt: "earlier".into(),
