--- a/filbertpaddle-core/src/claim.rs
+++ b/filbertpaddle-core/src/claim.rs
@@ -95,10 +95,10 @@
 
 /// Asks the holder of a claim what has become of it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Question {
+pub struct StatusQuery {
     /// Attempt on whose behalf the question is asked.
     #[serde(rename = "f")]
-    pub asker: Name,
+    pub requester: Name,
     /// Attempt that holds the claim.
     #[serde(rename = "a")]
     pub attempt: Name,
@@ -107,12 +107,12 @@
     pub incarnation: u64,
 }
 
-/// The holder's answer to a [`Question`].
+/// The holder's answer to a [`StatusQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Reply {
+pub struct StatusReply {
     /// Attempt on whose behalf the question was asked.
     #[serde(rename = "f")]
-    pub asker: Name,
+    pub requester: Name,
     /// Attempt that the question was about.
     #[serde(rename = "a")]
     pub attempt: Name,
--- a/filbertpaddle-core/src/claims.rs
+++ b/filbertpaddle-core/src/claims.rs
@@ -9,12 +9,12 @@
 use crate::attempt::Verdict;
 use crate::claim::Ending;
 use crate::claim::Id;
-use crate::claim::Question;
 use crate::claim::Record;
-use crate::claim::Reply;
 use crate::claim::Row;
 use crate::claim::State;
 use crate::claim::Status;
+use crate::claim::StatusQuery;
+use crate::claim::StatusReply;
 use crate::clock::Millis;
 use crate::group_commit;
 use crate::group_commit::Change;
@@ -82,14 +82,14 @@
     /// The rows asked for were read, absent ones left out; `None` if that failed.
     ReadBack(Option<BTreeMap<Id, Row>>),
     /// Another node asks about an attempt of this one.
-    Asked {
+    QueryReceived {
         /// The node that asks.
         from: Name,
-        /// The question.
-        question: Question,
+        /// The query.
+        query: StatusQuery,
     },
-    /// Another node answered a question, or [`Status::Gone`] stands for its silence.
-    Told(Reply),
+    /// Another node answered a query, or [`Status::Gone`] stands for its silence.
+    ReplyReceived(StatusReply),
     /// Rows that are kept no longer were found.
     Expired(Vec<(Id, Row)>),
     /// Time has passed.
@@ -103,19 +103,19 @@
     Transact(Vec<Change>),
     /// Read rows and report with [`Event::ReadBack`].
     Read(Vec<Id>),
-    /// Ask a node and report with [`Event::Told`].
-    Ask {
+    /// Ask a node and report with [`Event::ReplyReceived`].
+    SendQuery {
         /// The node to ask.
         holder: Name,
-        /// The question.
-        question: Question,
+        /// The query.
+        query: StatusQuery,
     },
     /// Answer another node.
-    Tell {
+    SendReply {
         /// The node that asked.
         to: Name,
         /// The answer.
-        reply: Reply,
+        reply: StatusReply,
     },
     /// Tell a caller's request what it may do.
     Decide {
@@ -198,8 +198,8 @@
                 self.settle(done, &mut actions);
                 self.refuse_queued(now, &mut actions);
             }
-            Event::Asked { from, question } => actions.push(self.tell(from, question)),
-            Event::Told(reply) => self.told(&reply, &mut actions),
+            Event::QueryReceived { from, query } => actions.push(self.reply_to_query(from, query)),
+            Event::ReplyReceived(reply) => self.on_reply(&reply, &mut actions),
             Event::Expired(rows) => self.expire(rows),
             Event::Tick => {}
         }
@@ -318,33 +318,33 @@
         }
     }
 
-    fn tell(&self, from: Name, question: Question) -> Action {
-        let status = self.status(&question);
-        Action::Tell {
+    fn reply_to_query(&self, from: Name, query: StatusQuery) -> Action {
+        let status = self.status(&query);
+        Action::SendReply {
             to: from,
-            reply: Reply {
-                asker: question.asker,
-                attempt: question.attempt,
+            reply: StatusReply {
+                requester: query.requester,
+                attempt: query.attempt,
                 status,
             },
         }
     }
 
-    fn status(&self, question: &Question) -> Status {
-        if question.incarnation != self.incarnation {
+    fn status(&self, query: &StatusQuery) -> Status {
+        if query.incarnation != self.incarnation {
             return Status::Gone;
         }
         self.attempts
-            .get(&question.attempt)
+            .get(&query.attempt)
             .map_or(Status::Unsent, Attempt::status)
     }
 
-    fn told(&mut self, reply: &Reply, actions: &mut Vec<Action>) {
-        let Some(attempt) = self.attempts.get_mut(&reply.asker) else {
+    fn on_reply(&mut self, reply: &StatusReply, actions: &mut Vec<Action>) {
+        let Some(attempt) = self.attempts.get_mut(&reply.requester) else {
             return;
         };
         let steps = attempt.on_status(&reply.attempt, reply.status.clone());
-        self.perform(&reply.asker, steps, actions);
+        self.perform(&reply.requester, steps, actions);
     }
 
     fn expire(&mut self, rows: Vec<(Id, Row)>) {
@@ -366,7 +366,7 @@
             match step {
                 Step::Claim(change) => self.group_commit.push_claim(change),
                 Step::Rest(change) => self.push_rest(name, change),
-                Step::Ask(row) => self.ask(name, &row, actions),
+                Step::Ask(row) => self.query_holder(name, &row, actions),
                 Step::Decide(verdict) => actions.push(self.decide(name, verdict)),
                 Step::Forget => self.forget(name),
             }
@@ -397,25 +397,25 @@
         self.group_commit.push_rest(change);
     }
 
-    fn ask(&mut self, asker: &Name, row: &Row, actions: &mut Vec<Action>) {
-        let question = Question {
-            asker: asker.clone(),
+    fn query_holder(&mut self, requester: &Name, row: &Row, actions: &mut Vec<Action>) {
+        let query = StatusQuery {
+            requester: requester.clone(),
             attempt: row.record.attempt.clone(),
             incarnation: row.record.incarnation,
         };
         if row.record.holder != self.node {
-            actions.push(Action::Ask {
+            actions.push(Action::SendQuery {
                 holder: row.record.holder.clone(),
-                question,
+                query,
             });
             return;
         }
-        let reply = Reply {
-            asker: question.asker.clone(),
-            attempt: question.attempt.clone(),
-            status: self.status(&question),
+        let reply = StatusReply {
+            requester: query.requester.clone(),
+            attempt: query.attempt.clone(),
+            status: self.status(&query),
         };
-        self.told(&reply, actions);
+        self.on_reply(&reply, actions);
     }
 
     fn decide(&self, name: &Name, verdict: Verdict) -> Action {
--- a/filbertpaddle-core/tests/claim_model/world.rs
+++ b/filbertpaddle-core/tests/claim_model/world.rs
@@ -8,10 +8,10 @@
 use filbertpaddle_core::attempt::Verdict;
 use filbertpaddle_core::claim::Ending;
 use filbertpaddle_core::claim::Id;
-use filbertpaddle_core::claim::Question;
-use filbertpaddle_core::claim::Reply;
 use filbertpaddle_core::claim::Row;
 use filbertpaddle_core::claim::Status;
+use filbertpaddle_core::claim::StatusQuery;
+use filbertpaddle_core::claim::StatusReply;
 use filbertpaddle_core::claim::StoredAnswer;
 use filbertpaddle_core::claims::Action;
 use filbertpaddle_core::claims::Claims;
@@ -114,14 +114,14 @@
         node: usize,
         rows: BTreeMap<Id, Row>,
     },
-    Ask {
+    Query {
         node: usize,
         to: usize,
-        question: Question,
+        query: StatusQuery,
     },
-    Tell {
+    Reply {
         to: usize,
-        reply: Reply,
+        reply: StatusReply,
     },
 }
 
@@ -288,9 +288,9 @@
                 world.on(node, Event::ReadBack(Some(rows)));
                 vec![world]
             }
-            Flight::Ask { node, to, question } => world.ask_steps(node, to, question),
-            Flight::Tell { to, reply } => {
-                world.on(to, Event::Told(reply));
+            Flight::Query { node, to, query } => world.query_steps(node, to, query),
+            Flight::Reply { to, reply } => {
+                world.on(to, Event::ReplyReceived(reply));
                 vec![world]
             }
         }
@@ -327,15 +327,15 @@
     }
 
     /// The question arrives; or it is taken as unanswered and arrives late.
-    fn ask_steps(&self, node: usize, to: usize, question: Question) -> Vec<Self> {
+    fn query_steps(&self, node: usize, to: usize, query: StatusQuery) -> Vec<Self> {
         let mut next = Vec::new();
         let mut arrived = self.clone();
         let from = name(node);
-        let asked = Event::Asked {
+        let received = Event::QueryReceived {
             from,
-            question: question.clone(),
+            query: query.clone(),
         };
-        arrived.on(to, asked);
+        arrived.on(to, received);
         next.push(arrived);
         if let Some(silences) = self.budget.silences.checked_sub(1) {
             let mut silent = self.clone();
@@ -344,13 +344,13 @@
                 Mistake::TakeoverOnTimer => Status::Unsent,
                 _ => Status::Gone,
             };
-            let reply = Reply {
-                asker: question.asker.clone(),
-                attempt: question.attempt.clone(),
+            let reply = StatusReply {
+                requester: query.requester.clone(),
+                attempt: query.attempt.clone(),
                 status,
             };
-            silent.put(Flight::Ask { node, to, question });
-            silent.on(node, Event::Told(reply));
+            silent.put(Flight::Query { node, to, query });
+            silent.on(node, Event::ReplyReceived(reply));
             next.push(silent);
         }
         next
@@ -392,12 +392,12 @@
                 awaited: true,
             }),
             Action::Read(_) => self.put(Flight::Read { node }),
-            Action::Ask { holder, question } => self.put(Flight::Ask {
+            Action::SendQuery { holder, query } => self.put(Flight::Query {
                 node,
                 to: index(&holder),
-                question,
+                query,
             }),
-            Action::Tell { to, reply } => self.put(Flight::Tell {
+            Action::SendReply { to, reply } => self.put(Flight::Reply {
                 to: index(&to),
                 reply,
             }),
@@ -474,8 +474,8 @@
             Self::Answer { node, .. }
             | Self::Read { node }
             | Self::Rows { node, .. }
-            | Self::Ask { node, .. } => *node == crashed,
-            Self::Tell { to, .. } => *to == crashed,
+            | Self::Query { node, .. } => *node == crashed,
+            Self::Reply { to, .. } => *to == crashed,
             Self::Transact { .. } => false,
         }
     }
--- a/filbertpaddle-wire/src/claim.rs
+++ b/filbertpaddle-wire/src/claim.rs
@@ -1,7 +1,7 @@
 //! Messages about claims on idempotency keys.
 
-use filbertpaddle_core::claim::Question;
-use filbertpaddle_core::claim::Reply;
+use filbertpaddle_core::claim::StatusQuery;
+use filbertpaddle_core::claim::StatusReply;
 use filbertpaddle_core::group_commit::Change;
 use filbertpaddle_core::group_commit::TransactionResult;
 use serde::Deserialize;
@@ -12,10 +12,10 @@
 pub enum Message {
     /// Asks the holder of a claim what has become of it.
     #[serde(rename = "q")]
-    Ask(Question),
+    Ask(StatusQuery),
     /// Answers such a question.
     #[serde(rename = "r")]
-    Tell(Reply),
+    Tell(StatusReply),
     /// Hands changes to a committer, to be made together or not at all.
     #[serde(rename = "c")]
     Commit {
--- a/filbertpaddle/src/claim_actor.rs
+++ b/filbertpaddle/src/claim_actor.rs
@@ -5,9 +5,9 @@
 
 use filbertpaddle_core::attempt::Verdict;
 use filbertpaddle_core::claim::Id;
-use filbertpaddle_core::claim::Question;
-use filbertpaddle_core::claim::Reply;
 use filbertpaddle_core::claim::Status;
+use filbertpaddle_core::claim::StatusQuery;
+use filbertpaddle_core::claim::StatusReply;
 use filbertpaddle_core::claims::Action;
 use filbertpaddle_core::claims::Claims;
 use filbertpaddle_core::claims::Event;
@@ -159,8 +159,8 @@
         match action {
             Action::Transact(changes) => self.transact(changes, own),
             Action::Read(ids) => self.read(ids, own),
-            Action::Ask { holder, question } => self.ask(&holder, question, own),
-            Action::Tell { to, reply } => {
+            Action::SendQuery { holder, query } => self.ask(&holder, query, own),
+            Action::SendReply { to, reply } => {
                 let message = Message::Claim(claim::Message::Tell(reply));
                 self.peers.send(&to, message);
             }
@@ -188,11 +188,11 @@
         });
     }
 
-    fn ask(&self, holder: &Name, question: Question, own: &WeakAddress<Self>) {
+    fn ask(&self, holder: &Name, question: StatusQuery, own: &WeakAddress<Self>) {
         self.metrics.count("claim.asked");
         // Silence proves nothing, so it is taken as a holder that has gone.
-        let silence = Reply {
-            asker: question.asker.clone(),
+        let silence = StatusReply {
+            requester: question.requester.clone(),
             attempt: question.attempt.clone(),
             status: Status::Gone,
         };
@@ -204,7 +204,7 @@
         let own = own.clone();
         tokio::spawn(async move {
             tokio::time::sleep(wait).await;
-            own.send(Input(Event::Told(silence))).await.ok();
+            own.send(Input(Event::ReplyReceived(silence))).await.ok();
         });
     }
 
--- a/filbertpaddle/src/claims.rs
+++ b/filbertpaddle/src/claims.rs
@@ -321,8 +321,12 @@
     while let Some(Incoming { peer, message }) = inbox.recv().await {
         let from = peer.name;
         let taken = match message {
-            Message::Ask(question) => actor.send(Input(Event::Asked { from, question })).await,
-            Message::Tell(reply) => actor.send(Input(Event::Told(reply))).await,
+            Message::Ask(query) => {
+                actor
+                    .send(Input(Event::QueryReceived { from, query }))
+                    .await
+            }
+            Message::Tell(reply) => actor.send(Input(Event::ReplyReceived(reply))).await,
             Message::Commit { sequence, changes } => {
                 let unit = Unit {
                     from,
