--- a/filbertpaddle-core/src/attempt.rs
+++ b/filbertpaddle-core/src/attempt.rs
@@ -7,8 +7,8 @@
 use crate::claim::State;
 use crate::claim::Status;
 use crate::group_commit::Change;
-use crate::group_commit::Done;
-use crate::group_commit::Fate;
+use crate::group_commit::ChangeOutcome;
+use crate::group_commit::SettledChange;
 use crate::name::Name;
 use crate::outcome::Outcome;
 use crate::outcome::Reason;
@@ -32,13 +32,13 @@
     /// Write a claim.
     Claim(Change),
     /// Write a change that no caller waits for.
-    Rest(Change),
+    Write(Change),
     /// Ask the holder of the row.
-    Ask(Row),
+    QueryHolder(Row),
     /// Tell the caller.
     Decide(Verdict),
     /// Forget the attempt.
-    Forget,
+    Remove,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -104,11 +104,11 @@
     }
 
     /// Takes in the fate of the attempt's last change.
-    pub fn on_done(&mut self, done: Done) -> Vec<Step> {
+    pub fn on_settled(&mut self, settled: SettledChange) -> Vec<Step> {
         match self.phase.clone() {
-            Phase::Claiming { expected } => self.on_claim_done(expected, done),
-            Phase::Abandoned { expected } => self.on_abandoned_done(expected, done),
-            Phase::Finishing { .. } | Phase::Releasing => self.on_end_done(done),
+            Phase::Claiming { expected } => self.on_claim_settled(expected, settled),
+            Phase::Abandoned { expected } => self.on_abandoned_settled(expected, settled),
+            Phase::Finishing { .. } | Phase::Releasing => self.on_final_settled(settled),
             Phase::Asking { .. } | Phase::Held { .. } => Vec::new(),
         }
     }
@@ -135,7 +135,7 @@
             Status::Running => Verdict::Refused(may_have_run(Reason::KeyInUse)),
             Status::Gone => Verdict::Refused(may_have_run(Reason::HolderGone)),
         };
-        vec![Step::Decide(verdict), Step::Forget]
+        vec![Step::Decide(verdict), Step::Remove]
     }
 
     /// Gives up on a request that is not held yet: its caller waits no longer.
@@ -144,14 +144,14 @@
     pub fn give_up(&mut self, queued: Option<Change>) -> Vec<Step> {
         let Phase::Claiming { expected } = self.phase else {
             return match self.phase {
-                Phase::Asking { .. } => vec![Step::Decide(Verdict::Unavailable), Step::Forget],
+                Phase::Asking { .. } => vec![Step::Decide(Verdict::Unavailable), Step::Remove],
                 _ => Vec::new(),
             };
         };
         let decide = Step::Decide(Verdict::Unavailable);
         match queued {
-            Some(change) if change.tries == 0 => vec![decide, Step::Forget],
-            Some(_) => vec![decide, self.bury(expected)],
+            Some(change) if change.tries == 0 => vec![decide, Step::Remove],
+            Some(_) => vec![decide, self.mark_released(expected)],
             None => {
                 self.phase = Phase::Abandoned { expected };
                 vec![decide]
@@ -177,42 +177,48 @@
         vec![self.delete(revision)]
     }
 
-    fn on_claim_done(&mut self, expected: Option<u64>, done: Done) -> Vec<Step> {
+    fn on_claim_settled(&mut self, expected: Option<u64>, settled: SettledChange) -> Vec<Step> {
         let unavailable = Step::Decide(Verdict::Unavailable);
-        match done.fate {
-            Fate::Committed { revision } => self.hold(revision),
-            Fate::Conflict { row } => self.judge(row),
-            Fate::Pending => vec![Step::Claim(done.change)],
-            Fate::NotDone if done.change.tries == 0 => vec![unavailable, Step::Forget],
-            Fate::NotDone | Fate::Unknown => vec![unavailable, self.bury(expected)],
+        match settled.outcome {
+            ChangeOutcome::Committed { revision } => self.hold(revision),
+            ChangeOutcome::Conflict { row } => self.on_conflict(row),
+            ChangeOutcome::Pending => vec![Step::Claim(settled.change)],
+            ChangeOutcome::NotDone if settled.change.tries == 0 => vec![unavailable, Step::Remove],
+            ChangeOutcome::NotDone | ChangeOutcome::Unknown => {
+                vec![unavailable, self.mark_released(expected)]
+            }
         }
     }
 
-    fn on_abandoned_done(&mut self, expected: Option<u64>, done: Done) -> Vec<Step> {
-        match done.fate {
-            Fate::Committed { revision } => vec![self.delete(revision)],
-            Fate::Conflict { row } => self.clear(row),
-            Fate::NotDone if done.change.tries == 0 => vec![Step::Forget],
-            Fate::NotDone | Fate::Pending | Fate::Unknown => vec![self.bury(expected)],
+    fn on_abandoned_settled(&mut self, expected: Option<u64>, settled: SettledChange) -> Vec<Step> {
+        match settled.outcome {
+            ChangeOutcome::Committed { revision } => vec![self.delete(revision)],
+            ChangeOutcome::Conflict { row } => self.delete_if_claimed(row),
+            ChangeOutcome::NotDone if settled.change.tries == 0 => vec![Step::Remove],
+            ChangeOutcome::NotDone | ChangeOutcome::Pending | ChangeOutcome::Unknown => {
+                vec![self.mark_released(expected)]
+            }
         }
     }
 
-    fn on_end_done(&mut self, done: Done) -> Vec<Step> {
-        match (done.fate, self.phase.clone()) {
-            (Fate::Committed { .. }, _) => vec![Step::Forget],
-            (Fate::Conflict { row: Some(row) }, Phase::Finishing { ending })
+    fn on_final_settled(&mut self, settled: SettledChange) -> Vec<Step> {
+        match (settled.outcome, self.phase.clone()) {
+            (ChangeOutcome::Committed { .. }, _) => vec![Step::Remove],
+            (ChangeOutcome::Conflict { row: Some(row) }, Phase::Finishing { ending })
                 if row.record.is_claimed_by(&self.record.attempt) =>
             {
                 vec![self.write_ending(row.revision, ending)]
             }
-            (Fate::Conflict { .. }, Phase::Finishing { .. }) => vec![Step::Forget],
-            (Fate::Conflict { row }, _) => self.clear(row),
-            (Fate::NotDone | Fate::Pending | Fate::Unknown, _) => vec![Step::Rest(done.change)],
+            (ChangeOutcome::Conflict { .. }, Phase::Finishing { .. }) => vec![Step::Remove],
+            (ChangeOutcome::Conflict { row }, _) => self.delete_if_claimed(row),
+            (ChangeOutcome::NotDone | ChangeOutcome::Pending | ChangeOutcome::Unknown, _) => {
+                vec![Step::Write(settled.change)]
+            }
         }
     }
 
     /// Decides about a claim whose row was not as expected.
-    fn judge(&mut self, row: Option<Row>) -> Vec<Step> {
+    fn on_conflict(&mut self, row: Option<Row>) -> Vec<Step> {
         let Some(row) = row else {
             self.phase = Phase::Claiming { expected: None };
             return vec![self.claim(None)];
@@ -230,13 +236,13 @@
             // An unsent claim is free for any body, so the holder is asked first.
             State::Claimed => {
                 self.phase = Phase::Asking { row: row.clone() };
-                vec![Step::Ask(row)]
+                vec![Step::QueryHolder(row)]
             }
             State::Finished(_) if !same_body => {
-                vec![Step::Decide(Verdict::Refused(key_reused())), Step::Forget]
+                vec![Step::Decide(Verdict::Refused(key_reused())), Step::Remove]
             }
             State::Finished(ending) => {
-                vec![Step::Decide(Verdict::Replay(ending.clone())), Step::Forget]
+                vec![Step::Decide(Verdict::Replay(ending.clone())), Step::Remove]
             }
         }
     }
@@ -247,24 +253,24 @@
     }
 
     /// Clears the row if it still shows this attempt, which was never sent.
-    fn clear(&mut self, row: Option<Row>) -> Vec<Step> {
+    fn delete_if_claimed(&mut self, row: Option<Row>) -> Vec<Step> {
         match row {
             Some(row) if row.record.is_claimed_by(&self.record.attempt) => {
                 vec![self.delete(row.revision)]
             }
-            _ => vec![Step::Forget],
+            _ => vec![Step::Remove],
         }
     }
 
     /// Marks the row released, so that a claim still on its way cannot take effect.
-    fn bury(&mut self, expected: Option<u64>) -> Step {
+    fn mark_released(&mut self, expected: Option<u64>) -> Step {
         self.phase = Phase::Releasing;
-        Step::Rest(self.change(expected, Some(State::Released)))
+        Step::Write(self.change(expected, Some(State::Released)))
     }
 
     fn delete(&mut self, revision: u64) -> Step {
         self.phase = Phase::Releasing;
-        Step::Rest(self.change(Some(revision), None))
+        Step::Write(self.change(Some(revision), None))
     }
 
     fn claim(&self, expected: Option<u64>) -> Step {
@@ -272,7 +278,7 @@
     }
 
     fn write_ending(&self, revision: u64, ending: Ending) -> Step {
-        Step::Rest(self.change(Some(revision), Some(State::Finished(ending))))
+        Step::Write(self.change(Some(revision), Some(State::Finished(ending))))
     }
 
     fn change(&self, expected: Option<u64>, state: Option<State>) -> Change {
--- a/filbertpaddle-core/src/claims.rs
+++ b/filbertpaddle-core/src/claims.rs
@@ -18,8 +18,8 @@
 use crate::clock::Millis;
 use crate::group_commit;
 use crate::group_commit::Change;
-use crate::group_commit::Done;
 use crate::group_commit::GroupCommit;
+use crate::group_commit::SettledChange;
 use crate::name::Name;
 use crate::outcome::Outcome;
 use crate::outcome::Reason;
@@ -138,7 +138,7 @@
     settings: Settings,
     // Ordered maps, since a model checker hashes them.
     attempts: BTreeMap<Name, Attempt>,
-    live: BTreeMap<Id, Name>,
+    current: BTreeMap<Id, Name>,
     releasing: BTreeSet<Name>,
     dropped: u64,
     group_commit: GroupCommit,
@@ -152,7 +152,7 @@
             incarnation,
             settings,
             attempts: BTreeMap::new(),
-            live: BTreeMap::new(),
+            current: BTreeMap::new(),
             releasing: BTreeSet::new(),
             dropped: 0,
             group_commit: GroupCommit::new(settings.group_commit),
@@ -194,8 +194,8 @@
             Event::Finish { attempt, ending } => self.finish(&attempt, ending, &mut actions),
             Event::TransactionDone(result) => self.on_transaction_done(now, result, &mut actions),
             Event::ReadBack(rows) => {
-                let done = self.group_commit.read_back(now, rows.as_ref());
-                self.settle(done, &mut actions);
+                let settled = self.group_commit.read_back(now, rows.as_ref());
+                self.settle(settled, &mut actions);
                 self.refuse_queued(now, &mut actions);
             }
             Event::QueryReceived { from, query } => actions.push(self.reply_to_query(from, query)),
@@ -208,7 +208,7 @@
     }
 
     fn claim(&mut self, now: Millis, request: Request, actions: &mut Vec<Action>) {
-        if let Some(verdict) = self.judge_local(now, &request) {
+        if let Some(verdict) = self.decide_locally(now, &request) {
             actions.push(Action::Decide {
                 attempt: request.attempt,
                 verdict,
@@ -223,7 +223,7 @@
             claimed_at_ms: request.now_unix_ms,
             state: State::Claimed,
         };
-        self.live
+        self.current
             .insert(request.id.clone(), request.attempt.clone());
         let (attempt, steps) = Attempt::start(request.id, record);
         self.attempts.insert(request.attempt.clone(), attempt);
@@ -231,9 +231,9 @@
     }
 
     /// Decides about a request without the table, if that is possible.
-    fn judge_local(&self, now: Millis, request: &Request) -> Option<Verdict> {
+    fn decide_locally(&self, now: Millis, request: &Request) -> Option<Verdict> {
         let other = self
-            .live
+            .current
             .get(&request.id)
             .and_then(|attempt| self.attempts.get(attempt));
         if let Some(other) = other {
@@ -245,7 +245,7 @@
                 _ => Verdict::Refused(attempt::may_have_run(Reason::KeyInUse)),
             });
         }
-        let retry_after_ms = self.group_commit.outage(now)?;
+        let retry_after_ms = self.group_commit.retry_after(now)?;
         Some(Verdict::Refused(unavailable(retry_after_ms)))
     }
 
@@ -283,8 +283,8 @@
         result: group_commit::TransactionResult,
         actions: &mut Vec<Action>,
     ) {
-        let done = self.group_commit.on_transaction_done(now, result);
-        self.settle(done, actions);
+        let settled = self.group_commit.on_transaction_done(now, result);
+        self.settle(settled, actions);
         let unsettled = self.group_commit.unsettled();
         if !unsettled.is_empty() {
             actions.push(Action::Read(unsettled));
@@ -294,7 +294,7 @@
 
     /// Refuses at once what waits for a platform that has just failed.
     fn refuse_queued(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        if self.group_commit.outage(now).is_none() {
+        if self.group_commit.retry_after(now).is_none() {
             return;
         }
         for change in self.group_commit.cancel_claims() {
@@ -307,13 +307,13 @@
         }
     }
 
-    fn settle(&mut self, done: Vec<Done>, actions: &mut Vec<Action>) {
-        for done in done {
-            let name = done.change.attempt.clone();
+    fn settle(&mut self, settled: Vec<SettledChange>, actions: &mut Vec<Action>) {
+        for settled in settled {
+            let name = settled.change.attempt.clone();
             let Some(attempt) = self.attempts.get_mut(&name) else {
                 continue;
             };
-            let steps = attempt.on_done(done);
+            let steps = attempt.on_settled(settled);
             self.perform(&name, steps, actions);
         }
     }
@@ -349,7 +349,7 @@
 
     fn expire(&mut self, rows: Vec<(Id, Row)>) {
         for (id, row) in rows {
-            self.group_commit.push_rest(Change {
+            self.group_commit.push_background(Change {
                 // No attempt waits for the fate of the row.
                 attempt: Name::default(),
                 id,
@@ -361,40 +361,40 @@
     }
 
     fn perform(&mut self, name: &Name, steps: Vec<Step>, actions: &mut Vec<Action>) {
-        self.unlist_unsent(name);
+        self.free_key_if_unsent(name);
         for step in steps {
             match step {
                 Step::Claim(change) => self.group_commit.push_claim(change),
-                Step::Rest(change) => self.push_rest(name, change),
-                Step::Ask(row) => self.query_holder(name, &row, actions),
+                Step::Write(change) => self.push_background(name, change),
+                Step::QueryHolder(row) => self.query_holder(name, &row, actions),
                 Step::Decide(verdict) => actions.push(self.decide(name, verdict)),
-                Step::Forget => self.forget(name),
+                Step::Remove => self.remove_attempt(name),
             }
         }
     }
 
     /// Makes room for a new request with the key of an attempt that will never be sent.
-    fn unlist_unsent(&mut self, name: &Name) {
+    fn free_key_if_unsent(&mut self, name: &Name) {
         if let Some(attempt) = self.attempts.get(name)
             && attempt.status() == Status::Unsent
-            && self.live.get(attempt.id()) == Some(name)
+            && self.current.get(attempt.id()) == Some(name)
         {
-            self.live.remove(attempt.id());
+            self.current.remove(attempt.id());
         }
     }
 
-    fn push_rest(&mut self, name: &Name, change: Change) {
+    fn push_background(&mut self, name: &Name, change: Change) {
         let releasing = self.attempts.get(name).is_some_and(Attempt::is_releasing);
         if releasing && !self.releasing.contains(name) {
             if self.releasing.len() >= self.settings.max_backlog {
                 // Whoever meets the row still learns here that it was not sent.
                 self.dropped += 1;
-                self.forget(name);
+                self.remove_attempt(name);
                 return;
             }
             self.releasing.insert(name.clone());
         }
-        self.group_commit.push_rest(change);
+        self.group_commit.push_background(change);
     }
 
     fn query_holder(&mut self, requester: &Name, row: &Row, actions: &mut Vec<Action>) {
@@ -431,12 +431,12 @@
         }
     }
 
-    fn forget(&mut self, name: &Name) {
+    fn remove_attempt(&mut self, name: &Name) {
         let Some(attempt) = self.attempts.remove(name) else {
             return;
         };
-        if self.live.get(attempt.id()) == Some(name) {
-            self.live.remove(attempt.id());
+        if self.current.get(attempt.id()) == Some(name) {
+            self.current.remove(attempt.id());
         }
         self.releasing.remove(name);
     }
--- a/filbertpaddle-core/src/group_commit.rs
+++ b/filbertpaddle-core/src/group_commit.rs
@@ -15,10 +15,10 @@
 
 /// Part of a transaction kept for changes that are not claims, so that a
 /// stream of claims cannot hold them up for ever.
-const REST_SHARE: usize = 4;
+const BACKGROUND_RESERVE_DIVISOR: usize = 4;
 
 /// A change that was lost fewer times than this is tried again at once.
-const MAX_HOPEFUL_TRIES: u32 = 2;
+const MAX_UNCONFIRMED_TRIES: u32 = 2;
 
 /// One conditional change of a claim's row.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -42,7 +42,7 @@
 
 /// What became of one change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Fate {
+pub enum ChangeOutcome {
     /// The change was made.
     Committed {
         /// Table revision of the row, zero if it was deleted.
@@ -61,13 +61,13 @@
     Unknown,
 }
 
-/// A change with its fate.
+/// A change with its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Done {
+pub struct SettledChange {
     /// The change.
     pub change: Change,
     /// What became of it.
-    pub fate: Fate,
+    pub outcome: ChangeOutcome,
 }
 
 /// What the platform said about the transaction in flight.
@@ -126,9 +126,9 @@
 pub struct GroupCommit {
     settings: Settings,
     claims: VecDeque<Change>,
-    rest: VecDeque<Change>,
+    background: VecDeque<Change>,
     stage: Stage,
-    earliest_ms: Millis,
+    earliest_start_ms: Millis,
     failing: bool,
 }
 
@@ -138,9 +138,9 @@
         Self {
             settings,
             claims: VecDeque::new(),
-            rest: VecDeque::new(),
+            background: VecDeque::new(),
             stage: Stage::Idle,
-            earliest_ms: Millis::ZERO,
+            earliest_start_ms: Millis::ZERO,
             failing: false,
         }
     }
@@ -151,8 +151,8 @@
     }
 
     /// Adds a change that no caller waits for.
-    pub fn push_rest(&mut self, change: Change) {
-        self.rest.push_back(change);
+    pub fn push_background(&mut self, change: Change) {
+        self.background.push_back(change);
     }
 
     /// Takes back the claim of an attempt unless it is in flight.
@@ -170,22 +170,26 @@
     }
 
     /// Returns how long a new claim would better wait, `None` if the platform answers.
-    pub fn outage(&self, now: Millis) -> Option<Millis> {
+    pub fn retry_after(&self, now: Millis) -> Option<Millis> {
         if !self.failing {
             return None;
         }
         // One claim may go ahead and probe once the pause is over.
         let idle = self.stage == Stage::Idle && self.claims.is_empty();
-        if idle && now >= self.earliest_ms {
+        if idle && now >= self.earliest_start_ms {
             return None;
         }
-        Some(self.earliest_ms.since(now).max(self.settings.backoff_ms))
+        Some(
+            self.earliest_start_ms
+                .since(now)
+                .max(self.settings.backoff_ms),
+        )
     }
 
     /// Returns when [`GroupCommit::start`] should be called next, if anything waits.
     pub fn next_start(&self) -> Option<Millis> {
-        let waiting = !self.claims.is_empty() || !self.rest.is_empty();
-        (self.stage == Stage::Idle && waiting).then_some(self.earliest_ms)
+        let waiting = !self.claims.is_empty() || !self.background.is_empty();
+        (self.stage == Stage::Idle && waiting).then_some(self.earliest_start_ms)
     }
 
     /// Returns the changes of the next transaction if it may start now.
@@ -194,21 +198,22 @@
             return None;
         }
         let mut ids = BTreeSet::new();
-        let reserve = (self.settings.max_rows / REST_SHARE).min(self.rest.len());
+        let reserve =
+            (self.settings.max_rows / BACKGROUND_RESERVE_DIVISOR).min(self.background.len());
         let mut changes = Vec::new();
-        take(
+        move_distinct(
             &mut self.claims,
             &mut changes,
             &mut ids,
             self.settings.max_rows.saturating_sub(reserve).max(1),
         );
-        take(
-            &mut self.rest,
+        move_distinct(
+            &mut self.background,
             &mut changes,
             &mut ids,
             self.settings.max_rows,
         );
-        self.earliest_ms = now + self.settings.pace_ms;
+        self.earliest_start_ms = now + self.settings.pace_ms;
         self.stage = Stage::Writing(changes.clone());
         Some(changes)
     }
@@ -217,7 +222,11 @@
     ///
     /// After [`TransactionResult::Unknown`] the rows must be read back: the caller reads
     /// [`GroupCommit::unsettled`] and passes what it found to [`GroupCommit::read_back`].
-    pub fn on_transaction_done(&mut self, now: Millis, result: TransactionResult) -> Vec<Done> {
+    pub fn on_transaction_done(
+        &mut self,
+        now: Millis,
+        result: TransactionResult,
+    ) -> Vec<SettledChange> {
         let Stage::Writing(changes) = std::mem::replace(&mut self.stage, Stage::Idle) else {
             return Vec::new();
         };
@@ -232,10 +241,12 @@
         match result {
             TransactionResult::Committed { revision } => settle(changes, |change| {
                 let revision = change.record.as_ref().map_or(0, |_| revision);
-                Fate::Committed { revision }
+                ChangeOutcome::Committed { revision }
             }),
-            TransactionResult::Conflict { rows } => self.take_out(changes, &rows),
-            TransactionResult::NotDone => settle(without_try(changes), |_| Fate::NotDone),
+            TransactionResult::Conflict { rows } => self.settle_conflicts(changes, &rows),
+            TransactionResult::NotDone => {
+                settle(without_last_try(changes), |_| ChangeOutcome::NotDone)
+            }
             TransactionResult::Unknown => {
                 self.stage = Stage::Reading(changes);
                 Vec::new()
@@ -252,50 +263,62 @@
     }
 
     /// Takes in the rows read back, absent ones left out; `None` if they could not be read.
-    pub fn read_back(&mut self, now: Millis, rows: Option<&BTreeMap<Id, Row>>) -> Vec<Done> {
+    pub fn read_back(
+        &mut self,
+        now: Millis,
+        rows: Option<&BTreeMap<Id, Row>>,
+    ) -> Vec<SettledChange> {
         let Stage::Reading(changes) = std::mem::replace(&mut self.stage, Stage::Idle) else {
             return Vec::new();
         };
-        let done = settle(changes, |change| match rows {
-            Some(rows) => seen(change, rows.get(&change.id)),
-            None => Fate::Unknown,
+        let settled = settle(changes, |change| match rows {
+            Some(rows) => read_back_outcome(change, rows.get(&change.id)),
+            None => ChangeOutcome::Unknown,
         });
-        let committed = |done: &Done| matches!(done.fate, Fate::Committed { .. });
-        let hopeful =
-            |done: &Done| done.fate == Fate::Pending && done.change.tries < MAX_HOPEFUL_TRIES;
-        if done.iter().any(committed) {
+        let committed =
+            |settled: &SettledChange| matches!(settled.outcome, ChangeOutcome::Committed { .. });
+        let retryable = |settled: &SettledChange| {
+            settled.outcome == ChangeOutcome::Pending
+                && settled.change.tries < MAX_UNCONFIRMED_TRIES
+        };
+        if settled.iter().any(committed) {
             // The platform writes; it was only the answer that got lost.
             self.failing = false;
-        } else if !done.iter().any(hopeful) {
+        } else if !settled.iter().any(retryable) {
             self.fail(now);
         }
-        done
+        settled
     }
 
     fn fail(&mut self, now: Millis) {
         self.failing = true;
-        self.earliest_ms = now + self.settings.backoff_ms;
+        self.earliest_start_ms = now + self.settings.backoff_ms;
     }
 
     /// Settles the changes whose row was not as expected and puts the others back in front.
-    fn take_out(&mut self, changes: Vec<Change>, rows: &BTreeMap<Id, Option<Row>>) -> Vec<Done> {
+    fn settle_conflicts(
+        &mut self,
+        changes: Vec<Change>,
+        rows: &BTreeMap<Id, Option<Row>>,
+    ) -> Vec<SettledChange> {
         // The transaction did nothing, so it does not count as a try.
-        let (out, kept): (Vec<_>, Vec<_>) = without_try(changes)
+        let (out, kept): (Vec<_>, Vec<_>) = without_last_try(changes)
             .into_iter()
             .partition(|change| rows.contains_key(&change.id));
         if out.is_empty() {
-            return settle(kept, |_| Fate::NotDone);
+            return settle(kept, |_| ChangeOutcome::NotDone);
         }
         for change in kept.into_iter().rev() {
             if change.is_claim() {
                 self.claims.push_front(change);
             } else {
-                self.rest.push_front(change);
+                self.background.push_front(change);
             }
         }
         settle(out, |change| {
             let row = rows.get(&change.id).and_then(Option::as_ref);
-            made(change, row).unwrap_or_else(|| Fate::Conflict { row: row.cloned() })
+            applied_outcome(change, row)
+                .unwrap_or_else(|| ChangeOutcome::Conflict { row: row.cloned() })
         })
     }
 }
@@ -310,7 +333,12 @@
 }
 
 /// Moves changes of distinct rows until there are `limit`.
-fn take(from: &mut VecDeque<Change>, to: &mut Vec<Change>, ids: &mut BTreeSet<Id>, limit: usize) {
+fn move_distinct(
+    from: &mut VecDeque<Change>,
+    to: &mut Vec<Change>,
+    ids: &mut BTreeSet<Id>,
+    limit: usize,
+) {
     let mut skipped = Vec::new();
     while to.len() < limit {
         let Some(mut change) = from.pop_front() else {
@@ -329,40 +357,40 @@
 }
 
 /// Returns the fate of a change whose row was read back.
-fn seen(change: &Change, row: Option<&Row>) -> Fate {
-    if let Some(fate) = made(change, row) {
-        return fate;
+fn read_back_outcome(change: &Change, row: Option<&Row>) -> ChangeOutcome {
+    if let Some(outcome) = applied_outcome(change, row) {
+        return outcome;
     }
     if row.map(|row| row.revision) == change.expected {
-        return Fate::Pending;
+        return ChangeOutcome::Pending;
     }
-    Fate::Conflict { row: row.cloned() }
+    ChangeOutcome::Conflict { row: row.cloned() }
 }
 
 /// Returns the fate of a change that an earlier try is seen to have made.
-fn made(change: &Change, row: Option<&Row>) -> Option<Fate> {
+fn applied_outcome(change: &Change, row: Option<&Row>) -> Option<ChangeOutcome> {
     if row.map(|row| &row.record) != change.record.as_ref() {
         return None;
     }
-    Some(Fate::Committed {
+    Some(ChangeOutcome::Committed {
         revision: row.map_or(0, |row| row.revision),
     })
 }
 
-fn settle<F>(changes: Vec<Change>, fate: F) -> Vec<Done>
+fn settle<F>(changes: Vec<Change>, outcome: F) -> Vec<SettledChange>
 where
-    F: Fn(&Change) -> Fate,
+    F: Fn(&Change) -> ChangeOutcome,
 {
     changes
         .into_iter()
-        .map(|change| Done {
-            fate: fate(&change),
+        .map(|change| SettledChange {
+            outcome: outcome(&change),
             change,
         })
         .collect()
 }
 
-fn without_try(mut changes: Vec<Change>) -> Vec<Change> {
+fn without_last_try(mut changes: Vec<Change>) -> Vec<Change> {
     for change in &mut changes {
         change.tries -= 1;
     }
