--- a/filbertpaddle-core/benches/claims.rs
+++ b/filbertpaddle-core/benches/claims.rs
@@ -10,8 +10,8 @@
 use criterion::BenchmarkId;
 use criterion::Criterion;
 use criterion::Throughput;
-use filbertpaddle_core::attempt::Verdict;
-use filbertpaddle_core::claim::Ending;
+use filbertpaddle_core::attempt::Decision;
+use filbertpaddle_core::claim::FinalResult;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claim::StoredAnswer;
 use filbertpaddle_core::claims::Action;
@@ -117,7 +117,7 @@
             }
             Action::Decide {
                 attempt,
-                verdict: Verdict::Held,
+                decision: Decision::Held,
             } => {
                 let number: usize = attempt.parse().unwrap_or_default();
                 self.waits_ms.push(now_ms - self.started_ms[number]);
@@ -144,7 +144,7 @@
 fn finish(number: usize) -> Event {
     Event::Finish {
         attempt: number.to_string().into(),
-        ending: Ending {
+        final_result: FinalResult {
             outcome: Outcome::Complete { tokens: 1 },
             answer: StoredAnswer::Inline("done".into()),
         },
--- a/filbertpaddle-core/benches/commit.rs
+++ b/filbertpaddle-core/benches/commit.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::collections::BinaryHeap;
 
-use filbertpaddle_core::attempt::Verdict;
-use filbertpaddle_core::claim::Ending;
+use filbertpaddle_core::attempt::Decision;
+use filbertpaddle_core::claim::FinalResult;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claim::StoredAnswer;
 use filbertpaddle_core::claims;
@@ -148,7 +148,7 @@
                 claims::Action::Transact(changes) => self.hand_in(now, node, changes),
                 claims::Action::Decide {
                     attempt,
-                    verdict: Verdict::Held,
+                    decision: Decision::Held,
                 } => {
                     let number: usize = attempt.parse().unwrap_or_default();
                     self.waits_ms.push(now - self.started_ms[number]);
@@ -219,7 +219,7 @@
 fn finish(number: usize) -> claims::Event {
     claims::Event::Finish {
         attempt: number.to_string().into(),
-        ending: Ending {
+        final_result: FinalResult {
             outcome: Outcome::Complete { tokens: 1 },
             answer: StoredAnswer::Inline("done".into()),
         },
--- a/filbertpaddle-core/src/attempt.rs
+++ b/filbertpaddle-core/src/attempt.rs
@@ -1,6 +1,6 @@
 //! One request with effects on the node that holds it, from its claim to its end.
 
-use crate::claim::Ending;
+use crate::claim::FinalResult;
 use crate::claim::Id;
 use crate::claim::Record;
 use crate::claim::Row;
@@ -15,11 +15,11 @@
 
 /// What the caller's request may do or is told.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum Decision {
     /// The claim is held: the request may be sent once.
     Held,
     /// An earlier request with the same key and body ended like this.
-    Replay(Ending),
+    Replay(FinalResult),
     /// The request is refused.
     Refused(Outcome),
     /// The platform cannot be used now, and this request was not sent.
@@ -36,7 +36,7 @@
     /// Ask the holder of the row.
     QueryHolder(Row),
     /// Tell the caller.
-    Decide(Verdict),
+    Decide(Decision),
     /// Forget the attempt.
     Remove,
 }
@@ -49,8 +49,8 @@
     Asking { row: Row },
     /// The request may be sent, or has been.
     Held { revision: u64 },
-    /// The request has ended and its ending is being written.
-    Finishing { ending: Ending },
+    /// The request has ended and its final_result is being written.
+    Finishing { final_result: FinalResult },
     /// The request will never be sent; a write of its claim is in flight.
     Abandoned { expected: Option<u64> },
     /// The request will never be sent; its row is being cleared.
@@ -93,7 +93,7 @@
     pub fn status(&self) -> Status {
         match &self.phase {
             Phase::Claiming { .. } | Phase::Asking { .. } | Phase::Held { .. } => Status::Running,
-            Phase::Finishing { ending } => Status::Ended(ending.clone()),
+            Phase::Finishing { final_result } => Status::Ended(final_result.clone()),
             Phase::Abandoned { .. } | Phase::Releasing => Status::Unsent,
         }
     }
@@ -122,7 +122,7 @@
             return Vec::new();
         }
         let same_body = row.record.digest == self.record.digest;
-        let verdict = match status {
+        let decision = match status {
             Status::Unsent => {
                 // The holder itself says that it will never send; the write
                 // still takes effect only if the row has not changed since.
@@ -130,25 +130,25 @@
                 self.phase = Phase::Claiming { expected };
                 return vec![self.claim(expected)];
             }
-            _ if !same_body => Verdict::Refused(key_reused()),
-            Status::Ended(ending) => Verdict::Replay(ending),
-            Status::Running => Verdict::Refused(may_have_run(Reason::KeyInUse)),
-            Status::Gone => Verdict::Refused(may_have_run(Reason::HolderGone)),
+            _ if !same_body => Decision::Refused(key_reused()),
+            Status::Ended(final_result) => Decision::Replay(final_result),
+            Status::Running => Decision::Refused(may_have_run(Reason::KeyInUse)),
+            Status::Gone => Decision::Refused(may_have_run(Reason::HolderGone)),
         };
-        vec![Step::Decide(verdict), Step::Remove]
+        vec![Step::Decide(decision), Step::Remove]
     }
 
     /// Gives up on a request that is not held yet: its caller waits no longer.
     ///
     /// `queued` is the attempt's claim if it was taken back from the queue.
-    pub fn give_up(&mut self, queued: Option<Change>) -> Vec<Step> {
+    pub fn abandon(&mut self, queued: Option<Change>) -> Vec<Step> {
         let Phase::Claiming { expected } = self.phase else {
             return match self.phase {
-                Phase::Asking { .. } => vec![Step::Decide(Verdict::Unavailable), Step::Remove],
+                Phase::Asking { .. } => vec![Step::Decide(Decision::Unavailable), Step::Remove],
                 _ => Vec::new(),
             };
         };
-        let decide = Step::Decide(Verdict::Unavailable);
+        let decide = Step::Decide(Decision::Unavailable);
         match queued {
             Some(change) if change.tries == 0 => vec![decide, Step::Remove],
             Some(_) => vec![decide, self.mark_released(expected)],
@@ -160,12 +160,12 @@
     }
 
     /// Ends a request that was held.
-    pub fn finish(&mut self, ending: Ending) -> Vec<Step> {
+    pub fn finish(&mut self, final_result: FinalResult) -> Vec<Step> {
         let Phase::Held { revision } = self.phase else {
             return Vec::new();
         };
-        let step = self.write_ending(revision, ending.clone());
-        self.phase = Phase::Finishing { ending };
+        let step = self.write_final_result(revision, final_result.clone());
+        self.phase = Phase::Finishing { final_result };
         vec![step]
     }
 
@@ -178,7 +178,7 @@
     }
 
     fn on_claim_settled(&mut self, expected: Option<u64>, settled: SettledChange) -> Vec<Step> {
-        let unavailable = Step::Decide(Verdict::Unavailable);
+        let unavailable = Step::Decide(Decision::Unavailable);
         match settled.outcome {
             ChangeOutcome::Committed { revision } => self.hold(revision),
             ChangeOutcome::Conflict { row } => self.on_conflict(row),
@@ -204,10 +204,10 @@
     fn on_final_settled(&mut self, settled: SettledChange) -> Vec<Step> {
         match (settled.outcome, self.phase.clone()) {
             (ChangeOutcome::Committed { .. }, _) => vec![Step::Remove],
-            (ChangeOutcome::Conflict { row: Some(row) }, Phase::Finishing { ending })
+            (ChangeOutcome::Conflict { row: Some(row) }, Phase::Finishing { final_result })
                 if row.record.is_claimed_by(&self.record.attempt) =>
             {
-                vec![self.write_ending(row.revision, ending)]
+                vec![self.write_final_result(row.revision, final_result)]
             }
             (ChangeOutcome::Conflict { .. }, Phase::Finishing { .. }) => vec![Step::Remove],
             (ChangeOutcome::Conflict { row }, _) => self.delete_if_claimed(row),
@@ -239,17 +239,20 @@
                 vec![Step::QueryHolder(row)]
             }
             State::Finished(_) if !same_body => {
-                vec![Step::Decide(Verdict::Refused(key_reused())), Step::Remove]
+                vec![Step::Decide(Decision::Refused(key_reused())), Step::Remove]
             }
-            State::Finished(ending) => {
-                vec![Step::Decide(Verdict::Replay(ending.clone())), Step::Remove]
+            State::Finished(final_result) => {
+                vec![
+                    Step::Decide(Decision::Replay(final_result.clone())),
+                    Step::Remove,
+                ]
             }
         }
     }
 
     fn hold(&mut self, revision: u64) -> Vec<Step> {
         self.phase = Phase::Held { revision };
-        vec![Step::Decide(Verdict::Held)]
+        vec![Step::Decide(Decision::Held)]
     }
 
     /// Clears the row if it still shows this attempt, which was never sent.
@@ -277,8 +280,8 @@
         Step::Claim(self.change(expected, Some(State::Claimed)))
     }
 
-    fn write_ending(&self, revision: u64, ending: Ending) -> Step {
-        Step::Write(self.change(Some(revision), Some(State::Finished(ending))))
+    fn write_final_result(&self, revision: u64, final_result: FinalResult) -> Step {
+        Step::Write(self.change(Some(revision), Some(State::Finished(final_result))))
     }
 
     fn change(&self, expected: Option<u64>, state: Option<State>) -> Change {
--- a/filbertpaddle-core/src/claim.rs
+++ b/filbertpaddle-core/src/claim.rs
@@ -55,12 +55,12 @@
     /// The holder has not sent the request and never will.
     Released,
     /// The request has ended.
-    Finished(Ending),
+    Finished(FinalResult),
 }
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ending {
+pub struct FinalResult {
     /// The outcome told to the caller.
     #[serde(rename = "o")]
     pub outcome: Outcome,
@@ -132,7 +132,7 @@
     Unsent,
     /// It has ended, and the row may not show it yet.
     #[serde(rename = "e")]
-    Ended(Ending),
+    Ended(FinalResult),
     /// The node is another life than the one that made the attempt, or did not answer.
     #[serde(rename = "g")]
     Gone,
--- a/filbertpaddle-core/src/claims.rs
+++ b/filbertpaddle-core/src/claims.rs
@@ -5,9 +5,9 @@
 
 use crate::attempt;
 use crate::attempt::Attempt;
+use crate::attempt::Decision;
 use crate::attempt::Step;
-use crate::attempt::Verdict;
-use crate::claim::Ending;
+use crate::claim::FinalResult;
 use crate::claim::Id;
 use crate::claim::Record;
 use crate::claim::Row;
@@ -61,7 +61,7 @@
     /// A caller's request must be claimed.
     Claim(Request),
     /// The caller of a request that is not held yet waits no longer.
-    GiveUp {
+    Abandon {
         /// The request's attempt.
         attempt: Name,
     },
@@ -75,7 +75,7 @@
         /// The request's attempt.
         attempt: Name,
         /// How it ended.
-        ending: Ending,
+        final_result: FinalResult,
     },
     /// The platform answered the transaction in flight, or failed to.
     TransactionDone(group_commit::TransactionResult),
@@ -122,13 +122,13 @@
         /// The request's attempt.
         attempt: Name,
         /// What it may do or is told.
-        verdict: Verdict,
+        decision: Decision,
     },
 }
 
 /// The claims of one node.
 ///
-/// An attempt stays here until it can no longer be sent, or until its ending
+/// An attempt stays here until it can no longer be sent, or until its final_result
 /// is in the table. So an attempt of this life of the node that is not here
 /// was never sent and never will be, unless its row has changed since.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -189,9 +189,12 @@
         let mut actions = Vec::new();
         match event {
             Event::Claim(request) => self.claim(now, request, &mut actions),
-            Event::GiveUp { attempt } => self.give_up(&attempt, &mut actions),
+            Event::Abandon { attempt } => self.abandon(&attempt, &mut actions),
             Event::Release { attempt } => self.release(&attempt, &mut actions),
-            Event::Finish { attempt, ending } => self.finish(&attempt, ending, &mut actions),
+            Event::Finish {
+                attempt,
+                final_result,
+            } => self.finish(&attempt, final_result, &mut actions),
             Event::TransactionDone(result) => self.on_transaction_done(now, result, &mut actions),
             Event::ReadBack(rows) => {
                 let settled = self.group_commit.read_back(now, rows.as_ref());
@@ -208,10 +211,10 @@
     }
 
     fn claim(&mut self, now: Millis, request: Request, actions: &mut Vec<Action>) {
-        if let Some(verdict) = self.decide_locally(now, &request) {
+        if let Some(decision) = self.decide_locally(now, &request) {
             actions.push(Action::Decide {
                 attempt: request.attempt,
-                verdict,
+                decision,
             });
             return;
         }
@@ -231,30 +234,30 @@
     }
 
     /// Decides about a request without the table, if that is possible.
-    fn decide_locally(&self, now: Millis, request: &Request) -> Option<Verdict> {
+    fn decide_locally(&self, now: Millis, request: &Request) -> Option<Decision> {
         let other = self
             .current
             .get(&request.id)
             .and_then(|attempt| self.attempts.get(attempt));
         if let Some(other) = other {
             if *other.digest() != request.digest {
-                return Some(Verdict::Refused(attempt::key_reused()));
+                return Some(Decision::Refused(attempt::key_reused()));
             }
             return Some(match other.status() {
-                Status::Ended(ending) => Verdict::Replay(ending),
-                _ => Verdict::Refused(attempt::may_have_run(Reason::KeyInUse)),
+                Status::Ended(final_result) => Decision::Replay(final_result),
+                _ => Decision::Refused(attempt::may_have_run(Reason::KeyInUse)),
             });
         }
         let retry_after_ms = self.group_commit.retry_after(now)?;
-        Some(Verdict::Refused(unavailable(retry_after_ms)))
+        Some(Decision::Refused(unavailable(retry_after_ms)))
     }
 
-    fn give_up(&mut self, name: &Name, actions: &mut Vec<Action>) {
+    fn abandon(&mut self, name: &Name, actions: &mut Vec<Action>) {
         let Some(attempt) = self.attempts.get_mut(name) else {
             return;
         };
         let queued = self.group_commit.cancel_claim(name);
-        let steps = attempt.give_up(queued);
+        let steps = attempt.abandon(queued);
         self.perform(name, steps, actions);
     }
 
@@ -266,13 +269,13 @@
         self.perform(name, steps, actions);
     }
 
-    fn finish(&mut self, name: &Name, ending: Ending, actions: &mut Vec<Action>) {
+    fn finish(&mut self, name: &Name, final_result: FinalResult, actions: &mut Vec<Action>) {
         let Some(attempt) = self.attempts.get_mut(name) else {
             return;
         };
-        let steps = match ending.outcome {
+        let steps = match final_result.outcome {
             Outcome::NotRun { .. } => attempt.release(),
-            _ => attempt.finish(ending),
+            _ => attempt.finish(final_result),
         };
         self.perform(name, steps, actions);
     }
@@ -302,7 +305,7 @@
             let Some(attempt) = self.attempts.get_mut(&name) else {
                 continue;
             };
-            let steps = attempt.give_up(Some(change));
+            let steps = attempt.abandon(Some(change));
             self.perform(&name, steps, actions);
         }
     }
@@ -367,7 +370,7 @@
                 Step::Claim(change) => self.group_commit.push_claim(change),
                 Step::Write(change) => self.push_background(name, change),
                 Step::QueryHolder(row) => self.query_holder(name, &row, actions),
-                Step::Decide(verdict) => actions.push(self.decide(name, verdict)),
+                Step::Decide(decision) => actions.push(self.decide(name, decision)),
                 Step::Remove => self.remove_attempt(name),
             }
         }
@@ -418,16 +421,16 @@
         self.on_reply(&reply, actions);
     }
 
-    fn decide(&self, name: &Name, verdict: Verdict) -> Action {
-        let verdict = match verdict {
-            Verdict::Unavailable => {
-                Verdict::Refused(unavailable(self.settings.group_commit.backoff_ms))
+    fn decide(&self, name: &Name, decision: Decision) -> Action {
+        let decision = match decision {
+            Decision::Unavailable => {
+                Decision::Refused(unavailable(self.settings.group_commit.backoff_ms))
             }
-            verdict => verdict,
+            decision => decision,
         };
         Action::Decide {
             attempt: name.clone(),
-            verdict,
+            decision,
         }
     }
 
--- a/filbertpaddle-core/tests/claim_model/main.rs
+++ b/filbertpaddle-core/tests/claim_model/main.rs
@@ -20,17 +20,17 @@
 /// What a whole search saw.
 struct Report {
     states: usize,
-    verdicts: BTreeSet<&'static str>,
+    decisions: BTreeSet<&'static str>,
     most_sent: usize,
 }
 
 /// Visits every state that the budget allows and checks each.
 fn search(budget: Budget) -> Report {
-    let mut verdicts = BTreeSet::new();
+    let mut decisions = BTreeSet::new();
     let mut states = 0;
     let mut most_sent = 0;
     let start = World::new(budget, Mistake::None);
-    let successors = |world: &World| successors(world, &mut verdicts);
+    let successors = |world: &World| successors(world, &mut decisions);
     for world in bfs_reach(start, successors) {
         states += 1;
         most_sent = most_sent.max(world.seen.sent.len());
@@ -41,16 +41,16 @@
     }
     Report {
         states,
-        verdicts,
+        decisions,
         most_sent,
     }
 }
 
-/// Returns the next states; notes the verdicts, which are no part of a state.
-fn successors(world: &World, verdicts: &mut BTreeSet<&'static str>) -> Vec<World> {
+/// Returns the next states; notes the decisions, which are no part of a state.
+fn successors(world: &World, decisions: &mut BTreeSet<&'static str>) -> Vec<World> {
     let mut next = world.successors();
     for world in &mut next {
-        verdicts.extend(world.verdicts.drain(..));
+        decisions.extend(world.decisions.drain(..));
     }
     next
 }
@@ -58,8 +58,8 @@
 /// Returns the steps to the first fault that a mistake leads to.
 fn first_fault(budget: Budget, mistake: Mistake) -> Option<(usize, String)> {
     let start = World::new(budget, mistake);
-    let mut verdicts = BTreeSet::new();
-    let successors = |world: &World| successors(world, &mut verdicts);
+    let mut decisions = BTreeSet::new();
+    let successors = |world: &World| successors(world, &mut decisions);
     let path = bfs(&start, successors, |world| world.seen.fault.is_some())?;
     let fault = path.last()?.seen.fault.clone()?;
     Some((path.len() - 1, fault))
@@ -72,7 +72,7 @@
         crashes: 1,
         silences: 1,
         releases: 1,
-        give_ups: 0,
+        abandonments: 0,
     }
 }
 
@@ -89,13 +89,13 @@
 #[test]
 fn two_submissions_with_a_caller_that_gives_up() {
     let report = search(Budget {
-        give_ups: 1,
+        abandonments: 1,
         ..budget()
     });
     println!("{} states", report.states);
     assert_eq!(report.most_sent, 1);
     let all = ["held", "holder gone", "key in use", "replay", "unavailable"];
-    assert_eq!(report.verdicts, BTreeSet::from(all));
+    assert_eq!(report.decisions, BTreeSet::from(all));
 }
 
 #[test]
@@ -107,7 +107,7 @@
     });
     println!("{} states", report.states);
     assert_eq!(report.most_sent, 1);
-    assert!(report.verdicts.contains("key reused"));
+    assert!(report.decisions.contains("key reused"));
 }
 
 #[test]
--- a/filbertpaddle-core/tests/claim_model/world.rs
+++ b/filbertpaddle-core/tests/claim_model/world.rs
@@ -5,8 +5,8 @@
 use std::hash::Hash;
 use std::hash::Hasher;
 
-use filbertpaddle_core::attempt::Verdict;
-use filbertpaddle_core::claim::Ending;
+use filbertpaddle_core::attempt::Decision;
+use filbertpaddle_core::claim::FinalResult;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claim::Row;
 use filbertpaddle_core::claim::Status;
@@ -50,7 +50,7 @@
     /// Held requests released unsent.
     pub(crate) releases: u8,
     /// Requests whose caller gives up before the claim is decided.
-    pub(crate) give_ups: u8,
+    pub(crate) abandonments: u8,
 }
 
 /// What has been seen on the way to a state.
@@ -71,8 +71,8 @@
     budget: Budget,
     mistake: Mistake,
     pub(crate) seen: Seen,
-    /// Kinds of the verdicts given in the last step.
-    pub(crate) verdicts: Vec<&'static str>,
+    /// Kinds of the decisions given in the last step.
+    pub(crate) decisions: Vec<&'static str>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -135,11 +135,11 @@
             budget,
             mistake,
             seen: Seen::default(),
-            verdicts: Vec::new(),
+            decisions: Vec::new(),
         }
     }
 
-    /// Returns all states that one step leads to, with the verdicts given in that step.
+    /// Returns all states that one step leads to, with the decisions given in that step.
     pub(crate) fn successors(&self) -> Vec<Self> {
         if self.seen.fault.is_some() {
             return Vec::new();
@@ -207,7 +207,7 @@
     fn task_steps(&self, node: usize, attempt: &Name) -> Vec<Self> {
         let task = &self.nodes[node].tasks[attempt];
         match task.stage {
-            Stage::Waiting => self.given_up(node, attempt).into_iter().collect(),
+            Stage::Waiting => self.abandoned(node, attempt).into_iter().collect(),
             Stage::Held => {
                 let released = self.released(node, attempt);
                 released
@@ -219,11 +219,11 @@
         }
     }
 
-    fn given_up(&self, node: usize, attempt: &Name) -> Option<Self> {
+    fn abandoned(&self, node: usize, attempt: &Name) -> Option<Self> {
         let mut world = self.clone();
-        world.budget.give_ups = world.budget.give_ups.checked_sub(1)?;
+        world.budget.abandonments = world.budget.abandonments.checked_sub(1)?;
         let attempt = attempt.clone();
-        world.on(node, Event::GiveUp { attempt });
+        world.on(node, Event::Abandon { attempt });
         Some(world)
     }
 
@@ -252,12 +252,18 @@
     fn finished(&self, node: usize, attempt: &Name) -> Self {
         let mut world = self.clone();
         world.nodes[node].tasks.remove(attempt);
-        let ending = Ending {
+        let final_result = FinalResult {
             outcome: Outcome::Complete { tokens: 1 },
             answer: StoredAnswer::Inline(attempt.clone()),
         };
         let attempt = attempt.clone();
-        world.on(node, Event::Finish { attempt, ending });
+        world.on(
+            node,
+            Event::Finish {
+                attempt,
+                final_result,
+            },
+        );
         world
     }
 
@@ -401,32 +407,32 @@
                 to: index(&to),
                 reply,
             }),
-            Action::Decide { attempt, verdict } => self.decide(node, &attempt, verdict),
+            Action::Decide { attempt, decision } => self.decide(node, &attempt, decision),
         }
     }
 
-    fn decide(&mut self, node: usize, attempt: &Name, verdict: Verdict) {
+    fn decide(&mut self, node: usize, attempt: &Name, decision: Decision) {
         let Some(task) = self.nodes[node].tasks.remove(attempt) else {
             return self.fail("verdict for nobody");
         };
-        self.verdicts.push(kind(&verdict));
-        match verdict {
-            Verdict::Held => {
+        self.decisions.push(kind(&decision));
+        match decision {
+            Decision::Held => {
                 let stage = Stage::Held;
                 let task = Task { stage, ..task };
                 self.nodes[node].tasks.insert(attempt.clone(), task);
             }
-            Verdict::Replay(ending) => self.check_replay(&task, &ending),
-            Verdict::Refused(Outcome::NotRun { .. }) if self.seen.sent.contains_key(attempt) => {
+            Decision::Replay(final_result) => self.check_replay(&task, &final_result),
+            Decision::Refused(Outcome::NotRun { .. }) if self.seen.sent.contains_key(attempt) => {
                 self.fail("false: not run");
             }
-            Verdict::Refused(_) => {}
-            Verdict::Unavailable => self.fail("verdict not translated"),
+            Decision::Refused(_) => {}
+            Decision::Unavailable => self.fail("decision not translated"),
         }
     }
 
-    fn check_replay(&mut self, task: &Task, ending: &Ending) {
-        let StoredAnswer::Inline(attempt) = &ending.answer else {
+    fn check_replay(&mut self, task: &Task, final_result: &FinalResult) {
+        let StoredAnswer::Inline(attempt) = &final_result.answer else {
             return self.fail("replay without answer");
         };
         if self.seen.sent.get(attempt) != Some(&task.digest) {
@@ -490,19 +496,19 @@
     }
 }
 
-fn kind(verdict: &Verdict) -> &'static str {
-    match verdict {
-        Verdict::Held => "held",
-        Verdict::Replay(_) => "replay",
-        Verdict::Refused(Outcome::MayHaveRun {
+fn kind(decision: &Decision) -> &'static str {
+    match decision {
+        Decision::Held => "held",
+        Decision::Replay(_) => "replay",
+        Decision::Refused(Outcome::MayHaveRun {
             reason: Reason::HolderGone,
         }) => "holder gone",
-        Verdict::Refused(Outcome::MayHaveRun { .. }) => "key in use",
-        Verdict::Refused(Outcome::NotRun {
+        Decision::Refused(Outcome::MayHaveRun { .. }) => "key in use",
+        Decision::Refused(Outcome::NotRun {
             reason: Reason::KeyReused,
             ..
         }) => "key reused",
-        Verdict::Refused(_) | Verdict::Unavailable => "unavailable",
+        Decision::Refused(_) | Decision::Unavailable => "unavailable",
     }
 }
 
--- a/filbertpaddle-core/tests/claims.rs
+++ b/filbertpaddle-core/tests/claims.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use filbertpaddle_core::attempt::Verdict;
+use filbertpaddle_core::attempt::Decision;
 use filbertpaddle_core::claim;
-use filbertpaddle_core::claim::Ending;
+use filbertpaddle_core::claim::FinalResult;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claim::Record;
 use filbertpaddle_core::claim::Row;
@@ -55,20 +55,20 @@
         .unwrap_or_default()
 }
 
-fn verdicts(actions: &[Action]) -> Vec<(&Name, &Verdict)> {
+fn decisions(actions: &[Action]) -> Vec<(&Name, &Decision)> {
     actions
         .iter()
         .filter_map(|action| match action {
-            Action::Decide { attempt, verdict } => Some((attempt, verdict)),
+            Action::Decide { attempt, decision } => Some((attempt, decision)),
             _ => None,
         })
         .collect()
 }
 
-fn is_unavailable(verdict: &Verdict) -> bool {
+fn is_unavailable(decision: &Decision) -> bool {
     matches!(
-        verdict,
-        Verdict::Refused(Outcome::NotRun {
+        decision,
+        Decision::Refused(Outcome::NotRun {
             reason: Reason::PlatformUnavailable,
             retry_after_ms: Some(_),
         })
@@ -94,9 +94,12 @@
     assert_eq!(transaction(&actions).len(), 100);
     let committed = Event::TransactionDone(TransactionResult::Committed { revision: 2 });
     let actions = claims.on(Millis(30), committed);
-    let held = verdicts(&actions);
+    let held = decisions(&actions);
     assert_eq!(held.len(), 100);
-    assert!(held.iter().all(|(_, verdict)| **verdict == Verdict::Held));
+    assert!(
+        held.iter()
+            .all(|(_, decision)| **decision == Decision::Held)
+    );
 }
 
 #[test]
@@ -107,7 +110,7 @@
         Millis(20),
         Event::TransactionDone(TransactionResult::Committed { revision: 1 }),
     );
-    let ending = Ending {
+    let final_result = FinalResult {
         outcome: Outcome::Complete { tokens: 1 },
         answer: claim::StoredAnswer::Absent,
     };
@@ -118,7 +121,7 @@
             holder: "other".into(),
             incarnation: 1,
             claimed_at_ms: Millis(0),
-            state: State::Finished(ending.clone()),
+            state: State::Finished(final_result.clone()),
         },
         revision: 1,
     };
@@ -127,8 +130,8 @@
         Millis(40),
         Event::TransactionDone(TransactionResult::Conflict { rows }),
     );
-    let replay = Verdict::Replay(ending);
-    assert_eq!(verdicts(&actions), [(&attempt(2), &replay)]);
+    let replay = Decision::Replay(final_result);
+    assert_eq!(decisions(&actions), [(&attempt(2), &replay)]);
     let retried = transaction(&actions);
     let ids = retried.iter().map(|change| change.id.clone());
     assert_eq!(ids.collect::<Vec<_>>(), [id(1), id(3)]);
@@ -152,11 +155,11 @@
             .into_iter()
             .flat_map(|event| claims.on(now, event))
             .collect();
-        let refused = verdicts(&actions);
+        let refused = decisions(&actions);
         assert_eq!(refused.len(), 11);
-        assert!(refused.iter().all(|(_, verdict)| is_unavailable(verdict)));
+        assert!(refused.iter().all(|(_, decision)| is_unavailable(decision)));
         let actions = claims.on(Millis(1_001), claim(20));
-        assert!(is_unavailable(verdicts(&actions)[0].1));
+        assert!(is_unavailable(decisions(&actions)[0].1));
         assert_eq!(claims.len(), unsettled);
     }
 }
@@ -169,11 +172,11 @@
         Millis(20),
         Event::TransactionDone(TransactionResult::Unknown),
     );
-    assert_eq!(verdicts(&actions), []);
-    assert_eq!(verdicts(&claims.on(Millis(21), claim(4))), []);
+    assert_eq!(decisions(&actions), []);
+    assert_eq!(decisions(&claims.on(Millis(21), claim(4))), []);
     // The lost claim has not landed, so it is tried again with the others.
     let actions = claims.on(Millis(22), Event::ReadBack(Some(BTreeMap::new())));
-    assert_eq!(verdicts(&actions), []);
+    assert_eq!(decisions(&actions), []);
     assert_eq!(transaction(&actions).len(), 5);
     // Lost twice in a row, it counts as an outage.
     claims.on(
@@ -187,7 +190,7 @@
         Event::TransactionDone(TransactionResult::Unknown),
     );
     let actions = claims.on(Millis(81), Event::ReadBack(Some(BTreeMap::new())));
-    assert_eq!(verdicts(&actions).len(), 5);
+    assert_eq!(decisions(&actions).len(), 5);
 }
 
 #[test]
@@ -201,7 +204,7 @@
     let actions = claims.on(Millis(500), claim(1));
     assert_eq!(transaction(&actions).len(), 1);
     let actions = claims.on(Millis(500), claim(2));
-    assert!(is_unavailable(verdicts(&actions)[0].1));
+    assert!(is_unavailable(decisions(&actions)[0].1));
     claims.on(
         Millis(501),
         Event::TransactionDone(TransactionResult::Committed { revision: 1 }),
@@ -225,7 +228,7 @@
     };
     let rows = BTreeMap::from([(id(0), row)]);
     let actions = claims.on(Millis(11), Event::ReadBack(Some(rows)));
-    assert_eq!(verdicts(&actions), [(&attempt(0), &Verdict::Held)]);
+    assert_eq!(decisions(&actions), [(&attempt(0), &Decision::Held)]);
 }
 
 #[test]
@@ -265,13 +268,13 @@
         Millis(1),
         Event::TransactionDone(TransactionResult::Committed { revision: 1 }),
     );
-    let ending = Ending {
+    let final_result = FinalResult {
         outcome: Outcome::Complete { tokens: 1 },
         answer: claim::StoredAnswer::Inline("answer".into()),
     };
     let finish = Event::Finish {
         attempt: attempt(0),
-        ending: ending.clone(),
+        final_result: final_result.clone(),
     };
     let actions = claims.on(Millis(100), finish);
     assert_eq!(transaction(&actions).len(), 1);
@@ -287,8 +290,8 @@
     });
     let actions = claims.on(Millis(101), resent);
     assert_eq!(
-        verdicts(&actions),
-        [(&attempt(9), &Verdict::Replay(ending))]
+        decisions(&actions),
+        [(&attempt(9), &Decision::Replay(final_result))]
     );
     assert_eq!(claims.next_tick(), Some(Millis(600)));
     assert_eq!(
--- a/filbertpaddle-core/tests/sweep.rs
+++ b/filbertpaddle-core/tests/sweep.rs
@@ -1,6 +1,6 @@
 //! Which claims are kept, and how a pass goes on.
 
-use filbertpaddle_core::claim::Ending;
+use filbertpaddle_core::claim::FinalResult;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claim::Record;
 use filbertpaddle_core::claim::Row;
@@ -38,7 +38,7 @@
 }
 
 fn finished() -> State {
-    State::Finished(Ending {
+    State::Finished(FinalResult {
         outcome: Outcome::Complete { tokens: 1 },
         answer: Default::default(),
     })
--- a/filbertpaddle-wire/tests/claim.rs
+++ b/filbertpaddle-wire/tests/claim.rs
@@ -1,6 +1,6 @@
 //! Changes of claims as they travel to a committer.
 
-use filbertpaddle_core::claim::Ending;
+use filbertpaddle_core::claim::FinalResult;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claim::Record;
 use filbertpaddle_core::claim::State;
@@ -44,7 +44,7 @@
 
 #[test]
 fn changes_survive_a_frame() {
-    let finished = State::Finished(Ending {
+    let finished = State::Finished(FinalResult {
         outcome: Outcome::Complete { tokens: 1 },
         answer: StoredAnswer::Inline("done".into()),
     });
--- a/filbertpaddle/src/claim_actor.rs
+++ b/filbertpaddle/src/claim_actor.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use filbertpaddle_core::attempt::Verdict;
+use filbertpaddle_core::attempt::Decision;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claim::Status;
 use filbertpaddle_core::claim::StatusQuery;
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub(crate) struct Ask {
     pub(crate) request: Request,
-    pub(crate) verdict: oneshot::Sender<Verdict>,
+    pub(crate) verdict: oneshot::Sender<Decision>,
 }
 
 /// Something that happened to the claims.
@@ -78,7 +78,7 @@
     pub(crate) peers: Peers,
     pub(crate) clock: Clock,
     pub(crate) metrics: Arc<Metrics>,
-    pub(crate) waiting: IndexMap<Name, oneshot::Sender<Verdict>>,
+    pub(crate) waiting: IndexMap<Name, oneshot::Sender<Decision>>,
     pub(crate) timer_ms: Option<Millis>,
 }
 
@@ -164,7 +164,7 @@
                 let message = Message::Claim(claim::Message::Tell(reply));
                 self.peers.send(&to, message);
             }
-            Action::Decide { attempt, verdict } => self.decide(&attempt, verdict, own),
+            Action::Decide { attempt, decision } => self.decide(&attempt, decision, own),
         }
     }
 
@@ -208,8 +208,8 @@
         });
     }
 
-    fn decide(&mut self, attempt: &Name, verdict: Verdict, own: &WeakAddress<Self>) {
-        let held = verdict == Verdict::Held;
+    fn decide(&mut self, attempt: &Name, verdict: Decision, own: &WeakAddress<Self>) {
+        let held = verdict == Decision::Held;
         let told = self
             .waiting
             .swap_remove(attempt)
--- a/filbertpaddle/src/claims.rs
+++ b/filbertpaddle/src/claims.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use filbertpaddle_core::attempt::Verdict;
-use filbertpaddle_core::claim::Ending;
+use filbertpaddle_core::attempt::Decision;
+use filbertpaddle_core::claim::FinalResult;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claims as core;
 use filbertpaddle_core::claims::Event;
@@ -153,19 +153,19 @@
     /// Claims a key before anything is sent to a target.
     pub async fn claim(&self, ask: Ask) -> Answer {
         match self.decide(&ask).await {
-            Some(Verdict::Held) => {
+            Some(Decision::Held) => {
                 self.metrics.count("claim.held");
                 Answer::Granted(Claim {
                     attempt: ask.attempt,
                     actor: Some(self.actor.clone()),
                 })
             }
-            Some(Verdict::Replay(ending)) => self.replay(ending).await,
-            Some(Verdict::Refused(outcome)) => {
+            Some(Decision::Replay(ending)) => self.replay(ending).await,
+            Some(Decision::Refused(outcome)) => {
                 self.metrics.count("claim.refused");
                 Answer::Refused(outcome)
             }
-            Some(Verdict::Unavailable) | None => Answer::Refused(Outcome::NotRun {
+            Some(Decision::Unavailable) | None => Answer::Refused(Outcome::NotRun {
                 reason: Reason::PlatformUnavailable,
                 retry_after_ms: None,
             }),
@@ -183,11 +183,14 @@
         let platform = self.platform.clone();
         tokio::spawn(async move {
             let answer = claim_store::store_answer(&platform, &attempt, &finished.text).await;
-            let ending = Ending {
+            let final_result = FinalResult {
                 outcome: finished.outcome,
                 answer,
             };
-            let finish = Event::Finish { attempt, ending };
+            let finish = Event::Finish {
+                attempt,
+                final_result,
+            };
             actor.send(Input(finish)).await.ok();
         });
     }
@@ -212,7 +215,7 @@
         }
     }
 
-    async fn decide(&self, ask: &Ask) -> Option<Verdict> {
+    async fn decide(&self, ask: &Ask) -> Option<Decision> {
         let (verdict, mut decided) = oneshot::channel();
         let request = core::Request {
             id: Id {
@@ -229,14 +232,14 @@
             Err(_) => {
                 // The claim may be held by now, so the last word is waited for.
                 let attempt = ask.attempt.clone();
-                let give_up = Event::GiveUp { attempt };
+                let give_up = Event::Abandon { attempt };
                 self.actor.send(Input(give_up)).await.ok()?;
                 decided.await.ok()
             }
         }
     }
 
-    async fn replay(&self, ending: Ending) -> Answer {
+    async fn replay(&self, ending: FinalResult) -> Answer {
         self.metrics.count("claim.replayed");
         match claim_store::load_answer(&self.platform, ending.answer).await {
             Some(text) => Answer::Replay(Finished {
@@ -258,7 +261,7 @@
         };
         let finish = Event::Finish {
             attempt: self.attempt.clone(),
-            ending: Ending {
+            final_result: FinalResult {
                 outcome: Outcome::MayHaveRun {
                     reason: Reason::TargetFailed,
                 },
--- a/filbertpaddle/tests/at_most_once.rs
+++ b/filbertpaddle/tests/at_most_once.rs
@@ -14,7 +14,7 @@
 use common::fleet::Platform;
 use common::wait;
 use filbertpaddle::clock;
-use filbertpaddle_core::claim::Ending;
+use filbertpaddle_core::claim::FinalResult;
 use filbertpaddle_core::claim::Record;
 use filbertpaddle_core::claim::State;
 use filbertpaddle_core::claim::StoredAnswer;
@@ -396,7 +396,7 @@
 }
 
 fn finished_record(claimed_at_ms: Millis) -> String {
-    let ending = Ending {
+    let ending = FinalResult {
         outcome: COMPLETE,
         answer: StoredAnswer::Inline("done".into()),
     };
