--- a/filbertpaddle-core/benches/commit.rs
+++ b/filbertpaddle-core/benches/commit.rs
@@ -15,8 +15,8 @@
 use filbertpaddle_core::claims::Claims;
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::commit;
+use filbertpaddle_core::commit::ChangeSet;
 use filbertpaddle_core::commit::Committer;
-use filbertpaddle_core::commit::Unit;
 use filbertpaddle_core::group_commit;
 use filbertpaddle_core::group_commit::Change;
 use filbertpaddle_core::name::Name;
@@ -54,7 +54,7 @@
     committer_of: Vec<usize>,
     nodes: Vec<Claims>,
     committers: Vec<Committer>,
-    units: Vec<Vec<Change>>,
+    change_sets: Vec<Vec<Change>>,
     events: BinaryHeap<Reverse<(u64, u64, Due)>>,
     sequence: u64,
     transactions: u64,
@@ -85,7 +85,7 @@
             committers: vec![committer; NODES],
             names,
             committer_of,
-            units: Vec::new(),
+            change_sets: Vec::new(),
             events: BinaryHeap::new(),
             sequence: 0,
             transactions: 0,
@@ -122,13 +122,13 @@
                     let result = group_commit::TransactionResult::Committed { revision };
                     self.node(now, node, claims::Event::TransactionDone(result));
                 }
-                Due::Submit(committer, node, sequence, unit) => {
-                    let unit = Unit {
+                Due::Submit(committer, node, sequence, index) => {
+                    let change_set = ChangeSet {
                         from: self.names[node].clone(),
                         sequence,
-                        changes: std::mem::take(&mut self.units[unit]),
+                        changes: std::mem::take(&mut self.change_sets[index]),
                     };
-                    self.committer(now, committer, commit::Event::Submit(unit));
+                    self.committer(now, committer, commit::Event::Submit(change_set));
                 }
                 Due::Commit(committer) => {
                     let revision = self.transactions;
@@ -167,10 +167,10 @@
         if committer != node {
             *self.received.entry(committer).or_default() += changes.len() as u64;
         }
-        self.units.push(changes);
-        let unit = self.units.len() - 1;
+        self.change_sets.push(changes);
+        let index = self.change_sets.len() - 1;
         let at_ms = now + link_ms(node, committer);
-        self.push(at_ms, Due::Submit(committer, node, self.sequence, unit));
+        self.push(at_ms, Due::Submit(committer, node, self.sequence, index));
     }
 
     fn committer(&mut self, now: u64, committer: usize, event: commit::Event) {
--- a/filbertpaddle-core/src/commit.rs
+++ b/filbertpaddle-core/src/commit.rs
@@ -41,7 +41,7 @@
 
 /// The changes of one node, which are made together or not at all.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Unit {
+pub struct ChangeSet {
     /// Node that wants the changes.
     pub from: Name,
     /// Number that the node gave them.
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// A node hands its changes in.
-    Submit(Unit),
+    Submit(ChangeSet),
     /// The platform answered the transaction in flight, or failed to.
     TransactionDone(TransactionResult),
     /// Time has passed.
@@ -78,18 +78,18 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Waiting {
-    unit: Unit,
-    since_ms: Millis,
+struct QueuedSet {
+    change_set: ChangeSet,
+    queued_at_ms: Millis,
 }
 
 /// Changes of many nodes that wait for a transaction, and those in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Committer {
     settings: Settings,
-    queue: VecDeque<Waiting>,
-    in_flight: Vec<Waiting>,
-    earliest_ms: Millis,
+    queue: VecDeque<QueuedSet>,
+    in_flight: Vec<QueuedSet>,
+    earliest_start_ms: Millis,
 }
 
 impl Committer {
@@ -99,20 +99,20 @@
             settings,
             queue: VecDeque::new(),
             in_flight: Vec::new(),
-            earliest_ms: Millis::ZERO,
+            earliest_start_ms: Millis::ZERO,
         }
     }
 
     /// Returns when [`Event::Tick`] is needed next, if at all.
     pub fn next_tick(&self) -> Option<Millis> {
         let ready = self.in_flight.is_empty() && !self.queue.is_empty();
-        ready.then_some(self.earliest_ms)
+        ready.then_some(self.earliest_start_ms)
     }
 
     /// Takes in an event and returns what must be done.
     pub fn on(&mut self, now: Millis, event: Event) -> Vec<Action> {
         let mut actions = match event {
-            Event::Submit(unit) => self.submit(now, unit),
+            Event::Submit(change_set) => self.submit(now, change_set),
             Event::TransactionDone(result) => self.on_transaction_done(&result),
             Event::Tick => Vec::new(),
         };
@@ -121,41 +121,47 @@
         actions
     }
 
-    fn submit(&mut self, now: Millis, unit: Unit) -> Vec<Action> {
+    fn submit(&mut self, now: Millis, change_set: ChangeSet) -> Vec<Action> {
         if self.queue.len() >= self.settings.max_queue {
-            return vec![reply(&unit, TransactionResult::NotDone)];
+            return vec![reply(&change_set, TransactionResult::NotDone)];
         }
-        let since_ms = now;
-        self.queue.push_back(Waiting { unit, since_ms });
+        let queued_at_ms = now;
+        self.queue.push_back(QueuedSet {
+            change_set,
+            queued_at_ms,
+        });
         Vec::new()
     }
 
     fn on_transaction_done(&mut self, result: &TransactionResult) -> Vec<Action> {
-        let units = std::mem::take(&mut self.in_flight);
+        let sets = std::mem::take(&mut self.in_flight);
         let TransactionResult::Conflict { rows } = result else {
-            return units
+            return sets
                 .iter()
-                .map(|waiting| reply(&waiting.unit, result.clone()))
+                .map(|queued| reply(&queued.change_set, result.clone()))
                 .collect();
         };
-        let (out, kept): (Vec<_>, Vec<_>) = units.into_iter().partition(|waiting| {
-            let mut changes = waiting.unit.changes.iter();
+        let (out, kept): (Vec<_>, Vec<_>) = sets.into_iter().partition(|queued| {
+            let mut changes = queued.change_set.changes.iter();
             changes.any(|change| rows.contains_key(&change.id))
         });
         if out.is_empty() {
-            let refuse = |waiting: &Waiting| reply(&waiting.unit, TransactionResult::NotDone);
+            let refuse = |queued: &QueuedSet| reply(&queued.change_set, TransactionResult::NotDone);
             return kept.iter().map(refuse).collect();
         }
-        for waiting in kept.into_iter().rev() {
-            self.queue.push_front(waiting);
+        for queued in kept.into_iter().rev() {
+            self.queue.push_front(queued);
         }
         out.iter()
-            .map(|waiting| {
-                let ids = waiting.unit.changes.iter().map(|change| &change.id);
+            .map(|queued| {
+                let ids = queued.change_set.changes.iter().map(|change| &change.id);
                 let own: BTreeMap<Id, _> = ids
                     .filter_map(|id| Some((id.clone(), rows.get(id)?.clone())))
                     .collect();
-                reply(&waiting.unit, TransactionResult::Conflict { rows: own })
+                reply(
+                    &queued.change_set,
+                    TransactionResult::Conflict { rows: own },
+                )
             })
             .collect()
     }
@@ -163,13 +169,14 @@
     /// Refuses what has waited so long that its sender reads back already.
     fn expire(&mut self, now: Millis) -> Vec<Action> {
         let max_wait_ms = self.settings.max_wait_ms;
-        let old = |waiting: &Waiting| now.since(waiting.since_ms) > max_wait_ms;
-        let (expired, kept): (VecDeque<_>, VecDeque<_>) =
-            std::mem::take(&mut self.queue).into_iter().partition(old);
+        let is_expired = |queued: &QueuedSet| now.since(queued.queued_at_ms) > max_wait_ms;
+        let (expired, kept): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.queue)
+            .into_iter()
+            .partition(is_expired);
         self.queue = kept;
         expired
             .iter()
-            .map(|waiting| reply(&waiting.unit, TransactionResult::NotDone))
+            .map(|queued| reply(&queued.change_set, TransactionResult::NotDone))
             .collect()
     }
 
@@ -177,26 +184,25 @@
         if self.next_tick()? > now {
             return None;
         }
-        self.earliest_ms = now + self.settings.pace_ms;
+        self.earliest_start_ms = now + self.settings.pace_ms;
         let mut ids = BTreeSet::new();
         let mut rows = 0;
-        for waiting in std::mem::take(&mut self.queue) {
-            let changes = &waiting.unit.changes;
+        for queued in std::mem::take(&mut self.queue) {
+            let changes = &queued.change_set.changes;
             let fits = rows == 0 || rows + changes.len() <= self.settings.max_rows;
             // Two changes of one row cannot be in one transaction.
             let distinct = changes.iter().all(|change| !ids.contains(&change.id));
             if fits && distinct {
                 rows += changes.len();
                 ids.extend(changes.iter().map(|change| change.id.clone()));
-                self.in_flight.push(waiting);
+                self.in_flight.push(queued);
             } else {
-                self.queue.push_back(waiting);
+                self.queue.push_back(queued);
             }
         }
-        let units = self.in_flight.iter();
+        let sets = self.in_flight.iter();
         Some(
-            units
-                .flat_map(|waiting| waiting.unit.changes.clone())
+            sets.flat_map(|queued| queued.change_set.changes.clone())
                 .collect(),
         )
     }
@@ -221,10 +227,10 @@
         .clone()
 }
 
-fn reply(unit: &Unit, result: TransactionResult) -> Action {
+fn reply(change_set: &ChangeSet, result: TransactionResult) -> Action {
     Action::Reply {
-        to: unit.from.clone(),
-        sequence: unit.sequence,
+        to: change_set.from.clone(),
+        sequence: change_set.sequence,
         result,
     }
 }
--- a/filbertpaddle-core/src/sweep.rs
+++ b/filbertpaddle-core/src/sweep.rs
@@ -12,7 +12,7 @@
 /// Rows looked at in one step.
 pub const PAGE_ROWS: u32 = 500;
 /// Longest wait of a new node before its first step.
-pub const START_SPREAD_MS: Millis = Millis::from_secs(10);
+pub const MAX_START_DELAY_MS: Millis = Millis::from_secs(10);
 /// Time between two steps of one node when little is found.
 pub const SLOW_INTERVAL_MS: Millis = Millis::from_secs(120);
 /// Time between two steps of one node when much is found.
--- a/filbertpaddle-core/tests/commit.rs
+++ b/filbertpaddle-core/tests/commit.rs
@@ -7,10 +7,10 @@
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::commit;
 use filbertpaddle_core::commit::Action;
+use filbertpaddle_core::commit::ChangeSet;
 use filbertpaddle_core::commit::Committer;
 use filbertpaddle_core::commit::Event;
 use filbertpaddle_core::commit::Settings;
-use filbertpaddle_core::commit::Unit;
 use filbertpaddle_core::group_commit::Change;
 use filbertpaddle_core::group_commit::TransactionResult;
 use filbertpaddle_core::name::Name;
@@ -30,7 +30,7 @@
         record: None,
         tries: 1,
     };
-    Event::Submit(Unit {
+    Event::Submit(ChangeSet {
         from: from.into(),
         sequence: 1,
         changes: keys.iter().map(change).collect(),
--- a/filbertpaddle/src/claim_commit.rs
+++ b/filbertpaddle/src/claim_commit.rs
@@ -4,9 +4,9 @@
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::commit::Action;
+use filbertpaddle_core::commit::ChangeSet;
 use filbertpaddle_core::commit::Committer;
 use filbertpaddle_core::commit::Event;
-use filbertpaddle_core::commit::Unit;
 use filbertpaddle_core::group_commit::Change;
 use filbertpaddle_core::group_commit::TransactionResult;
 use filbertpaddle_core::name::Name;
@@ -30,7 +30,7 @@
 
 /// Hands in the changes of one node.
 #[derive(Debug)]
-pub(crate) struct Submit(pub(crate) Unit);
+pub(crate) struct Submit(pub(crate) ChangeSet);
 
 #[derive(Debug)]
 struct Answered(TransactionResult);
--- a/filbertpaddle/src/claim_route.rs
+++ b/filbertpaddle/src/claim_route.rs
@@ -4,7 +4,7 @@
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::commit;
-use filbertpaddle_core::commit::Unit;
+use filbertpaddle_core::commit::ChangeSet;
 use filbertpaddle_core::group_commit::Change;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_wire::claim;
@@ -64,7 +64,7 @@
             committer = self.own.name.clone();
         }
         if committer == self.own.name {
-            let unit = Unit {
+            let unit = ChangeSet {
                 from: committer.clone(),
                 sequence,
                 changes,
--- a/filbertpaddle/src/claim_sweep.rs
+++ b/filbertpaddle/src/claim_sweep.rs
@@ -45,7 +45,7 @@
     /// Takes a step from time to time for as long as the node lives.
     pub(crate) async fn run(self) {
         // A random start keeps nodes that started together apart.
-        let start = rand::random_range(0..sweep::START_SPREAD_MS.0);
+        let start = rand::random_range(0..sweep::MAX_START_DELAY_MS.0);
         tokio::time::sleep(clock::duration(Millis(start))).await;
         while self.actor.is_connected() {
             let interval_ms = match self.step().await {
--- a/filbertpaddle/src/claims.rs
+++ b/filbertpaddle/src/claims.rs
@@ -10,8 +10,8 @@
 use filbertpaddle_core::claims as core;
 use filbertpaddle_core::claims::Event;
 use filbertpaddle_core::commit;
+use filbertpaddle_core::commit::ChangeSet;
 use filbertpaddle_core::commit::Committer;
-use filbertpaddle_core::commit::Unit;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_core::outcome::Reason;
@@ -331,7 +331,7 @@
             }
             Message::Tell(reply) => actor.send(Input(Event::ReplyReceived(reply))).await,
             Message::Commit { sequence, changes } => {
-                let unit = Unit {
+                let unit = ChangeSet {
                     from,
                     sequence,
                     changes,
