--- a/filbertpaddle-core/examples/embed.rs
+++ b/filbertpaddle-core/examples/embed.rs
@@ -6,7 +6,7 @@
 use filbertpaddle_core::delivery::Action;
 use filbertpaddle_core::delivery::Delivery;
 use filbertpaddle_core::delivery::Event;
-use filbertpaddle_core::delivery::Promise;
+use filbertpaddle_core::delivery::RestartPolicy;
 use filbertpaddle_core::policy::Settings;
 use filbertpaddle_core::scheduler::Ask;
 use filbertpaddle_core::scheduler::AskId;
@@ -78,9 +78,9 @@
 
 /// Follows a stream with a repeated and a missing token.
 fn deliver() {
-    let promise = Promise {
+    let promise = RestartPolicy {
         idempotent: true,
-        whole: false,
+        buffered: false,
     };
     let mut delivery = Delivery::new(promise, "attempt-1".into());
     for index in [0, 1, 1, 3] {
--- a/filbertpaddle-core/src/delivery.rs
+++ b/filbertpaddle-core/src/delivery.rs
@@ -38,7 +38,7 @@
     /// Pass the token on to the caller.
     Deliver,
     /// Drop the event: it belongs to another attempt.
-    DropCrossed,
+    DropForeign,
     /// Drop the event: the token was delivered before.
     DropDuplicate,
     /// Ask the target for the stream from this index on.
@@ -54,38 +54,38 @@
 
 /// What may be done again when a target fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Promise {
+pub struct RestartPolicy {
     /// Whether running the request twice is harmless.
     pub idempotent: bool,
     /// Whether the caller gets nothing until the answer is whole.
-    pub whole: bool,
+    pub buffered: bool,
 }
 
 /// Most resumes of one attempt without a new token in between.
-pub const MAX_FRUITLESS_RESUMES: u32 = 3;
+pub const MAX_RESUMES_WITHOUT_PROGRESS: u32 = 3;
 
 /// State of one answer on its way to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Delivery {
-    promise: Promise,
+    restart_policy: RestartPolicy,
     attempt: Name,
     next_index: u32,
-    fruitless_resumes: u32,
+    resumes_without_progress: u32,
 }
 
 impl Delivery {
     /// Starts delivery of an attempt that is about to be sent.
-    pub fn new(promise: Promise, attempt: Name) -> Self {
-        Self::resumed(promise, attempt, 0)
+    pub fn new(restart_policy: RestartPolicy, attempt: Name) -> Self {
+        Self::resumed(restart_policy, attempt, 0)
     }
 
     /// Goes on with an attempt of which the caller holds all tokens before `from`.
-    pub fn resumed(promise: Promise, attempt: Name, from: u32) -> Self {
+    pub fn resumed(restart_policy: RestartPolicy, attempt: Name, from: u32) -> Self {
         Self {
-            promise,
+            restart_policy,
             attempt,
             next_index: from,
-            fruitless_resumes: 0,
+            resumes_without_progress: 0,
         }
     }
 
@@ -103,7 +103,7 @@
     pub fn restart(&mut self, attempt: Name) {
         self.attempt = attempt;
         self.next_index = 0;
-        self.fruitless_resumes = 0;
+        self.resumes_without_progress = 0;
     }
 
     /// Decides on one event.
@@ -111,8 +111,8 @@
         match event {
             Event::Token { attempt, index } => self.on_token(attempt, *index),
             Event::End { attempt, tokens } => self.on_end(attempt, *tokens),
-            Event::Cancelled { attempt } if *attempt != self.attempt => Action::DropCrossed,
-            Event::Cancelled { .. } => Action::Finish(self.cut_short(Reason::Cancelled)),
+            Event::Cancelled { attempt } if *attempt != self.attempt => Action::DropForeign,
+            Event::Cancelled { .. } => Action::Finish(self.interrupted_outcome(Reason::Cancelled)),
             Event::Broken => self.resume(),
             Event::Lost => self.on_lost(),
         }
@@ -120,7 +120,7 @@
 
     fn on_token(&mut self, attempt: &Name, index: u32) -> Action {
         if *attempt != self.attempt {
-            return Action::DropCrossed;
+            return Action::DropForeign;
         }
         if index < self.next_index {
             return Action::DropDuplicate;
@@ -129,13 +129,13 @@
             return self.resume();
         }
         self.next_index += 1;
-        self.fruitless_resumes = 0;
+        self.resumes_without_progress = 0;
         Action::Deliver
     }
 
     fn on_end(&mut self, attempt: &Name, tokens: u32) -> Action {
         if *attempt != self.attempt {
-            return Action::DropCrossed;
+            return Action::DropForeign;
         }
         if tokens > self.next_index {
             return self.resume();
@@ -146,10 +146,10 @@
     }
 
     fn resume(&mut self) -> Action {
-        if self.fruitless_resumes >= MAX_FRUITLESS_RESUMES {
+        if self.resumes_without_progress >= MAX_RESUMES_WITHOUT_PROGRESS {
             return self.on_lost();
         }
-        self.fruitless_resumes += 1;
+        self.resumes_without_progress += 1;
         Action::Resume {
             from: self.next_index,
         }
@@ -158,15 +158,15 @@
     // Tokens of two generations are never joined, so only an unseen answer
     // starts again.
     fn on_lost(&self) -> Action {
-        let unseen = self.promise.whole || self.next_index == 0;
-        if self.promise.idempotent && unseen {
+        let nothing_delivered = self.restart_policy.buffered || self.next_index == 0;
+        if self.restart_policy.idempotent && nothing_delivered {
             return Action::Restart;
         }
-        Action::Finish(self.cut_short(Reason::TargetFailed))
+        Action::Finish(self.interrupted_outcome(Reason::TargetFailed))
     }
 
-    fn cut_short(&self, reason: Reason) -> Outcome {
-        if !self.promise.idempotent {
+    fn interrupted_outcome(&self, reason: Reason) -> Outcome {
+        if !self.restart_policy.idempotent {
             return Outcome::MayHaveRun { reason };
         }
         Outcome::Incomplete {
--- a/filbertpaddle-core/tests/delivery.rs
+++ b/filbertpaddle-core/tests/delivery.rs
@@ -3,23 +3,23 @@
 use filbertpaddle_core::delivery::Action;
 use filbertpaddle_core::delivery::Delivery;
 use filbertpaddle_core::delivery::Event;
-use filbertpaddle_core::delivery::MAX_FRUITLESS_RESUMES;
-use filbertpaddle_core::delivery::Promise;
+use filbertpaddle_core::delivery::MAX_RESUMES_WITHOUT_PROGRESS;
+use filbertpaddle_core::delivery::RestartPolicy;
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_core::outcome::Reason;
 use proptest::prelude::*;
 
-const STREAMED: Promise = Promise {
+const STREAMED: RestartPolicy = RestartPolicy {
     idempotent: true,
-    whole: false,
+    buffered: false,
 };
-const WHOLE: Promise = Promise {
+const BUFFERED: RestartPolicy = RestartPolicy {
     idempotent: true,
-    whole: true,
+    buffered: true,
 };
-const WITH_EFFECTS: Promise = Promise {
+const WITH_EFFECTS: RestartPolicy = RestartPolicy {
     idempotent: false,
-    whole: true,
+    buffered: true,
 };
 
 fn token(attempt: &str, index: u32) -> Event {
@@ -32,7 +32,7 @@
 #[test]
 fn crossed_and_duplicate_tokens_are_dropped() {
     let mut delivery = Delivery::new(STREAMED, "a".into());
-    assert_eq!(delivery.on(&token("b", 0)), Action::DropCrossed);
+    assert_eq!(delivery.on(&token("b", 0)), Action::DropForeign);
     assert_eq!(delivery.on(&token("a", 0)), Action::Deliver);
     assert_eq!(delivery.on(&token("a", 0)), Action::DropDuplicate);
     assert_eq!(delivery.on(&token("a", 2)), Action::Resume { from: 1 });
@@ -64,12 +64,12 @@
             reason: Reason::TargetFailed
         })
     );
-    let mut whole = Delivery::new(WHOLE, "a".into());
-    whole.on(&token("a", 0));
-    assert_eq!(whole.on(&Event::Lost), Action::Restart);
-    whole.restart("b".into());
-    assert_eq!(whole.on(&token("a", 1)), Action::DropCrossed);
-    assert_eq!(whole.on(&token("b", 0)), Action::Deliver);
+    let mut buffered = Delivery::new(BUFFERED, "a".into());
+    buffered.on(&token("a", 0));
+    assert_eq!(buffered.on(&Event::Lost), Action::Restart);
+    buffered.restart("b".into());
+    assert_eq!(buffered.on(&token("a", 1)), Action::DropForeign);
+    assert_eq!(buffered.on(&token("b", 0)), Action::Deliver);
 }
 
 #[test]
@@ -87,7 +87,7 @@
         })
     );
     let mut other = Delivery::new(STREAMED, "b".into());
-    assert_eq!(other.on(&cancelled), Action::DropCrossed);
+    assert_eq!(other.on(&cancelled), Action::DropForeign);
     let mut with_effects = Delivery::new(WITH_EFFECTS, "a".into());
     assert_eq!(
         with_effects.on(&cancelled),
@@ -111,7 +111,7 @@
 #[test]
 fn fruitless_resumes_end() {
     let mut delivery = Delivery::new(STREAMED, "a".into());
-    for _ in 0..MAX_FRUITLESS_RESUMES {
+    for _ in 0..MAX_RESUMES_WITHOUT_PROGRESS {
         assert_eq!(delivery.on(&Event::Broken), Action::Resume { from: 0 });
     }
     assert_eq!(delivery.on(&Event::Broken), Action::Restart);
--- a/filbertpaddle/src/generation.rs
+++ b/filbertpaddle/src/generation.rs
@@ -127,7 +127,7 @@
             };
             match self.delivery.on(&event) {
                 Action::Deliver => self.token(self.delivery.delivered_tokens() - 1, text),
-                Action::DropCrossed | Action::DropDuplicate => self.dropped(),
+                Action::DropForeign | Action::DropDuplicate => self.dropped(),
                 action => match self.follow(action).await {
                     Ok(resumed) => stream = resumed,
                     Err(used) => return used,
--- a/filbertpaddle/src/run.rs
+++ b/filbertpaddle/src/run.rs
@@ -4,7 +4,7 @@
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::delivery::Delivery;
-use filbertpaddle_core::delivery::Promise;
+use filbertpaddle_core::delivery::RestartPolicy;
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_core::outcome::Reason;
 use filbertpaddle_core::template;
@@ -55,9 +55,9 @@
 
 impl Run {
     fn new(front: Arc<Front>, request: Request, output: Output) -> Self {
-        let promise = Promise {
+        let promise = RestartPolicy {
             idempotent: request.template.idempotent,
-            whole: request.template.delivery == template::Delivery::Whole,
+            buffered: request.template.delivery == template::Delivery::Whole,
         };
         let delivery = Delivery::new(promise, front.gate.attempt());
         Self {
--- a/filbertpaddle/src/ticket.rs
+++ b/filbertpaddle/src/ticket.rs
@@ -7,7 +7,7 @@
 
 use data_encoding::BASE64URL_NOPAD;
 use filbertpaddle_core::clock::Millis;
-use filbertpaddle_core::delivery::Promise;
+use filbertpaddle_core::delivery::RestartPolicy;
 use filbertpaddle_core::name::Name;
 use hmac::Hmac;
 use hmac::KeyInit;
@@ -49,10 +49,10 @@
 
 impl Ticket {
     /// Returns what may be done again when the target fails.
-    pub fn promise(&self) -> Promise {
-        Promise {
+    pub fn promise(&self) -> RestartPolicy {
+        RestartPolicy {
             idempotent: self.idempotent,
-            whole: false,
+            buffered: false,
         }
     }
 }
