--- a/filbertpaddle-core/src/attempt.rs
+++ b/filbertpaddle-core/src/attempt.rs
@@ -1,4 +1,5 @@
-//! One request with effects on the node that holds it, from its claim to its end.
+//! State machine of one attempt to run a non-idempotent request: claims its key, then
+//! records its final result or releases the claim.
 
 use crate::claim::FinalResult;
 use crate::claim::Id;
@@ -13,31 +14,31 @@
 use crate::outcome::Outcome;
 use crate::outcome::Reason;
 
-/// What the caller's request may do or is told.
+/// Decision on a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Decision {
-    /// The claim is held: the request may be sent once.
+    /// The attempt holds the claim, so the request may be sent once.
     Held,
-    /// An earlier request with the same key and body ended like this.
+    /// An earlier request with the same key and body has this result.
     Replay(FinalResult),
     /// The request is refused.
     Refused(Outcome),
-    /// The platform cannot be used now, and this request was not sent.
+    /// The platform is unavailable, and the request was not sent.
     Unavailable,
 }
 
-/// What an attempt wants done.
+/// Step that the owner of an attempt must perform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
     /// Write a claim.
     Claim(Change),
-    /// Write a change that no caller waits for.
+    /// Write a change that no caller is waiting for.
     Write(Change),
-    /// Ask the holder of the row.
+    /// Query the holder of the row for its status.
     QueryHolder(Row),
-    /// Tell the caller.
+    /// Report the decision to the caller.
     Decide(Decision),
-    /// Forget the attempt.
+    /// Remove the attempt from the node's claims.
     Remove,
 }
 
@@ -45,19 +46,19 @@
 enum Phase {
     /// The claim is being written.
     Claiming { expected: Option<u64> },
-    /// The holder of this row is being asked.
-    Asking { row: Row },
-    /// The request may be sent, or has been.
+    /// The holder of this row has been queried.
+    Querying { row: Row },
+    /// The request may be sent or has been sent.
     Held { revision: u64 },
-    /// The request has ended and its final_result is being written.
+    /// The request has ended, and its final result is being written.
     Finishing { final_result: FinalResult },
-    /// The request will never be sent; a write of its claim is in flight.
+    /// The request will not be sent, but a write of its claim is in flight.
     Abandoned { expected: Option<u64> },
-    /// The request will never be sent; its row is being cleared.
+    /// The request will not be sent, and its row is being deleted or marked released.
     Releasing,
 }
 
-/// One attempt to run a request with effects.
+/// One attempt to run a non-idempotent request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Attempt {
     id: Id,
@@ -66,7 +67,7 @@
 }
 
 impl Attempt {
-    /// Makes an attempt and the first write of its claim.
+    /// Creates an attempt and returns it with the first write of its claim.
     pub fn start(id: Id, record: Record) -> (Self, Vec<Step>) {
         let attempt = Self {
             id,
@@ -77,7 +78,7 @@
         (attempt, steps)
     }
 
-    /// Names the claim.
+    /// Returns the identifier of the claim.
     pub fn id(&self) -> &Id {
         &self.id
     }
@@ -87,35 +88,35 @@
         &self.record.digest
     }
 
-    /// Returns what another node may be told about the attempt.
+    /// Returns the status to report to other nodes.
     ///
-    /// `Unsent` and `Ended` never change again.
+    /// `Unsent` and `Ended` are final.
     pub fn status(&self) -> Status {
         match &self.phase {
-            Phase::Claiming { .. } | Phase::Asking { .. } | Phase::Held { .. } => Status::Running,
+            Phase::Claiming { .. } | Phase::Querying { .. } | Phase::Held { .. } => Status::Running,
             Phase::Finishing { final_result } => Status::Ended(final_result.clone()),
             Phase::Abandoned { .. } | Phase::Releasing => Status::Unsent,
         }
     }
 
-    /// Returns whether the attempt only waits for its row to be cleared.
+    /// Returns whether only the row of the attempt is left to clear.
     pub fn is_releasing(&self) -> bool {
         matches!(self.phase, Phase::Releasing)
     }
 
-    /// Takes in the fate of the attempt's last change.
+    /// Handles the outcome of the attempt's last change.
     pub fn on_settled(&mut self, settled: SettledChange) -> Vec<Step> {
         match self.phase.clone() {
             Phase::Claiming { expected } => self.on_claim_settled(expected, settled),
             Phase::Abandoned { expected } => self.on_abandoned_settled(expected, settled),
             Phase::Finishing { .. } | Phase::Releasing => self.on_final_settled(settled),
-            Phase::Asking { .. } | Phase::Held { .. } => Vec::new(),
+            Phase::Querying { .. } | Phase::Held { .. } => Vec::new(),
         }
     }
 
-    /// Takes in what the holder of the row says about the attempt `about`.
+    /// Handles the status of attempt `about` reported by the holder of its row.
     pub fn on_status(&mut self, about: &Name, status: Status) -> Vec<Step> {
-        let Phase::Asking { row } = &self.phase else {
+        let Phase::Querying { row } = &self.phase else {
             return Vec::new();
         };
         if row.record.attempt != *about {
@@ -124,8 +125,8 @@
         let same_body = row.record.digest == self.record.digest;
         let decision = match status {
             Status::Unsent => {
-                // The holder itself says that it will never send; the write
-                // still takes effect only if the row has not changed since.
+                // The holder has confirmed that it will never send. The write
+                // is still conditional on the revision that was read.
                 let expected = Some(row.revision);
                 self.phase = Phase::Claiming { expected };
                 return vec![self.claim(expected)];
@@ -138,13 +139,13 @@
         vec![Step::Decide(decision), Step::Remove]
     }
 
-    /// Gives up on a request that is not held yet: its caller waits no longer.
+    /// Abandons a request whose claim is not held yet, since its caller stopped waiting.
     ///
-    /// `queued` is the attempt's claim if it was taken back from the queue.
+    /// `queued` is the attempt's claim if it was still queued and has been removed.
     pub fn abandon(&mut self, queued: Option<Change>) -> Vec<Step> {
         let Phase::Claiming { expected } = self.phase else {
             return match self.phase {
-                Phase::Asking { .. } => vec![Step::Decide(Decision::Unavailable), Step::Remove],
+                Phase::Querying { .. } => vec![Step::Decide(Decision::Unavailable), Step::Remove],
                 _ => Vec::new(),
             };
         };
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Ends a request that was held.
+    /// Records the final result of a request whose claim is held.
     pub fn finish(&mut self, final_result: FinalResult) -> Vec<Step> {
         let Phase::Held { revision } = self.phase else {
             return Vec::new();
@@ -169,7 +170,7 @@
         vec![step]
     }
 
-    /// Gives back a claim whose request was not sent and never will be.
+    /// Releases the claim of a request that was not sent and never will be.
     pub fn release(&mut self) -> Vec<Step> {
         let Phase::Held { revision } = self.phase else {
             return Vec::new();
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Decides about a claim whose row was not as expected.
+    /// Handles a row that did not have the expected revision.
     fn on_conflict(&mut self, row: Option<Row>) -> Vec<Step> {
         let Some(row) = row else {
             self.phase = Phase::Claiming { expected: None };
@@ -233,9 +234,10 @@
                 self.phase = Phase::Claiming { expected };
                 vec![self.claim(expected)]
             }
-            // An unsent claim is free for any body, so the holder is asked first.
+            // If the holder never sent its request, any body may take over the
+            // key, so the holder is queried before the digests are compared.
             State::Claimed => {
-                self.phase = Phase::Asking { row: row.clone() };
+                self.phase = Phase::Querying { row: row.clone() };
                 vec![Step::QueryHolder(row)]
             }
             State::Finished(_) if !same_body => {
@@ -255,7 +257,7 @@
         vec![Step::Decide(Decision::Held)]
     }
 
-    /// Clears the row if it still shows this attempt, which was never sent.
+    /// Deletes the row if this attempt, which was never sent, still claims it.
     fn delete_if_claimed(&mut self, row: Option<Row>) -> Vec<Step> {
         match row {
             Some(row) if row.record.is_claimed_by(&self.record.attempt) => {
@@ -265,7 +267,7 @@
         }
     }
 
-    /// Marks the row released, so that a claim still on its way cannot take effect.
+    /// Marks the row released, so that a late write of the claim fails its condition.
     fn mark_released(&mut self, expected: Option<u64>) -> Step {
         self.phase = Phase::Releasing;
         Step::Write(self.change(expected, Some(State::Released)))
@@ -295,7 +297,7 @@
     }
 }
 
-/// The refusal of a key that was used with another body.
+/// Returns the outcome for a key that was used with another body.
 pub fn key_reused() -> Outcome {
     Outcome::NotRun {
         reason: Reason::KeyReused,
@@ -303,7 +305,7 @@
     }
 }
 
-/// The refusal of a request that may be running or have run elsewhere.
+/// Returns the outcome for a request that may be running or have run elsewhere.
 pub fn may_have_run(reason: Reason) -> Outcome {
     Outcome::MayHaveRun { reason }
 }
--- a/filbertpaddle-core/src/claim.rs
+++ b/filbertpaddle-core/src/claim.rs
@@ -1,4 +1,7 @@
-//! Claims: rows that keep a request with effects from running twice.
+//! Claims: table rows that keep a non-idempotent request from running twice.
+//!
+//! A node writes a claim on the customer's idempotency key before it sends the
+//! request to a target, and records the final result in the same row.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,12 +10,12 @@
 use crate::name::Name;
 use crate::outcome::Outcome;
 
-/// Start of the table keys of all claims.
+/// Prefix of the table keys of all claims.
 pub const KEY_PREFIX: &str = "claim/";
-/// Largest answer that is kept in the row itself.
+/// Largest answer stored in the row itself.
 pub const MAX_INLINE_BYTES: usize = 2 * 1024;
 
-/// Names a claim: the customer and its idempotency key.
+/// Identifier of a claim: the customer and its idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id {
     /// Customer that sent the request.
@@ -23,10 +26,10 @@
     pub key: Name,
 }
 
-/// The content of a claim's row.
+/// Content of a claim's row.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Attempt that holds the claim, unique among all attempts of all nodes.
+    /// Attempt that holds the claim; unique across all nodes.
     #[serde(rename = "a")]
     pub attempt: Name,
     /// Digest of the request's body.
@@ -35,57 +38,57 @@
     /// Node that made the attempt.
     #[serde(rename = "h")]
     pub holder: Name,
-    /// Life of that node.
+    /// Incarnation of the holder, which changes at each restart.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// Unix time of the claim.
+    /// Unix time at which the claim was made.
     #[serde(rename = "t")]
     pub claimed_at_ms: Millis,
-    /// What has become of the attempt.
+    /// State of the attempt.
     #[serde(flatten)]
     pub state: State,
 }
 
-/// What has become of the attempt that holds a claim.
+/// Stored state of the attempt that holds a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum State {
-    /// The holder may send the request, or has sent it.
+    /// The holder may send the request or has sent it.
     Claimed,
-    /// The holder has not sent the request and never will.
+    /// The holder did not send the request and never will.
     Released,
     /// The request has ended.
     Finished(FinalResult),
 }
 
-/// How a request ended.
+/// Final result of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FinalResult {
-    /// The outcome told to the caller.
+    /// Outcome reported to the caller.
     #[serde(rename = "o")]
     pub outcome: Outcome,
-    /// Where its answer is kept.
+    /// Where the answer is stored.
     #[serde(rename = "w")]
     pub answer: StoredAnswer,
 }
 
-/// Where the answer to a finished request is kept.
+/// Where the answer to a finished request is stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoredAnswer {
-    /// There is none, or it could not be kept.
+    /// There is no answer, or it could not be stored.
     #[default]
     Absent,
-    /// In the row, at most [`MAX_INLINE_BYTES`].
+    /// In the row; at most [`MAX_INLINE_BYTES`] long.
     Inline(Name),
     /// In the object store under this key.
     Object(Name),
 }
 
-/// A claim's row as it was read.
+/// A claim's row as read from the table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Row {
-    /// Content of the row.
+    /// Parsed content of the row.
     #[serde(rename = "c")]
     pub record: Record,
     /// Table revision of its last write.
@@ -93,47 +96,47 @@
     pub revision: u64,
 }
 
-/// Asks the holder of a claim what has become of it.
+/// Asks the holder of a claim for the status of its attempt.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StatusQuery {
-    /// Attempt on whose behalf the question is asked.
+    /// Attempt that waits for the reply.
     #[serde(rename = "f")]
     pub requester: Name,
     /// Attempt that holds the claim.
     #[serde(rename = "a")]
     pub attempt: Name,
-    /// Life of the holder that made the attempt.
+    /// Incarnation of the holder that made the attempt.
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
 
-/// The holder's answer to a [`StatusQuery`].
+/// The holder's reply to a [`StatusQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StatusReply {
-    /// Attempt on whose behalf the question was asked.
+    /// Attempt that waits for the reply.
     #[serde(rename = "f")]
     pub requester: Name,
-    /// Attempt that the question was about.
+    /// Attempt that the query was about.
     #[serde(rename = "a")]
     pub attempt: Name,
-    /// What has become of it.
+    /// Status of that attempt.
     #[serde(rename = "s")]
     pub status: Status,
 }
 
-/// What a holder knows about an attempt.
+/// Status of an attempt, as reported by the node that made it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Status {
-    /// It may send the request, or has sent it.
+    /// The attempt may send the request or has sent it.
     #[serde(rename = "r")]
     Running,
-    /// It has not sent the request and never will.
+    /// The attempt did not send the request and never will.
     #[serde(rename = "u")]
     Unsent,
-    /// It has ended, and the row may not show it yet.
+    /// The attempt has ended; its row may not show this yet.
     #[serde(rename = "e")]
     Ended(FinalResult),
-    /// The node is another life than the one that made the attempt, or did not answer.
+    /// The node has restarted since it made the attempt, or it did not answer.
     #[serde(rename = "g")]
     Gone,
 }
@@ -151,7 +154,7 @@
     /// assert_eq!(Id::from_row_key("claim/a%2Fb/k/1"), Some(id));
     /// ```
     pub fn row_key(&self) -> String {
-        // The key comes last and needs no escape.
+        // The key is the last part of the path and needs no escaping.
         let customer = self.customer.replace('%', "%25").replace('/', "%2F");
         format!("{KEY_PREFIX}{customer}/{}", self.key)
     }
@@ -168,7 +171,7 @@
 }
 
 impl Record {
-    /// Returns the record with another state.
+    /// Returns a copy of the record with the given state.
     pub fn with_state(&self, state: State) -> Self {
         Self {
             state,
@@ -176,7 +179,7 @@
         }
     }
 
-    /// Returns whether `attempt` holds the claim and has not ended.
+    /// Returns whether `attempt` holds the claim and has neither ended nor released it.
     pub fn is_claimed_by(&self, attempt: &Name) -> bool {
         self.attempt == *attempt && self.state == State::Claimed
     }
--- a/filbertpaddle-core/src/claims.rs
+++ b/filbertpaddle-core/src/claims.rs
@@ -1,4 +1,5 @@
-//! All claims of one node: its requests with effects, and its answers to other nodes.
+//! All claims of one node: claims keys for its non-idempotent requests and answers
+//! status queries of other nodes.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,12 +25,12 @@
 use crate::outcome::Outcome;
 use crate::outcome::Reason;
 
-/// How a node treats its claims.
+/// Settings of a node's claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// How often and how large transactions are.
+    /// Rate and size of transactions.
     pub group_commit: group_commit::Settings,
-    /// Most abandoned claims whose rows wait to be cleared.
+    /// Maximum number of abandoned claims whose rows wait to be cleared.
     pub max_backlog: usize,
 }
 
@@ -42,12 +43,12 @@
     }
 }
 
-/// A request with effects.
+/// A non-idempotent request to claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Request {
-    /// Names the claim.
+    /// Identifier of the claim.
     pub id: Id,
-    /// Unique among all attempts of all nodes.
+    /// Attempt that will run the request; unique across all nodes.
     pub attempt: Name,
     /// Digest of the request's body.
     pub digest: Name,
@@ -55,88 +56,89 @@
     pub now_unix_ms: Millis,
 }
 
-/// What happens to the claims of a node.
+/// Input to [`Claims`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// A caller's request must be claimed.
+    /// A caller's request needs a claim.
     Claim(Request),
-    /// The caller of a request that is not held yet waits no longer.
+    /// The caller stopped waiting for a claim that is not held yet.
     Abandon {
         /// The request's attempt.
         attempt: Name,
     },
-    /// A request that was held has not been sent and never will be.
+    /// A request whose claim is held was not sent and never will be.
     Release {
         /// The request's attempt.
         attempt: Name,
     },
-    /// A request that was held has ended.
+    /// A request whose claim is held has ended.
     Finish {
         /// The request's attempt.
         attempt: Name,
-        /// How it ended.
+        /// Its final result.
         final_result: FinalResult,
     },
-    /// The platform answered the transaction in flight, or failed to.
+    /// The transaction in flight has ended with this result.
     TransactionDone(group_commit::TransactionResult),
-    /// The rows asked for were read, absent ones left out; `None` if that failed.
+    /// The requested rows were read, with absent rows left out; `None` if the read failed.
     ReadBack(Option<BTreeMap<Id, Row>>),
-    /// Another node asks about an attempt of this one.
+    /// Another node queried the status of an attempt of this node.
     QueryReceived {
-        /// The node that asks.
+        /// The node that sent the query.
         from: Name,
         /// The query.
         query: StatusQuery,
     },
-    /// Another node answered a query, or [`Status::Gone`] stands for its silence.
+    /// Another node replied to a query; [`Status::Gone`] if it did not reply in time.
     ReplyReceived(StatusReply),
-    /// Rows that are kept no longer were found.
+    /// Rows past their retention were found.
     Expired(Vec<(Id, Row)>),
     /// Time has passed.
     Tick,
 }
 
-/// What must be done for the claims of a node.
+/// Output of [`Claims`], for the caller to perform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Perform a transaction and report with [`Event::TransactionDone`].
     Transact(Vec<Change>),
     /// Read rows and report with [`Event::ReadBack`].
     Read(Vec<Id>),
-    /// Ask a node and report with [`Event::ReplyReceived`].
+    /// Query a node and report with [`Event::ReplyReceived`].
     SendQuery {
-        /// The node to ask.
+        /// The node to query.
         holder: Name,
         /// The query.
         query: StatusQuery,
     },
-    /// Answer another node.
+    /// Reply to another node.
     SendReply {
-        /// The node that asked.
+        /// The node that sent the query.
         to: Name,
-        /// The answer.
+        /// The reply.
         reply: StatusReply,
     },
-    /// Tell a caller's request what it may do.
+    /// Report a decision to the caller's request.
     Decide {
         /// The request's attempt.
         attempt: Name,
-        /// What it may do or is told.
+        /// The decision.
         decision: Decision,
     },
 }
 
 /// The claims of one node.
 ///
-/// An attempt stays here until it can no longer be sent, or until its final_result
-/// is in the table. So an attempt of this life of the node that is not here
-/// was never sent and never will be, unless its row has changed since.
+/// An attempt stays in the map until it can no longer be sent, or until its
+/// final result is in the table. So an attempt of the current incarnation that
+/// is not in the map was never sent and never will be, unless its row has
+/// changed since.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Claims {
     node: Name,
     incarnation: u64,
     settings: Settings,
-    // Ordered maps, since a model checker hashes them.
+    // Ordered maps, since the model checker hashes the state.
     attempts: BTreeMap<Name, Attempt>,
     current: BTreeMap<Id, Name>,
     releasing: BTreeSet<Name>,
@@ -145,7 +147,7 @@
 }
 
 impl Claims {
-    /// Makes the claims of a node's new life.
+    /// Creates the claims of a node that has just started.
     pub fn new(node: Name, incarnation: u64, settings: Settings) -> Self {
         Self {
             node,
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Returns when [`Event::Tick`] is needed next, if at all.
+    /// Returns when the next [`Event::Tick`] is due, if any.
     pub fn next_tick(&self) -> Option<Millis> {
         self.group_commit.next_start()
     }
@@ -184,7 +186,7 @@
         self.dropped
     }
 
-    /// Takes in an event and returns what must be done.
+    /// Handles an event and returns the actions to perform.
     pub fn on(&mut self, now: Millis, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -233,7 +235,7 @@
         self.perform(&request.attempt, steps, actions);
     }
 
-    /// Decides about a request without the table, if that is possible.
+    /// Decides on a request without access to the table, if possible.
     fn decide_locally(&self, now: Millis, request: &Request) -> Option<Decision> {
         let other = self
             .current
@@ -295,7 +297,7 @@
         self.refuse_queued(now, actions);
     }
 
-    /// Refuses at once what waits for a platform that has just failed.
+    /// Refuses all queued claims at once after a platform failure.
     fn refuse_queued(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if self.group_commit.retry_after(now).is_none() {
             return;
@@ -353,7 +355,7 @@
     fn expire(&mut self, rows: Vec<(Id, Row)>) {
         for (id, row) in rows {
             self.group_commit.push_background(Change {
-                // No attempt waits for the fate of the row.
+                // No attempt waits for the outcome of the deletion.
                 attempt: Name::default(),
                 id,
                 expected: Some(row.revision),
@@ -376,7 +378,7 @@
         }
     }
 
-    /// Makes room for a new request with the key of an attempt that will never be sent.
+    /// Frees the key of an attempt that will never be sent for a new request.
     fn free_key_if_unsent(&mut self, name: &Name) {
         if let Some(attempt) = self.attempts.get(name)
             && attempt.status() == Status::Unsent
@@ -390,7 +392,8 @@
         let releasing = self.attempts.get(name).is_some_and(Attempt::is_releasing);
         if releasing && !self.releasing.contains(name) {
             if self.releasing.len() >= self.settings.max_backlog {
-                // Whoever meets the row still learns here that it was not sent.
+                // A node that finds the row can still query this one, which replies
+                // that the attempt was not sent.
                 self.dropped += 1;
                 self.remove_attempt(name);
                 return;
@@ -445,7 +448,7 @@
     }
 }
 
-/// The refusal of a request while the platform cannot be used.
+/// Returns the outcome for a request while the platform is unavailable.
 fn unavailable(retry_after_ms: Millis) -> Outcome {
     Outcome::NotRun {
         reason: Reason::PlatformUnavailable,
