--- a/filbertpaddle-core/src/commit.rs
+++ b/filbertpaddle-core/src/commit.rs
@@ -1,7 +1,7 @@
-//! A committer: joins the changes of many nodes into one transaction.
+//! Committer: joins the changes of several nodes into one transaction.
 //!
-//! Any number of committers may run at once, and none needs to be agreed on:
-//! every change carries the condition that guards its row.
+//! Any number of committers may run at once without agreement between nodes,
+//! since every change carries the condition that guards its row.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,16 +15,17 @@
 use crate::group_commit::TransactionResult;
 use crate::name::Name;
 
-/// How a committer works.
+/// Settings of a committer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// Most rows in one transaction, unless one node sends more.
+    /// Maximum number of rows in one transaction; a larger change set gets a transaction
+    /// of its own.
     pub max_rows: usize,
-    /// Shortest time between the starts of two transactions.
+    /// Minimum time between the starts of two transactions.
     pub pace_ms: Millis,
-    /// Most nodes' changes that wait.
+    /// Maximum number of queued change sets.
     pub max_queue: usize,
-    /// Longest time that a node's changes wait; their sender has given up by then.
+    /// Maximum time in the queue; the sender stops waiting before that.
     pub max_wait_ms: Millis,
 }
 
@@ -39,40 +40,40 @@
     }
 }
 
-/// The changes of one node, which are made together or not at all.
+/// Changes of one node, committed together or not at all.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ChangeSet {
-    /// Node that wants the changes.
+    /// Node that submitted the changes.
     pub from: Name,
-    /// Number that the node gave them.
+    /// Sequence number assigned by that node.
     pub sequence: u64,
     /// The changes.
     pub changes: Vec<Change>,
 }
 
-/// What happens to a committer.
+/// Input to [`Committer`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// A node hands its changes in.
+    /// A node submitted changes.
     Submit(ChangeSet),
-    /// The platform answered the transaction in flight, or failed to.
+    /// The transaction in flight has ended with this result.
     TransactionDone(TransactionResult),
     /// Time has passed.
     Tick,
 }
 
-/// What a committer does.
+/// Output of [`Committer`], for the caller to perform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Perform a transaction and report with [`Event::TransactionDone`].
     Transact(Vec<Change>),
-    /// Tell a node what became of its changes.
+    /// Report the result to the node that submitted the changes.
     Reply {
         /// The node.
         to: Name,
-        /// Number that it gave its changes.
+        /// Sequence number of its change set.
         sequence: u64,
-        /// What became of them.
+        /// Result of the change set.
         result: TransactionResult,
     },
 }
@@ -83,7 +84,7 @@
     queued_at_ms: Millis,
 }
 
-/// Changes of many nodes that wait for a transaction, and those in flight.
+/// Queue of change sets and the transaction in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Committer {
     settings: Settings,
@@ -93,7 +94,7 @@
 }
 
 impl Committer {
-    /// Makes a committer that has nothing to do.
+    /// Creates an idle committer.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -103,13 +104,13 @@
         }
     }
 
-    /// Returns when [`Event::Tick`] is needed next, if at all.
+    /// Returns when the next [`Event::Tick`] is due, if any.
     pub fn next_tick(&self) -> Option<Millis> {
         let ready = self.in_flight.is_empty() && !self.queue.is_empty();
         ready.then_some(self.earliest_start_ms)
     }
 
-    /// Takes in an event and returns what must be done.
+    /// Handles an event and returns the actions to perform.
     pub fn on(&mut self, now: Millis, event: Event) -> Vec<Action> {
         let mut actions = match event {
             Event::Submit(change_set) => self.submit(now, change_set),
@@ -166,7 +167,7 @@
             .collect()
     }
 
-    /// Refuses what has waited so long that its sender reads back already.
+    /// Refuses change sets that have waited so long that their senders already read back.
     fn expire(&mut self, now: Millis) -> Vec<Action> {
         let max_wait_ms = self.settings.max_wait_ms;
         let is_expired = |queued: &QueuedSet| now.since(queued.queued_at_ms) > max_wait_ms;
@@ -190,7 +191,7 @@
         for queued in std::mem::take(&mut self.queue) {
             let changes = &queued.change_set.changes;
             let fits = rows == 0 || rows + changes.len() <= self.settings.max_rows;
-            // Two changes of one row cannot be in one transaction.
+            // A transaction cannot hold two changes of one row.
             let distinct = changes.iter().all(|change| !ids.contains(&change.id));
             if fits && distinct {
                 rows += changes.len();
@@ -208,10 +209,11 @@
     }
 }
 
-/// Returns the committer that `own` hands its changes to, among the nodes of
-/// its data centre; `nodes` includes `own`.
+/// Returns the committer for the changes of node `own`, chosen by rendezvous
+/// hashing among the nodes of its data centre; `nodes` includes `own`.
 ///
-/// Nodes whose views differ choose differently for a while, which is harmless.
+/// Nodes whose views differ may choose different committers for a while, which
+/// is harmless.
 pub fn choose(own: &Name, nodes: &[Name], nodes_per_committer: usize) -> Name {
     let count = nodes.len().div_ceil(nodes_per_committer.max(1));
     let mut ranked: Vec<&Name> = nodes.iter().collect();
--- a/filbertpaddle-core/src/group_commit.rs
+++ b/filbertpaddle-core/src/group_commit.rs
@@ -1,4 +1,4 @@
-//! Group commit: many row changes in one transaction, one transaction at a time.
+//! Group commit on one node: joins queued row changes into one transaction at a time.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,51 +13,52 @@
 use crate::clock::Millis;
 use crate::name::Name;
 
-/// Part of a transaction kept for changes that are not claims, so that a
-/// stream of claims cannot hold them up for ever.
+/// One row in this many of a transaction is reserved for background changes,
+/// so that a steady stream of claims cannot starve them.
 const BACKGROUND_RESERVE_DIVISOR: usize = 4;
 
-/// A change that was lost fewer times than this is tried again at once.
+/// A change whose answer was lost is retried without a pause until it has been tried
+/// this often.
 const MAX_UNCONFIRMED_TRIES: u32 = 2;
 
 /// One conditional change of a claim's row.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// Attempt that wants the change; not told to a committer.
+    /// Attempt that requested the change; not sent to a committer.
     #[serde(skip)]
     pub attempt: Name,
-    /// Row to change.
+    /// Claim whose row changes.
     #[serde(rename = "i")]
     pub id: Id,
-    /// Revision that the row must have; `None` means absent.
+    /// Revision that the row must have; `None` if it must be absent.
     #[serde(rename = "e")]
     pub expected: Option<u64>,
     /// New content; `None` deletes the row.
     #[serde(rename = "r")]
     pub record: Option<Record>,
-    /// Transactions so far that may have made the change; not told to a committer.
+    /// Number of transactions that may have applied the change; not sent to a committer.
     #[serde(skip)]
     pub tries: u32,
 }
 
-/// What became of one change.
+/// Outcome of one change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ChangeOutcome {
-    /// The change was made.
+    /// The change was applied.
     Committed {
-        /// Table revision of the row, zero if it was deleted.
+        /// Table revision of the row; zero if it was deleted.
         revision: u64,
     },
-    /// The change was not made, since the row was otherwise.
+    /// The change was not applied, since the row was not as expected.
     Conflict {
-        /// The row as it is.
+        /// The current row.
         row: Option<Row>,
     },
-    /// The change was not made, since the platform refused or was not reached.
+    /// The change was not applied, since the platform refused it or was unreachable.
     NotDone,
-    /// The answer was lost; the change was not there when read back, but may come.
+    /// The answer was lost. The read-back did not show the change, but it may still be applied.
     Pending,
-    /// The answer was lost and nothing could be read back.
+    /// The answer was lost and the row could not be read back.
     Unknown,
 }
 
@@ -66,37 +67,37 @@
 pub struct SettledChange {
     /// The change.
     pub change: Change,
-    /// What became of it.
+    /// Its outcome.
     pub outcome: ChangeOutcome,
 }
 
-/// What the platform said about the transaction in flight.
+/// Result of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TransactionResult {
-    /// All changes were made.
+    /// All changes were applied.
     Committed {
         /// Table revision of the writes.
         revision: u64,
     },
-    /// No change was made, since these rows were not as expected.
+    /// No change was applied, since these rows were not as expected.
     Conflict {
-        /// The rows as they are, by claim.
+        /// The current rows by claim; `None` if absent.
         rows: BTreeMap<Id, Option<Row>>,
     },
-    /// No change was made.
+    /// No change was applied.
     NotDone,
-    /// Nothing is known.
+    /// The answer was lost, so the changes may or may not have been applied.
     Unknown,
 }
 
-/// How often and how large transactions are.
+/// Rate and size of transactions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// Most rows in one transaction.
+    /// Maximum number of rows in one transaction.
     pub max_rows: usize,
-    /// Shortest time between the starts of two transactions.
+    /// Minimum time between the starts of two transactions.
     pub pace_ms: Millis,
-    /// Pause after a transaction that failed.
+    /// Pause after a failed transaction.
     pub backoff_ms: Millis,
 }
 
@@ -110,7 +111,7 @@
     }
 }
 
-/// What the batch is waiting for.
+/// State of the transaction in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
     Idle,
@@ -118,10 +119,10 @@
     Reading(Vec<Change>),
 }
 
-/// Changes that wait for a transaction, and the one in flight.
+/// Queue of changes and the transaction in flight.
 ///
-/// The next transaction starts when the one before is settled, so its size
-/// follows the load and an idle node adds no delay.
+/// The next transaction starts when the previous one is settled, so its size
+/// follows the load, and an idle node adds no delay.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct GroupCommit {
     settings: Settings,
@@ -145,17 +146,17 @@
         }
     }
 
-    /// Adds a claim, which goes before other changes.
+    /// Queues a claim, which takes priority over background changes.
     pub fn push_claim(&mut self, change: Change) {
         self.claims.push_back(change);
     }
 
-    /// Adds a change that no caller waits for.
+    /// Queues a change that no caller is waiting for.
     pub fn push_background(&mut self, change: Change) {
         self.background.push_back(change);
     }
 
-    /// Takes back the claim of an attempt unless it is in flight.
+    /// Removes the claim of an attempt from the queue and returns it, unless it is in flight.
     pub fn cancel_claim(&mut self, attempt: &Name) -> Option<Change> {
         let index = self
             .claims
@@ -164,17 +165,18 @@
         self.claims.remove(index)
     }
 
-    /// Takes back all claims that are not in flight.
+    /// Removes all queued claims and returns them.
     pub fn cancel_claims(&mut self) -> Vec<Change> {
         self.claims.drain(..).collect()
     }
 
-    /// Returns how long a new claim would better wait, `None` if the platform answers.
+    /// Returns how long the caller should wait before it retries; `None` if a claim may be
+    /// queued now.
     pub fn retry_after(&self, now: Millis) -> Option<Millis> {
         if !self.failing {
             return None;
         }
-        // One claim may go ahead and probe once the pause is over.
+        // After the pause, one claim may probe whether the platform has recovered.
         let idle = self.stage == Stage::Idle && self.claims.is_empty();
         if idle && now >= self.earliest_start_ms {
             return None;
@@ -186,13 +188,14 @@
         )
     }
 
-    /// Returns when [`GroupCommit::start`] should be called next, if anything waits.
+    /// Returns when [`GroupCommit::start`] is due next, if a change is queued and no
+    /// transaction is in flight.
     pub fn next_start(&self) -> Option<Millis> {
         let waiting = !self.claims.is_empty() || !self.background.is_empty();
         (self.stage == Stage::Idle && waiting).then_some(self.earliest_start_ms)
     }
 
-    /// Returns the changes of the next transaction if it may start now.
+    /// Starts the next transaction if it is due and returns its changes.
     pub fn start(&mut self, now: Millis) -> Option<Vec<Change>> {
         if self.next_start()? > now {
             return None;
@@ -218,10 +221,10 @@
         Some(changes)
     }
 
-    /// Takes in the platform's answer to the transaction in flight.
+    /// Handles the result of the transaction in flight.
     ///
-    /// After [`TransactionResult::Unknown`] the rows must be read back: the caller reads
-    /// [`GroupCommit::unsettled`] and passes what it found to [`GroupCommit::read_back`].
+    /// After [`TransactionResult::Unknown`] the caller must read the rows of
+    /// [`GroupCommit::unsettled`] and pass them to [`GroupCommit::read_back`].
     pub fn on_transaction_done(
         &mut self,
         now: Millis,
@@ -235,7 +238,7 @@
                 self.failing = false;
             }
             TransactionResult::NotDone => self.fail(now),
-            // One lost answer is no outage: what is read back decides.
+            // One lost answer is not yet an outage; the read-back decides.
             TransactionResult::Unknown => {}
         }
         match result {
@@ -262,7 +265,7 @@
         }
     }
 
-    /// Takes in the rows read back, absent ones left out; `None` if they could not be read.
+    /// Handles the rows read back, with absent rows left out; `None` if the read failed.
     pub fn read_back(
         &mut self,
         now: Millis,
@@ -282,7 +285,7 @@
                 && settled.change.tries < MAX_UNCONFIRMED_TRIES
         };
         if settled.iter().any(committed) {
-            // The platform writes; it was only the answer that got lost.
+            // The platform commits writes; only the answer was lost.
             self.failing = false;
         } else if !settled.iter().any(retryable) {
             self.fail(now);
@@ -295,13 +298,14 @@
         self.earliest_start_ms = now + self.settings.backoff_ms;
     }
 
-    /// Settles the changes whose row was not as expected and puts the others back in front.
+    /// Settles the changes whose rows were not as expected and returns the others to the
+    /// head of their queues.
     fn settle_conflicts(
         &mut self,
         changes: Vec<Change>,
         rows: &BTreeMap<Id, Option<Row>>,
     ) -> Vec<SettledChange> {
-        // The transaction did nothing, so it does not count as a try.
+        // The transaction applied nothing, so it does not count as a try.
         let (out, kept): (Vec<_>, Vec<_>) = without_last_try(changes)
             .into_iter()
             .partition(|change| rows.contains_key(&change.id));
@@ -324,7 +328,7 @@
 }
 
 impl Change {
-    /// Returns whether the change makes a claim.
+    /// Returns whether the change writes a claim.
     pub fn is_claim(&self) -> bool {
         self.record
             .as_ref()
@@ -332,7 +336,7 @@
     }
 }
 
-/// Moves changes of distinct rows until there are `limit`.
+/// Moves changes of distinct rows from a queue to a transaction until it has `limit` rows.
 fn move_distinct(
     from: &mut VecDeque<Change>,
     to: &mut Vec<Change>,
@@ -356,7 +360,7 @@
     }
 }
 
-/// Returns the fate of a change whose row was read back.
+/// Returns the outcome of a change from its row as read back.
 fn read_back_outcome(change: &Change, row: Option<&Row>) -> ChangeOutcome {
     if let Some(outcome) = applied_outcome(change, row) {
         return outcome;
@@ -367,7 +371,8 @@
     ChangeOutcome::Conflict { row: row.cloned() }
 }
 
-/// Returns the fate of a change that an earlier try is seen to have made.
+/// Returns the outcome of a change that an earlier try has applied; `None` if the row does
+/// not show it.
 fn applied_outcome(change: &Change, row: Option<&Row>) -> Option<ChangeOutcome> {
     if row.map(|row| &row.record) != change.record.as_ref() {
         return None;
