--- a/filbertpaddle-core/src/clock.rs
+++ b/filbertpaddle-core/src/clock.rs
@@ -8,8 +8,8 @@
 
 /// A point in time or a span, in milliseconds.
 ///
-/// The origin is the caller's: monotonic time since process start for
-/// decisions, Unix time for what is stored.
+/// The caller chooses the origin: process start on the monotonic clock for
+/// decisions, the Unix epoch for stored timestamps.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,7 +17,7 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The origin, or an empty span.
+    /// The origin, or a span of zero length.
     pub const ZERO: Self = Self(0);
 
     /// Returns a span of whole seconds.
--- a/filbertpaddle-core/src/delivery.rs
+++ b/filbertpaddle-core/src/delivery.rs
@@ -1,70 +1,71 @@
-//! Delivery of one answer: each token once, in order, from one generation.
+//! Delivery of one answer to its caller: each token once, in order and from a single
+//! generation.
 
 use crate::name::Name;
 use crate::outcome::Outcome;
 use crate::outcome::Reason;
 
-/// What a target sent on the stream of an attempt.
+/// Event on the target's stream of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// A token arrived.
     Token {
-        /// Attempt named on the event.
+        /// Attempt that the event names.
         attempt: Name,
         /// Position of the token, from zero.
         index: u32,
     },
     /// The generation ended at the target.
     End {
-        /// Attempt named on the event.
+        /// Attempt that the event names.
         attempt: Name,
-        /// Number of tokens of the whole generation.
+        /// Total number of tokens of the generation.
         tokens: u32,
     },
     /// The generation was cancelled at the target.
     Cancelled {
-        /// Attempt named on the event.
+        /// Attempt that the event names.
         attempt: Name,
     },
-    /// The stream broke, and the target may still run the attempt.
+    /// The stream broke; the target may still be running the attempt.
     Broken,
-    /// The target has gone or no longer knows the attempt.
+    /// The target is gone or no longer has the attempt.
     Lost,
 }
 
-/// What to do next.
+/// Action to take after an event.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Pass the token on to the caller.
     Deliver,
-    /// Drop the event: it belongs to another attempt.
+    /// Drop the event, which belongs to another attempt.
     DropForeign,
-    /// Drop the event: the token was delivered before.
+    /// Drop the event, since its token was already delivered.
     DropDuplicate,
-    /// Ask the target for the stream from this index on.
+    /// Request the stream from the target again, starting at this index.
     Resume {
-        /// Position of the next token wanted.
+        /// Position of the next token to deliver.
         from: u32,
     },
-    /// Give up this attempt and start another on another target.
+    /// Abandon this attempt and start a new one on another target.
     Restart,
-    /// Tell the caller how it ended.
+    /// Report the final outcome to the caller.
     Finish(Outcome),
 }
 
-/// What may be done again when a target fails.
+/// Properties of a request that decide whether it may restart when a target fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RestartPolicy {
-    /// Whether running the request twice is harmless.
+    /// Whether the request may safely run twice.
     pub idempotent: bool,
-    /// Whether the caller gets nothing until the answer is whole.
+    /// Whether the caller receives nothing until the answer is complete.
     pub buffered: bool,
 }
 
-/// Most resumes of one attempt without a new token in between.
+/// Maximum number of consecutive resumes of one attempt without a new token.
 pub const MAX_RESUMES_WITHOUT_PROGRESS: u32 = 3;
 
-/// State of one answer on its way to the caller.
+/// Delivery state of one answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Delivery {
     restart_policy: RestartPolicy,
@@ -74,12 +75,12 @@
 }
 
 impl Delivery {
-    /// Starts delivery of an attempt that is about to be sent.
+    /// Creates the delivery of an attempt that is about to be sent.
     pub fn new(restart_policy: RestartPolicy, attempt: Name) -> Self {
         Self::resumed(restart_policy, attempt, 0)
     }
 
-    /// Goes on with an attempt of which the caller holds all tokens before `from`.
+    /// Creates the delivery of an attempt whose tokens before `from` the caller already has.
     pub fn resumed(restart_policy: RestartPolicy, attempt: Name, from: u32) -> Self {
         Self {
             restart_policy,
@@ -94,7 +95,7 @@
         &self.attempt
     }
 
-    /// Returns the number of tokens the caller holds.
+    /// Returns the number of tokens delivered so far.
     pub fn delivered_tokens(&self) -> u32 {
         self.next_index
     }
@@ -106,7 +107,7 @@
         self.resumes_without_progress = 0;
     }
 
-    /// Decides on one event.
+    /// Handles one event and returns the action to take.
     pub fn on(&mut self, event: &Event) -> Action {
         match event {
             Event::Token { attempt, index } => self.on_token(attempt, *index),
@@ -155,8 +156,8 @@
         }
     }
 
-    // Tokens of two generations are never joined, so only an unseen answer
-    // starts again.
+    // Tokens of two generations are never mixed, so an answer restarts only if
+    // the caller has received none of it.
     fn on_lost(&self) -> Action {
         let nothing_delivered = self.restart_policy.buffered || self.next_index == 0;
         if self.restart_policy.idempotent && nothing_delivered {
--- a/filbertpaddle-core/src/lib.rs
+++ b/filbertpaddle-core/src/lib.rs
@@ -1,8 +1,8 @@
 //! Coordination decisions for serving generations of unknown length.
 //!
-//! Every part is a plain struct that takes the time and a typed event and
-//! yields typed actions. Nothing here performs I/O, reads a wall clock or
-//! knows which transport carries its messages.
+//! Each component is a plain struct that takes the current time and a typed
+//! event and returns typed actions. The crate performs no I/O, reads no clock
+//! and does not depend on the transport of its messages.
 
 pub mod apart;
 pub mod ask;
--- a/filbertpaddle-core/src/name.rs
+++ b/filbertpaddle-core/src/name.rs
@@ -1,4 +1,4 @@
-//! Shared immutable names.
+//! The string type of names: immutable and cheap to clone.
 
 /// The name of a customer, template, VM, target, data centre or model.
 ///
--- a/filbertpaddle-core/src/outcome.rs
+++ b/filbertpaddle-core/src/outcome.rs
@@ -1,11 +1,11 @@
-//! What became of a request.
+//! Final outcomes of requests, as reported to callers.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::clock::Millis;
 
-/// The final answer to a request.
+/// The final outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum Outcome {
@@ -14,14 +14,14 @@
         /// Number of tokens in the answer.
         tokens: u32,
     },
-    /// Nothing was sent to any target.
+    /// The request was not sent to any target.
     NotRun {
         /// Why the request was refused.
         reason: Reason,
-        /// When the caller may come back; `None` if repeating cannot help.
+        /// Time after which the caller may retry; `None` if a retry cannot succeed.
         retry_after_ms: Option<Millis>,
     },
-    /// A target may have started the request and its effects are unknown.
+    /// A target may have started the request, so its effects are unknown.
     MayHaveRun {
         /// Why the result is unknown.
         reason: Reason,
@@ -35,7 +35,7 @@
     },
 }
 
-/// Why a request did not end with its whole answer.
+/// Why a request did not end with a complete answer.
 #[derive(
     Clone,
     Copy,
@@ -53,7 +53,7 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Reason {
-    /// The request itself is malformed or names something unknown.
+    /// The request is malformed or names an unknown object.
     BadRequest,
     /// The caller's key or the operator's token is missing or wrong.
     Unauthorized,
@@ -65,20 +65,20 @@
     KeyInUse,
     /// The caller's deadline has passed or cannot be met.
     Deadline,
-    /// No capacity is expected in time.
+    /// No capacity is expected before the deadline.
     Overloaded,
-    /// No target for the model is in service.
+    /// No target serves the model.
     NoTarget,
     /// The platform's table cannot be reached.
     PlatformUnavailable,
     /// This VM is draining.
     Draining,
-    /// The request has crashed too many targets.
+    /// Too many targets crashed while they ran the request.
     Quarantined,
-    /// The target failed while it ran the request.
+    /// The target failed while running the request.
     TargetFailed,
     /// The caller cancelled the request.
     Cancelled,
-    /// The node that ran the request has gone.
+    /// The node that ran the request has restarted or does not answer.
     HolderGone,
 }
