--- a/filbertpaddle-core/tests/claims.rs
+++ b/filbertpaddle-core/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Group commit and outages of one node's claims.
+//! Claims of one node: group commit, lost answers and platform outages.
 
 use std::collections::BTreeMap;
 
@@ -76,16 +76,16 @@
 }
 
 /// Starts a transaction with claim 0 and queues claims 1 to `last` behind it.
-fn queued(claims: &mut Claims, last: u32) {
+fn start_and_queue(claims: &mut Claims, last: u32) {
     for key in 0..=last {
         claims.on(Millis(0), claim(key));
     }
 }
 
 #[test]
-fn claims_that_wait_share_the_next_transaction() {
+fn queued_claims_share_the_next_transaction() {
     let mut claims = claims();
-    queued(&mut claims, 100);
+    start_and_queue(&mut claims, 100);
     claims.on(
         Millis(15),
         Event::TransactionDone(TransactionResult::Committed { revision: 1 }),
@@ -103,9 +103,9 @@
 }
 
 #[test]
-fn conflicting_row_is_taken_out_and_the_rest_is_retried() {
+fn conflicting_row_is_removed_and_the_rest_is_retried() {
     let mut claims = claims();
-    queued(&mut claims, 3);
+    start_and_queue(&mut claims, 3);
     claims.on(
         Millis(20),
         Event::TransactionDone(TransactionResult::Committed { revision: 1 }),
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn failed_transaction_refuses_all_that_wait_at_once() {
+fn failed_transaction_refuses_all_queued_claims() {
     let failures = [
         vec![Event::TransactionDone(TransactionResult::NotDone)],
         vec![
@@ -149,7 +149,7 @@
     for events in failures {
         let unsettled = events.len() - 1;
         let mut claims = claims();
-        queued(&mut claims, 10);
+        start_and_queue(&mut claims, 10);
         let now = Millis(1_000);
         let actions: Vec<Action> = events
             .into_iter()
@@ -165,20 +165,20 @@
 }
 
 #[test]
-fn one_lost_answer_is_no_outage() {
+fn one_lost_answer_is_not_an_outage() {
     let mut claims = claims();
-    queued(&mut claims, 3);
+    start_and_queue(&mut claims, 3);
     let actions = claims.on(
         Millis(20),
         Event::TransactionDone(TransactionResult::Unknown),
     );
     assert_eq!(decisions(&actions), []);
     assert_eq!(decisions(&claims.on(Millis(21), claim(4))), []);
-    // The lost claim has not landed, so it is tried again with the others.
+    // The read-back shows no claim, so it is retried with the others.
     let actions = claims.on(Millis(22), Event::ReadBack(Some(BTreeMap::new())));
     assert_eq!(decisions(&actions), []);
     assert_eq!(transaction(&actions).len(), 5);
-    // Lost twice in a row, it counts as an outage.
+    // A second lost answer in a row counts as an outage.
     claims.on(
         Millis(50),
         Event::TransactionDone(TransactionResult::Unknown),
@@ -194,9 +194,9 @@
 }
 
 #[test]
-fn one_claim_probes_after_the_pause() {
+fn one_claim_probes_after_the_backoff() {
     let mut claims = claims();
-    queued(&mut claims, 0);
+    start_and_queue(&mut claims, 0);
     claims.on(
         Millis(0),
         Event::TransactionDone(TransactionResult::NotDone),
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn claim_seen_after_a_lost_answer_is_held() {
+fn claim_read_back_after_a_lost_answer_is_held() {
     let mut claims = claims();
     let sent = transaction(&claims.on(Millis(0), claim(0)));
     let actions = claims.on(
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn ending_is_kept_until_it_is_in_the_table() {
+fn final_result_is_kept_until_it_is_committed() {
     let mut claims = claims();
     claims.on(Millis(0), claim(0));
     claims.on(
--- a/filbertpaddle-core/tests/commit.rs
+++ b/filbertpaddle-core/tests/commit.rs
@@ -1,4 +1,4 @@
-//! Joining the changes of many nodes.
+//! A committer joins the change sets of several nodes into shared transactions.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -56,15 +56,15 @@
         .collect()
 }
 
-fn started() -> Committer {
+fn committer_in_flight() -> Committer {
     let mut committer = Committer::new(Settings::default());
     assert_eq!(keys(&committer.on(Millis(0), submit("a", &[1]))), ["1"]);
     committer
 }
 
 #[test]
-fn changes_of_many_nodes_share_a_transaction() {
-    let mut committer = started();
+fn change_sets_of_several_nodes_share_a_transaction() {
+    let mut committer = committer_in_flight();
     committer.on(Millis(1), submit("b", &[2, 3]));
     committer.on(Millis(2), submit("c", &[4]));
     let committed = TransactionResult::Committed { revision: 1 };
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn conflict_of_one_node_does_not_touch_the_others() {
-    let mut committer = started();
+fn conflict_of_one_node_does_not_affect_the_others() {
+    let mut committer = committer_in_flight();
     committer.on(Millis(1), submit("b", &[2, 3]));
     committer.on(Millis(2), submit("c", &[4]));
     committer.on(
@@ -90,8 +90,8 @@
 }
 
 #[test]
-fn changes_of_one_row_wait_for_each_other() {
-    let mut committer = started();
+fn changes_of_one_row_go_into_separate_transactions() {
+    let mut committer = committer_in_flight();
     committer.on(Millis(1), submit("b", &[2]));
     committer.on(Millis(2), submit("c", &[2]));
     let committed = Event::TransactionDone(TransactionResult::Committed { revision: 1 });
@@ -103,14 +103,14 @@
 #[test]
 fn unknown_and_not_done_reach_every_node_in_flight() {
     for result in [TransactionResult::Unknown, TransactionResult::NotDone] {
-        let mut committer = started();
+        let mut committer = committer_in_flight();
         let actions = committer.on(Millis(1), Event::TransactionDone(result.clone()));
         assert_eq!(replies(&actions), [("a", &result)]);
     }
 }
 
 #[test]
-fn full_queue_and_long_wait_are_refused_as_not_done() {
+fn full_queue_and_long_wait_are_reported_as_not_done() {
     let mut committer = Committer::new(Settings {
         max_queue: 1,
         ..Settings::default()
--- a/filbertpaddle-core/tests/delivery.rs
+++ b/filbertpaddle-core/tests/delivery.rs
@@ -1,4 +1,4 @@
-//! Tokens are delivered once, in order, and from one generation.
+//! Tokens are delivered once, in order and from a single generation.
 
 use filbertpaddle_core::delivery::Action;
 use filbertpaddle_core::delivery::Delivery;
@@ -17,7 +17,7 @@
     idempotent: true,
     buffered: true,
 };
-const WITH_EFFECTS: RestartPolicy = RestartPolicy {
+const NON_IDEMPOTENT: RestartPolicy = RestartPolicy {
     idempotent: false,
     buffered: true,
 };
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn crossed_and_duplicate_tokens_are_dropped() {
+fn foreign_and_duplicate_tokens_are_dropped() {
     let mut delivery = Delivery::new(STREAMED, "a".into());
     assert_eq!(delivery.on(&token("b", 0)), Action::DropForeign);
     assert_eq!(delivery.on(&token("a", 0)), Action::Deliver);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_early_end_is_resumed_not_believed() {
+fn end_before_the_last_token_resumes_the_stream() {
     let mut delivery = Delivery::new(STREAMED, "a".into());
     let end = Event::End {
         attempt: "a".into(),
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn two_generations_are_never_joined() {
+fn tokens_of_two_generations_are_never_mixed() {
     let mut streamed = Delivery::new(STREAMED, "a".into());
     streamed.on(&token("a", 0));
     assert_eq!(
@@ -88,9 +88,9 @@
     );
     let mut other = Delivery::new(STREAMED, "b".into());
     assert_eq!(other.on(&cancelled), Action::DropForeign);
-    let mut with_effects = Delivery::new(WITH_EFFECTS, "a".into());
+    let mut non_idempotent = Delivery::new(NON_IDEMPOTENT, "a".into());
     assert_eq!(
-        with_effects.on(&cancelled),
+        non_idempotent.on(&cancelled),
         Action::Finish(Outcome::MayHaveRun {
             reason: Reason::Cancelled
         })
@@ -98,8 +98,8 @@
 }
 
 #[test]
-fn effects_are_not_repeated() {
-    let mut delivery = Delivery::new(WITH_EFFECTS, "a".into());
+fn non_idempotent_request_is_not_restarted() {
+    let mut delivery = Delivery::new(NON_IDEMPOTENT, "a".into());
     assert_eq!(
         delivery.on(&Event::Lost),
         Action::Finish(Outcome::MayHaveRun {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn fruitless_resumes_end() {
+fn resumes_without_progress_are_limited() {
     let mut delivery = Delivery::new(STREAMED, "a".into());
     for _ in 0..MAX_RESUMES_WITHOUT_PROGRESS {
         assert_eq!(delivery.on(&Event::Broken), Action::Resume { from: 0 });
--- a/filbertpaddle-core/tests/sweep.rs
+++ b/filbertpaddle-core/tests/sweep.rs
@@ -1,4 +1,4 @@
-//! Which claims are kept, and how a pass goes on.
+//! Retention of claims, paging and conditional removal of expired rows.
 
 use filbertpaddle_core::claim::FinalResult;
 use filbertpaddle_core::claim::Id;
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn claims_are_kept_for_their_time() {
+fn claims_expire_after_their_retention() {
     let day = sweep::RETENTION_MS;
     let hour = sweep::RELEASED_RETENTION_MS;
     let page = vec![
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn full_page_goes_on_and_much_to_delete_hurries() {
+fn full_page_continues_and_many_expired_rows_shorten_the_interval() {
     let old = sweep::RETENTION_MS + Millis(1);
     let page = (0..sweep::PAGE_ROWS).map(|number| entry(number, old, finished()));
     let step = sweep::step(page.collect(), NOW);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn expired_rows_are_deleted_only_as_they_were_seen() {
+fn expired_rows_are_deleted_only_at_the_revision_read() {
     let mut claims = Claims::new("node".into(), 1, Settings::default());
     let expired = sweep::step(
         vec![entry(7, sweep::RETENTION_MS + Millis(1), finished())],
