--- a/filbertpaddle-core/tests/claim_model/main.rs
+++ b/filbertpaddle-core/tests/claim_model/main.rs
@@ -1,7 +1,7 @@
-//! Model check of claims: all interleavings of two nodes with one key.
+//! Model checker for claims: explores all interleavings of two nodes that claim
+//! one key, and checks that at most one request is sent.
 //!
-//! Messages are never ordered, so a pause of a node is the same as messages
-//! to it that arrive late.
+//! Messages arrive in any order, so a paused node is covered by late messages.
 
 mod world;
 
@@ -11,42 +11,43 @@
 use pathfinding::directed::bfs::bfs_reach;
 
 use world::Budget;
-use world::Mistake;
+use world::Mutation;
 use world::World;
 
 const SAME_BODY: &str = "digest";
 const OTHER_BODY: &str = "other digest";
 
-/// What a whole search saw.
+/// Result of a complete search.
 struct Report {
     states: usize,
     decisions: BTreeSet<&'static str>,
-    most_sent: usize,
+    max_sent: usize,
 }
 
-/// Visits every state that the budget allows and checks each.
+/// Visits and checks every state that the budget allows.
 fn search(budget: Budget) -> Report {
     let mut decisions = BTreeSet::new();
     let mut states = 0;
-    let mut most_sent = 0;
-    let start = World::new(budget, Mistake::None);
+    let mut max_sent = 0;
+    let start = World::new(budget, Mutation::None);
     let successors = |world: &World| successors(world, &mut decisions);
     for world in bfs_reach(start, successors) {
         states += 1;
-        most_sent = most_sent.max(world.seen.sent.len());
-        assert_eq!(world.seen.fault, None, "{world:#?}");
-        if world.is_quiet() {
-            assert!(world.is_settled(), "left over: {world:#?}");
+        max_sent = max_sent.max(world.history.sent.len());
+        assert_eq!(world.history.violation, None, "{world:#?}");
+        if world.is_quiescent() {
+            assert!(world.is_settled(), "unsettled claims: {world:#?}");
         }
     }
     Report {
         states,
         decisions,
-        most_sent,
+        max_sent,
     }
 }
 
-/// Returns the next states; notes the decisions, which are no part of a state.
+/// Returns the successor states and moves their decisions out, so that states do
+/// not differ by them.
 fn successors(world: &World, decisions: &mut BTreeSet<&'static str>) -> Vec<World> {
     let mut next = world.successors();
     for world in &mut next {
@@ -55,14 +56,16 @@
     next
 }
 
-/// Returns the steps to the first fault that a mistake leads to.
-fn first_fault(budget: Budget, mistake: Mistake) -> Option<(usize, String)> {
-    let start = World::new(budget, mistake);
+/// Returns the number of steps to the first violation under a mutation, and its text.
+fn first_violation(budget: Budget, mutation: Mutation) -> Option<(usize, String)> {
+    let start = World::new(budget, mutation);
     let mut decisions = BTreeSet::new();
     let successors = |world: &World| successors(world, &mut decisions);
-    let path = bfs(&start, successors, |world| world.seen.fault.is_some())?;
-    let fault = path.last()?.seen.fault.clone()?;
-    Some((path.len() - 1, fault))
+    let path = bfs(&start, successors, |world| {
+        world.history.violation.is_some()
+    })?;
+    let violation = path.last()?.history.violation.clone()?;
+    Some((path.len() - 1, violation))
 }
 
 fn budget() -> Budget {
@@ -70,7 +73,7 @@
         submissions: vec![SAME_BODY; 2],
         losses: 1,
         crashes: 1,
-        silences: 1,
+        reply_timeouts: 1,
         releases: 1,
         abandonments: 0,
     }
@@ -83,17 +86,17 @@
         ..budget()
     });
     println!("{} states", report.states);
-    assert_eq!(report.most_sent, 1);
+    assert_eq!(report.max_sent, 1);
 }
 
 #[test]
-fn two_submissions_with_a_caller_that_gives_up() {
+fn two_submissions_with_an_abandoned_request() {
     let report = search(Budget {
         abandonments: 1,
         ..budget()
     });
     println!("{} states", report.states);
-    assert_eq!(report.most_sent, 1);
+    assert_eq!(report.max_sent, 1);
     let all = ["held", "holder gone", "key in use", "replay", "unavailable"];
     assert_eq!(report.decisions, BTreeSet::from(all));
 }
@@ -106,22 +109,22 @@
         ..budget()
     });
     println!("{} states", report.states);
-    assert_eq!(report.most_sent, 1);
+    assert_eq!(report.max_sent, 1);
     assert!(report.decisions.contains("key reused"));
 }
 
 #[test]
-fn takeover_on_a_timer_is_caught() {
-    let fault = first_fault(budget(), Mistake::TakeoverOnTimer);
-    let (steps, fault) = fault.expect("the checker must find the mistake");
-    println!("{fault} after {steps} steps");
-    assert_eq!(fault, "sent twice");
+fn takeover_on_a_timer_is_detected() {
+    let violation = first_violation(budget(), Mutation::TakeoverOnTimer);
+    let (steps, violation) = violation.expect("the model checker must find the mutation");
+    println!("{violation} after {steps} steps");
+    assert_eq!(violation, "sent twice");
 }
 
 #[test]
-fn restart_with_the_same_incarnation_is_caught() {
-    let fault = first_fault(budget(), Mistake::SameIncarnation);
-    let (steps, fault) = fault.expect("the checker must find the mistake");
-    println!("{fault} after {steps} steps");
-    assert_eq!(fault, "sent twice");
+fn restart_with_the_same_incarnation_is_detected() {
+    let violation = first_violation(budget(), Mutation::SameIncarnation);
+    let (steps, violation) = violation.expect("the model checker must find the mutation");
+    println!("{violation} after {steps} steps");
+    assert_eq!(violation, "sent twice");
 }
--- a/filbertpaddle-core/tests/claim_model/world.rs
+++ b/filbertpaddle-core/tests/claim_model/world.rs
@@ -1,4 +1,4 @@
-//! Two nodes, one claim's row and the network between them.
+//! State of the model: two nodes, the row of one claim and the messages in transit.
 
 use std::collections::BTreeMap;
 use std::hash::DefaultHasher;
@@ -25,41 +25,41 @@
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_core::outcome::Reason;
 
-/// A mistake that the model checker must find.
+/// Fault put into the model on purpose, which the model checker must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Mistake {
-    /// None: the system as it is.
+pub(crate) enum Mutation {
+    /// The unchanged system.
     None,
-    /// A holder that does not answer in time is taken to have released its claim.
+    /// A holder that does not reply in time is assumed to have released its claim.
     TakeoverOnTimer,
-    /// A node that restarts keeps its incarnation.
+    /// A node keeps its incarnation when it restarts.
     SameIncarnation,
 }
 
-/// How often each fault and choice may still occur.
+/// Remaining number of each fault and choice.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Budget {
-    /// Digests of the bodies still to be submitted, last first.
+    /// Digests of the bodies still to be submitted, taken from the end.
     pub(crate) submissions: Vec<&'static str>,
-    /// Answers lost or late, and requests refused.
+    /// Platform answers lost or delayed, and transactions refused.
     pub(crate) losses: u8,
-    /// Crashes with restart.
+    /// Node crashes, each followed by a restart.
     pub(crate) crashes: u8,
-    /// Questions whose answer is late.
-    pub(crate) silences: u8,
-    /// Held requests released unsent.
+    /// Status queries whose reply times out.
+    pub(crate) reply_timeouts: u8,
+    /// Requests released unsent after their claim was held.
     pub(crate) releases: u8,
-    /// Requests whose caller gives up before the claim is decided.
+    /// Requests abandoned by their caller before the claim is decided.
     pub(crate) abandonments: u8,
 }
 
-/// What has been seen on the way to a state.
+/// Facts recorded on the path to a state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Seen {
+pub(crate) struct History {
     /// Attempts that were sent, with the digest of their body.
     pub(crate) sent: BTreeMap<Name, Name>,
-    /// What went wrong.
-    pub(crate) fault: Option<String>,
+    /// First violation of an invariant, if any.
+    pub(crate) violation: Option<String>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -67,11 +67,11 @@
     nodes: [Node; 2],
     row: Option<Row>,
     revision: u64,
-    flights: Vec<Flight>,
+    messages: Vec<Message>,
     budget: Budget,
-    mistake: Mistake,
-    pub(crate) seen: Seen,
-    /// Kinds of the decisions given in the last step.
+    mutation: Mutation,
+    pub(crate) history: History,
+    /// Kinds of the decisions made in the last step.
     pub(crate) decisions: Vec<&'static str>,
 }
 
@@ -95,17 +95,17 @@
     Sent,
 }
 
-/// Something on its way over the network.
+/// Message in transit between a node and the platform or another node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Flight {
+enum Message {
     Transact {
         node: usize,
         changes: Vec<Change>,
         awaited: bool,
     },
-    Answer {
+    TransactionDone {
         node: usize,
-        answer: group_commit::TransactionResult,
+        result: group_commit::TransactionResult,
     },
     Read {
         node: usize,
@@ -126,22 +126,22 @@
 }
 
 impl World {
-    pub(crate) fn new(budget: Budget, mistake: Mistake) -> Self {
+    pub(crate) fn new(budget: Budget, mutation: Mutation) -> Self {
         Self {
             nodes: [Node::new(0, 1), Node::new(1, 1)],
             row: None,
             revision: 0,
-            flights: Vec::new(),
+            messages: Vec::new(),
             budget,
-            mistake,
-            seen: Seen::default(),
+            mutation,
+            history: History::default(),
             decisions: Vec::new(),
         }
     }
 
-    /// Returns all states that one step leads to, with the decisions given in that step.
+    /// Returns all successor states, each with the decisions made in its step.
     pub(crate) fn successors(&self) -> Vec<Self> {
-        if self.seen.fault.is_some() {
+        if self.history.violation.is_some() {
             return Vec::new();
         }
         let mut next = Vec::new();
@@ -152,18 +152,18 @@
                 next.extend(self.task_steps(node, attempt));
             }
         }
-        for index in 0..self.flights.len() {
-            next.extend(self.flight_steps(index));
+        for index in 0..self.messages.len() {
+            next.extend(self.message_steps(index));
         }
         next
     }
 
-    /// Returns whether nothing can happen but new submissions and faults.
-    pub(crate) fn is_quiet(&self) -> bool {
-        self.flights.is_empty() && self.nodes.iter().all(|node| node.tasks.is_empty())
+    /// Returns whether only new submissions and faults are possible.
+    pub(crate) fn is_quiescent(&self) -> bool {
+        self.messages.is_empty() && self.nodes.iter().all(|node| node.tasks.is_empty())
     }
 
-    /// Returns whether no node has anything left to settle.
+    /// Returns whether all attempts of all nodes are settled.
     pub(crate) fn is_settled(&self) -> bool {
         self.nodes.iter().all(|node| node.claims.is_empty())
     }
@@ -192,14 +192,16 @@
     fn crashed(&self, node: usize) -> Option<Self> {
         let mut world = self.clone();
         world.budget.crashes = world.budget.crashes.checked_sub(1)?;
-        let incarnation = match world.mistake {
-            Mistake::SameIncarnation => world.nodes[node].incarnation,
+        let incarnation = match world.mutation {
+            Mutation::SameIncarnation => world.nodes[node].incarnation,
             _ => world.nodes[node].incarnation + 1,
         };
         world.nodes[node] = Node::new(node, incarnation);
-        world.flights.retain(|flight| !flight.ends_with(node));
-        for flight in &mut world.flights {
-            flight.orphan(node);
+        world
+            .messages
+            .retain(|message| !message.is_lost_in_crash_of(node));
+        for message in &mut world.messages {
+            message.detach_transaction(node);
         }
         Some(world)
     }
@@ -241,10 +243,10 @@
         if let Some(task) = world.nodes[node].tasks.get_mut(attempt) {
             task.stage = Stage::Sent;
             let digest = task.digest.clone();
-            world.seen.sent.insert(attempt.clone(), digest);
+            world.history.sent.insert(attempt.clone(), digest);
         }
-        if world.seen.sent.len() > 1 {
-            world.fail("sent twice");
+        if world.history.sent.len() > 1 {
+            world.record_violation("sent twice");
         }
         world
     }
@@ -267,42 +269,43 @@
         world
     }
 
-    fn flight_steps(&self, index: usize) -> Vec<Self> {
+    fn message_steps(&self, index: usize) -> Vec<Self> {
         let mut world = self.clone();
-        let flight = world.flights.remove(index);
-        match flight {
-            Flight::Transact {
+        let message = world.messages.remove(index);
+        match message {
+            Message::Transact {
                 node,
                 changes,
                 awaited,
             } => world.transact_steps(node, changes, awaited),
-            Flight::Answer { node, answer } => {
+            Message::TransactionDone { node, result } => {
                 let lost = world.lose(
                     node,
                     Event::TransactionDone(group_commit::TransactionResult::Unknown),
                 );
-                world.on(node, Event::TransactionDone(answer));
+                world.on(node, Event::TransactionDone(result));
                 lost.into_iter().chain([world]).collect()
             }
-            Flight::Read { node } => {
+            Message::Read { node } => {
                 let lost = world.lose(node, Event::ReadBack(None));
                 let rows = world.row.iter().map(|row| (id(), row.clone())).collect();
-                world.put(Flight::Rows { node, rows });
+                world.send(Message::Rows { node, rows });
                 lost.into_iter().chain([world]).collect()
             }
-            Flight::Rows { node, rows } => {
+            Message::Rows { node, rows } => {
                 world.on(node, Event::ReadBack(Some(rows)));
                 vec![world]
             }
-            Flight::Query { node, to, query } => world.query_steps(node, to, query),
-            Flight::Reply { to, reply } => {
+            Message::Query { node, to, query } => world.query_steps(node, to, query),
+            Message::Reply { to, reply } => {
                 world.on(to, Event::ReplyReceived(reply));
                 vec![world]
             }
         }
     }
 
-    /// The request lands; or it is refused, or late, if that may still happen.
+    /// Returns the states after the transaction commits or conflicts, and, while the budget
+    /// lasts, after it is refused or delayed beyond the time-out.
     fn transact_steps(&self, node: usize, changes: Vec<Change>, awaited: bool) -> Vec<Self> {
         let mut next = Vec::new();
         if awaited {
@@ -310,12 +313,12 @@
                 node,
                 Event::TransactionDone(group_commit::TransactionResult::NotDone),
             ));
-            let late = self.lose(
+            let delayed = self.lose(
                 node,
                 Event::TransactionDone(group_commit::TransactionResult::Unknown),
             );
-            next.extend(late.map(|mut world| {
-                world.put(Flight::Transact {
+            next.extend(delayed.map(|mut world| {
+                world.send(Message::Transact {
                     node,
                     changes: changes.clone(),
                     awaited: false,
@@ -324,30 +327,31 @@
             }));
         }
         let mut world = self.clone();
-        let answer = world.transact(&changes);
+        let result = world.transact(&changes);
         if awaited {
-            world.put(Flight::Answer { node, answer });
+            world.send(Message::TransactionDone { node, result });
         }
         next.push(world);
         next
     }
 
-    /// The question arrives; or it is taken as unanswered and arrives late.
+    /// Returns the states after the query arrives, and, while the budget lasts, after it
+    /// times out and stays in transit.
     fn query_steps(&self, node: usize, to: usize, query: StatusQuery) -> Vec<Self> {
         let mut next = Vec::new();
-        let mut arrived = self.clone();
+        let mut delivered = self.clone();
         let from = name(node);
         let received = Event::QueryReceived {
             from,
             query: query.clone(),
         };
-        arrived.on(to, received);
-        next.push(arrived);
-        if let Some(silences) = self.budget.silences.checked_sub(1) {
-            let mut silent = self.clone();
-            silent.budget.silences = silences;
-            let status = match silent.mistake {
-                Mistake::TakeoverOnTimer => Status::Unsent,
+        delivered.on(to, received);
+        next.push(delivered);
+        if let Some(reply_timeouts) = self.budget.reply_timeouts.checked_sub(1) {
+            let mut timed_out = self.clone();
+            timed_out.budget.reply_timeouts = reply_timeouts;
+            let status = match timed_out.mutation {
+                Mutation::TakeoverOnTimer => Status::Unsent,
                 _ => Status::Gone,
             };
             let reply = StatusReply {
@@ -355,9 +359,9 @@
                 attempt: query.attempt.clone(),
                 status,
             };
-            silent.put(Flight::Query { node, to, query });
-            silent.on(node, Event::ReplyReceived(reply));
-            next.push(silent);
+            timed_out.send(Message::Query { node, to, query });
+            timed_out.on(node, Event::ReplyReceived(reply));
+            next.push(timed_out);
         }
         next
     }
@@ -392,18 +396,18 @@
 
     fn perform(&mut self, node: usize, action: Action) {
         match action {
-            Action::Transact(changes) => self.put(Flight::Transact {
+            Action::Transact(changes) => self.send(Message::Transact {
                 node,
                 changes,
                 awaited: true,
             }),
-            Action::Read(_) => self.put(Flight::Read { node }),
-            Action::SendQuery { holder, query } => self.put(Flight::Query {
+            Action::Read(_) => self.send(Message::Read { node }),
+            Action::SendQuery { holder, query } => self.send(Message::Query {
                 node,
                 to: index(&holder),
                 query,
             }),
-            Action::SendReply { to, reply } => self.put(Flight::Reply {
+            Action::SendReply { to, reply } => self.send(Message::Reply {
                 to: index(&to),
                 reply,
             }),
@@ -413,7 +417,7 @@
 
     fn decide(&mut self, node: usize, attempt: &Name, decision: Decision) {
         let Some(task) = self.nodes[node].tasks.remove(attempt) else {
-            return self.fail("verdict for nobody");
+            return self.record_violation("decision for an unknown request");
         };
         self.decisions.push(kind(&decision));
         match decision {
@@ -423,33 +427,36 @@
                 self.nodes[node].tasks.insert(attempt.clone(), task);
             }
             Decision::Replay(final_result) => self.check_replay(&task, &final_result),
-            Decision::Refused(Outcome::NotRun { .. }) if self.seen.sent.contains_key(attempt) => {
-                self.fail("false: not run");
+            Decision::Refused(Outcome::NotRun { .. })
+                if self.history.sent.contains_key(attempt) =>
+            {
+                self.record_violation("reported as not run after it was sent");
             }
             Decision::Refused(_) => {}
-            Decision::Unavailable => self.fail("decision not translated"),
+            Decision::Unavailable => self.record_violation("decision not converted to an outcome"),
         }
     }
 
     fn check_replay(&mut self, task: &Task, final_result: &FinalResult) {
         let StoredAnswer::Inline(attempt) = &final_result.answer else {
-            return self.fail("replay without answer");
+            return self.record_violation("replay without an answer");
         };
-        if self.seen.sent.get(attempt) != Some(&task.digest) {
-            self.fail("replay of another request's answer");
+        if self.history.sent.get(attempt) != Some(&task.digest) {
+            self.record_violation("replay of another request's answer");
         }
     }
 
-    fn fail(&mut self, fault: &str) {
-        self.seen.fault = Some(fault.to_owned());
+    fn record_violation(&mut self, violation: &str) {
+        self.history.violation = Some(violation.to_owned());
     }
 
-    fn put(&mut self, flight: Flight) {
-        self.flights.push(flight);
-        // The network has no order, so states that differ only in it are one.
-        self.flights.sort_by_cached_key(|flight| {
+    fn send(&mut self, message: Message) {
+        self.messages.push(message);
+        // Messages arrive in any order, so sorting them merges states that differ only by
+        // their order.
+        self.messages.sort_by_cached_key(|message| {
             let mut hasher = DefaultHasher::new();
-            flight.hash(&mut hasher);
+            message.hash(&mut hasher);
             hasher.finish()
         });
     }
@@ -473,11 +480,11 @@
     }
 }
 
-impl Flight {
-    /// Returns whether a crash of the node ends the flight.
-    fn ends_with(&self, crashed: usize) -> bool {
+impl Message {
+    /// Returns whether the message is lost when the node crashes.
+    fn is_lost_in_crash_of(&self, crashed: usize) -> bool {
         match self {
-            Self::Answer { node, .. }
+            Self::TransactionDone { node, .. }
             | Self::Read { node }
             | Self::Rows { node, .. }
             | Self::Query { node, .. } => *node == crashed,
@@ -486,8 +493,8 @@
         }
     }
 
-    /// Leaves a transaction of a crashed node to land without anyone waiting.
-    fn orphan(&mut self, crashed: usize) {
+    /// Leaves a transaction of a crashed node in transit with no node awaiting its result.
+    fn detach_transaction(&mut self, crashed: usize) {
         if let Self::Transact { node, awaited, .. } = self
             && *node == crashed
         {
