--- a/filbertpaddle-core/benches/claims.rs
+++ b/filbertpaddle-core/benches/claims.rs
@@ -1,7 +1,7 @@
-//! Cost of claims: transactions for each request, and processor time.
+//! Cost of claims: transactions per request, and CPU time.
 //!
-//! The first part runs the core against a platform with a fixed answer time
-//! and prints transactions and waits; it is the same in every run.
+//! The first part simulates one node and a platform with a fixed commit latency,
+//! and prints transactions and waits. Its output is the same in every run.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -30,23 +30,23 @@
 const SEED: u64 = 4;
 const SIMULATED_MS: u64 = 60_000;
 const COMMIT_MS: u64 = 10;
-const RUN_MS: u64 = 100;
+const REQUEST_MS: u64 = 100;
 const MS_PER_SECOND: f64 = 1_000.0;
 
-/// One node's claims before a platform that answers after [`COMMIT_MS`].
+/// Simulates the claims of one node and a platform that commits after [`COMMIT_MS`].
 struct Simulation {
     claims: Claims,
-    events: BinaryHeap<Reverse<(u64, u64, Due)>>,
+    events: BinaryHeap<Reverse<(u64, u64, Scheduled)>>,
     sequence: u64,
     transactions: u64,
     rows: u64,
-    largest: usize,
+    max_transaction_rows: usize,
     waits_ms: Vec<u64>,
     started_ms: Vec<u64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Scheduled {
     Arrival(usize),
     Commit,
     Finish(usize),
@@ -61,14 +61,14 @@
             sequence: 0,
             transactions: 0,
             rows: 0,
-            largest: 0,
+            max_transaction_rows: 0,
             waits_ms: Vec::new(),
             started_ms: Vec::new(),
         }
     }
 
-    /// Adds arrivals with exponential gaps.
-    fn arrive(&mut self, per_sec: f64) {
+    /// Schedules arrivals with exponentially distributed gaps.
+    fn schedule_arrivals(&mut self, per_sec: f64) {
         let mut rng = SmallRng::seed_from_u64(SEED);
         let mut at_ms = 0.0;
         loop {
@@ -79,30 +79,32 @@
             }
             let number = self.started_ms.len();
             self.started_ms.push(at_ms as u64);
-            self.push(at_ms as u64, Due::Arrival(number));
+            self.schedule(at_ms as u64, Scheduled::Arrival(number));
         }
     }
 
-    fn push(&mut self, at_ms: u64, due: Due) {
+    fn schedule(&mut self, at_ms: u64, scheduled: Scheduled) {
         self.sequence += 1;
-        self.events.push(Reverse((at_ms, self.sequence, due)));
+        self.events.push(Reverse((at_ms, self.sequence, scheduled)));
     }
 
     fn run(&mut self) {
-        while let Some(Reverse((now_ms, _, due))) = self.events.pop() {
-            let event = match due {
-                Due::Arrival(number) => Event::Claim(request(number)),
-                Due::Commit => Event::TransactionDone(group_commit::TransactionResult::Committed {
-                    revision: self.transactions,
-                }),
-                Due::Finish(number) => finish(number),
-                Due::Tick => Event::Tick,
+        while let Some(Reverse((now_ms, _, scheduled))) = self.events.pop() {
+            let event = match scheduled {
+                Scheduled::Arrival(number) => Event::Claim(request(number)),
+                Scheduled::Commit => {
+                    Event::TransactionDone(group_commit::TransactionResult::Committed {
+                        revision: self.transactions,
+                    })
+                }
+                Scheduled::Finish(number) => finish(number),
+                Scheduled::Tick => Event::Tick,
             };
             for action in self.claims.on(Millis(now_ms), event) {
                 self.perform(now_ms, action);
             }
             if let Some(at) = self.claims.next_tick().filter(|at| at.0 > now_ms) {
-                self.push(at.0, Due::Tick);
+                self.schedule(at.0, Scheduled::Tick);
             }
         }
     }
@@ -112,8 +114,8 @@
             Action::Transact(changes) => {
                 self.transactions += 1;
                 self.rows += changes.len() as u64;
-                self.largest = self.largest.max(changes.len());
-                self.push(now_ms + COMMIT_MS, Due::Commit);
+                self.max_transaction_rows = self.max_transaction_rows.max(changes.len());
+                self.schedule(now_ms + COMMIT_MS, Scheduled::Commit);
             }
             Action::Decide {
                 attempt,
@@ -121,7 +123,7 @@
             } => {
                 let number: usize = attempt.parse().unwrap_or_default();
                 self.waits_ms.push(now_ms - self.started_ms[number]);
-                self.push(now_ms + RUN_MS, Due::Finish(number));
+                self.schedule(now_ms + REQUEST_MS, Scheduled::Finish(number));
             }
             action => unreachable!("{action:?}"),
         }
@@ -151,7 +153,7 @@
     }
 }
 
-/// Prints transactions for each request against two writes each.
+/// Prints the number of transactions and its ratio to two writes per request.
 fn print_transactions() {
     println!("seed {SEED}, {SIMULATED_MS} ms, commit {COMMIT_MS} ms, each request claims and ends");
     println!("requests/s | pace ms | transactions/s | of 2 each | largest | wait p50 | wait p99");
@@ -166,7 +168,7 @@
     let mut settings = Settings::default();
     settings.group_commit.pace_ms = Millis(pace_ms);
     let mut simulation = Simulation::new(settings);
-    simulation.arrive(per_sec);
+    simulation.schedule_arrivals(per_sec);
     simulation.run();
     let requests = simulation.started_ms.len() as f64;
     let seconds = SIMULATED_MS as f64 / MS_PER_SECOND;
@@ -177,27 +179,27 @@
         "{per_sec:10} | {pace_ms:7} | {:14.1} | {:8.1}% | {:7} | {:5} ms | {:5} ms",
         simulation.transactions as f64 / seconds,
         100.0 * simulation.transactions as f64 / (2.0 * requests),
-        simulation.largest,
+        simulation.max_transaction_rows,
         quantile(0.50),
         quantile(0.99),
     );
 }
 
-/// Claims and ends `count` requests in two transactions.
-fn round(claims: &mut Claims, count: usize) {
+/// Claims and finishes `count` requests in two transactions.
+fn claim_and_finish(claims: &mut Claims, count: usize) {
     let now = Millis::ZERO;
     for number in 0..count {
         black_box(claims.on(now, Event::Claim(request(number))));
     }
-    while !settle(claims) {}
+    while !commit(claims) {}
     for number in 0..count {
         black_box(claims.on(now, finish(number)));
     }
-    while !settle(claims) {}
+    while !commit(claims) {}
 }
 
-/// Commits the transaction in flight; returns whether none followed.
-fn settle(claims: &mut Claims) -> bool {
+/// Commits the transaction in flight; returns whether no other one starts.
+fn commit(claims: &mut Claims) -> bool {
     let committed =
         Event::TransactionDone(group_commit::TransactionResult::Committed { revision: 1 });
     let actions = claims.on(Millis::ZERO, committed);
@@ -206,7 +208,7 @@
         .any(|action| matches!(action, Action::Transact(_)))
 }
 
-fn time(criterion: &mut Criterion) {
+fn bench(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("claim and finish");
     for count in [1, 16, 128] {
         group.throughput(Throughput::Elements(count as u64));
@@ -214,7 +216,7 @@
             let mut settings = Settings::default();
             settings.group_commit.pace_ms = Millis::ZERO;
             let mut claims = Claims::new("node".into(), 1, settings);
-            bencher.iter(|| round(&mut claims, count));
+            bencher.iter(|| claim_and_finish(&mut claims, count));
         });
     }
     group.finish();
@@ -223,6 +225,6 @@
 fn main() {
     print_transactions();
     let mut criterion = Criterion::default().configure_from_args();
-    time(&mut criterion);
+    bench(&mut criterion);
     criterion.final_summary();
 }
--- a/filbertpaddle-core/benches/commit.rs
+++ b/filbertpaddle-core/benches/commit.rs
@@ -1,7 +1,7 @@
 //! Transactions of one data centre at the target size, by nodes per committer.
 //!
-//! Runs the core of 62 nodes and their committers against a platform with a
-//! fixed answer time, and prints the same in every run.
+//! Simulates 62 nodes, their committers and a platform with a fixed commit
+//! latency. The output is the same in every run.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -28,18 +28,18 @@
 const SEED: u64 = 4;
 const NODES: usize = 62;
 const DATA_CENTRES: f64 = 12.0;
-/// One request in twenty of 42,000 a second, over 740 nodes.
+/// One in twenty of 42,000 requests per second over 740 nodes, for the simulated nodes.
 const CLAIMS_PER_SEC: f64 = 42_000.0 / 20.0 / 740.0 * NODES as f64;
 const SIMULATED_MS: u64 = 60_000;
 const COMMIT_MS: u64 = 10;
 const LINK_MS: u64 = 1;
-const RUN_MS: u64 = 100;
+const REQUEST_MS: u64 = 100;
 const MS_PER_SECOND: f64 = 1_000.0;
-/// Size of one change in a frame, from the test of the wire messages.
+/// Encoded size of one change, as printed by the claim tests of `filbertpaddle-wire`.
 const CHANGE_BYTES: f64 = 171.0;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Scheduled {
     Arrival(usize, usize),
     Finish(usize, usize),
     Tick(usize),
@@ -51,14 +51,14 @@
 
 struct Simulation {
     names: Vec<Name>,
-    committer_of: Vec<usize>,
+    committer_index: Vec<usize>,
     nodes: Vec<Claims>,
     committers: Vec<Committer>,
     change_sets: Vec<Vec<Change>>,
-    events: BinaryHeap<Reverse<(u64, u64, Due)>>,
+    events: BinaryHeap<Reverse<(u64, u64, Scheduled)>>,
     sequence: u64,
     transactions: u64,
-    received: BTreeMap<usize, u64>,
+    changes_received: BTreeMap<usize, u64>,
     started_ms: Vec<u64>,
     waits_ms: Vec<u64>,
 }
@@ -67,7 +67,7 @@
     fn new(nodes_per_committer: usize, pace_ms: u64) -> Self {
         let names: Vec<Name> = (0..NODES).map(|n| format!("entry-{n}").into()).collect();
         let index = |name: &Name| names.iter().position(|other| other == name).unwrap_or(0);
-        let committer_of = names
+        let committer_index = names
             .iter()
             .map(|own| index(&commit::choose(own, &names, nodes_per_committer)))
             .collect();
@@ -84,101 +84,107 @@
                 .collect(),
             committers: vec![committer; NODES],
             names,
-            committer_of,
+            committer_index,
             change_sets: Vec::new(),
             events: BinaryHeap::new(),
             sequence: 0,
             transactions: 0,
-            received: BTreeMap::new(),
+            changes_received: BTreeMap::new(),
             started_ms: Vec::new(),
             waits_ms: Vec::new(),
         }
     }
 
-    fn arrive(&mut self) {
+    fn schedule_arrivals(&mut self) {
         let mut rng = SmallRng::seed_from_u64(SEED);
         let mut at_ms = 0.0;
         while at_ms < SIMULATED_MS as f64 {
             let unit: f64 = rng.random();
             at_ms += -(1.0 - unit).ln() * MS_PER_SECOND / CLAIMS_PER_SEC;
             let node = rng.random_range(0..NODES);
-            self.push(at_ms as u64, Due::Arrival(node, self.started_ms.len()));
+            self.schedule(
+                at_ms as u64,
+                Scheduled::Arrival(node, self.started_ms.len()),
+            );
             self.started_ms.push(at_ms as u64);
         }
     }
 
-    fn push(&mut self, at_ms: u64, due: Due) {
+    fn schedule(&mut self, at_ms: u64, scheduled: Scheduled) {
         self.sequence += 1;
-        self.events.push(Reverse((at_ms, self.sequence, due)));
+        self.events.push(Reverse((at_ms, self.sequence, scheduled)));
     }
 
     fn run(&mut self) {
-        while let Some(Reverse((now, _, due))) = self.events.pop() {
-            match due {
-                Due::Arrival(node, number) => self.node(now, node, claim(number)),
-                Due::Finish(node, number) => self.node(now, node, finish(number)),
-                Due::Tick(node) => self.node(now, node, claims::Event::Tick),
-                Due::Answer(node, revision) => {
+        while let Some(Reverse((now, _, scheduled))) = self.events.pop() {
+            match scheduled {
+                Scheduled::Arrival(node, number) => self.run_node(now, node, claim(number)),
+                Scheduled::Finish(node, number) => self.run_node(now, node, finish(number)),
+                Scheduled::Tick(node) => self.run_node(now, node, claims::Event::Tick),
+                Scheduled::Answer(node, revision) => {
                     let result = group_commit::TransactionResult::Committed { revision };
-                    self.node(now, node, claims::Event::TransactionDone(result));
+                    self.run_node(now, node, claims::Event::TransactionDone(result));
                 }
-                Due::Submit(committer, node, sequence, index) => {
+                Scheduled::Submit(committer, node, sequence, index) => {
                     let change_set = ChangeSet {
                         from: self.names[node].clone(),
                         sequence,
                         changes: std::mem::take(&mut self.change_sets[index]),
                     };
-                    self.committer(now, committer, commit::Event::Submit(change_set));
+                    self.run_committer(now, committer, commit::Event::Submit(change_set));
                 }
-                Due::Commit(committer) => {
+                Scheduled::Commit(committer) => {
                     let revision = self.transactions;
                     let result = group_commit::TransactionResult::Committed { revision };
-                    self.committer(now, committer, commit::Event::TransactionDone(result));
+                    self.run_committer(now, committer, commit::Event::TransactionDone(result));
                 }
-                Due::CommitterTick(committer) => {
-                    self.committer(now, committer, commit::Event::Tick);
+                Scheduled::CommitterTick(committer) => {
+                    self.run_committer(now, committer, commit::Event::Tick);
                 }
             }
         }
     }
 
-    fn node(&mut self, now: u64, node: usize, event: claims::Event) {
+    fn run_node(&mut self, now: u64, node: usize, event: claims::Event) {
         for action in self.nodes[node].on(Millis(now), event) {
             match action {
-                claims::Action::Transact(changes) => self.hand_in(now, node, changes),
+                claims::Action::Transact(changes) => self.submit(now, node, changes),
                 claims::Action::Decide {
                     attempt,
                     decision: Decision::Held,
                 } => {
                     let number: usize = attempt.parse().unwrap_or_default();
                     self.waits_ms.push(now - self.started_ms[number]);
-                    self.push(now + RUN_MS, Due::Finish(node, number));
+                    self.schedule(now + REQUEST_MS, Scheduled::Finish(node, number));
                 }
                 action => unreachable!("{action:?}"),
             }
         }
         if let Some(at) = self.nodes[node].next_tick().filter(|at| at.0 > now) {
-            self.push(at.0, Due::Tick(node));
+            self.schedule(at.0, Scheduled::Tick(node));
         }
     }
 
-    fn hand_in(&mut self, now: u64, node: usize, changes: Vec<Change>) {
-        let committer = self.committer_of[node];
+    fn submit(&mut self, now: u64, node: usize, changes: Vec<Change>) {
+        let committer = self.committer_index[node];
         if committer != node {
-            *self.received.entry(committer).or_default() += changes.len() as u64;
+            *self.changes_received.entry(committer).or_default() += changes.len() as u64;
         }
         self.change_sets.push(changes);
         let index = self.change_sets.len() - 1;
         let at_ms = now + link_ms(node, committer);
-        self.push(at_ms, Due::Submit(committer, node, self.sequence, index));
+        self.schedule(
+            at_ms,
+            Scheduled::Submit(committer, node, self.sequence, index),
+        );
     }
 
-    fn committer(&mut self, now: u64, committer: usize, event: commit::Event) {
+    fn run_committer(&mut self, now: u64, committer: usize, event: commit::Event) {
         for action in self.committers[committer].on(Millis(now), event) {
             match action {
                 commit::Action::Transact(_) => {
                     self.transactions += 1;
-                    self.push(now + COMMIT_MS, Due::Commit(committer));
+                    self.schedule(now + COMMIT_MS, Scheduled::Commit(committer));
                 }
                 commit::Action::Reply { to, result, .. } => {
                     assert!(matches!(
@@ -188,13 +194,13 @@
                     let node = self.names.iter().position(|name| *name == to);
                     let node = node.unwrap_or_default();
                     let at_ms = now + link_ms(node, committer);
-                    self.push(at_ms, Due::Answer(node, self.transactions));
+                    self.schedule(at_ms, Scheduled::Answer(node, self.transactions));
                 }
             }
         }
         let next = self.committers[committer].next_tick();
         if let Some(at) = next.filter(|at| at.0 > now) {
-            self.push(at.0, Due::CommitterTick(committer));
+            self.schedule(at.0, Scheduled::CommitterTick(committer));
         }
     }
 }
@@ -228,18 +234,23 @@
 
 fn print_row(nodes_per_committer: usize, pace_ms: u64) {
     let mut simulation = Simulation::new(nodes_per_committer, pace_ms);
-    simulation.arrive();
+    simulation.schedule_arrivals();
     simulation.run();
     let seconds = SIMULATED_MS as f64 / MS_PER_SECOND;
     let per_sec = simulation.transactions as f64 / seconds;
     let waits = &mut simulation.waits_ms;
     waits.sort_unstable();
     let quantile = |q: f64| waits[((waits.len() - 1) as f64 * q) as usize];
-    let busiest = simulation.received.values().max().copied().unwrap_or(0);
+    let max_received = simulation
+        .changes_received
+        .values()
+        .max()
+        .copied()
+        .unwrap_or(0);
     println!(
         "{nodes_per_committer:5} | {pace_ms:4} | {per_sec:8.1} | {:8.0} | {:6.1} | {:5} ms | {:5} ms",
         per_sec * DATA_CENTRES,
-        busiest as f64 * CHANGE_BYTES / seconds / 1_000.0,
+        max_received as f64 * CHANGE_BYTES / seconds / 1_000.0,
         quantile(0.50),
         quantile(0.99),
     );
