--- a/filbertpaddle-core/tests/claim_model/world.rs
+++ b/filbertpaddle-core/tests/claim_model/world.rs
@@ -103,7 +103,7 @@
         changes: Vec<Change>,
         awaited: bool,
     },
-    TransactionDone {
+    CommitResult {
         node: usize,
         result: group_commit::TransactionResult,
     },
@@ -278,7 +278,7 @@
                 changes,
                 awaited,
             } => world.transact_steps(node, changes, awaited),
-            Message::TransactionDone { node, result } => {
+            Message::CommitResult { node, result } => {
                 let lost = world.lose(
                     node,
                     Event::TransactionDone(group_commit::TransactionResult::Unknown),
@@ -329,7 +329,7 @@
         let mut world = self.clone();
         let result = world.transact(&changes);
         if awaited {
-            world.send(Message::TransactionDone { node, result });
+            world.send(Message::CommitResult { node, result });
         }
         next.push(world);
         next
@@ -484,7 +484,7 @@
     /// Returns whether the message is lost when the node crashes.
     fn is_lost_in_crash_of(&self, crashed: usize) -> bool {
         match self {
-            Self::TransactionDone { node, .. }
+            Self::CommitResult { node, .. }
             | Self::Read { node }
             | Self::Rows { node, .. }
             | Self::Query { node, .. } => *node == crashed,
