--- a/filbertpaddle-core/src/commit.rs
+++ b/filbertpaddle-core/src/commit.rs
@@ -156,12 +156,12 @@
         out.iter()
             .map(|queued| {
                 let ids = queued.change_set.changes.iter().map(|change| &change.id);
-                let own: BTreeMap<Id, _> = ids
+                let conflicting: BTreeMap<Id, _> = ids
                     .filter_map(|id| Some((id.clone(), rows.get(id)?.clone())))
                     .collect();
                 reply(
                     &queued.change_set,
-                    TransactionResult::Conflict { rows: own },
+                    TransactionResult::Conflict { rows: conflicting },
                 )
             })
             .collect()
--- a/filbertpaddle-core/src/outcome.rs
+++ b/filbertpaddle-core/src/outcome.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum Outcome {
-    /// The whole answer was delivered.
+    /// The complete answer was delivered.
     Complete {
         /// Number of tokens in the answer.
         tokens: u32,
