--- a/filbertpaddle-core/src/claims.rs
+++ b/filbertpaddle-core/src/claims.rs
@@ -1,53 +1,54 @@
-//! All claims of one node: its requests with effects, and its answers to other nodes.
+//! All claims of one node: claims keys for its non-idempotent requests and answers
+//! status queries of other nodes.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
 use crate::attempt;
 use crate::attempt::Attempt;
+use crate::attempt::Decision;
 use crate::attempt::Step;
-use crate::attempt::Verdict;
-use crate::batch;
-use crate::batch::Batch;
-use crate::batch::Change;
-use crate::batch::Done;
-use crate::claim::Ending;
+use crate::claim::FinalResult;
 use crate::claim::Id;
-use crate::claim::Question;
 use crate::claim::Record;
-use crate::claim::Reply;
 use crate::claim::Row;
 use crate::claim::State;
 use crate::claim::Status;
+use crate::claim::StatusQuery;
+use crate::claim::StatusReply;
 use crate::clock::Millis;
+use crate::group_commit;
+use crate::group_commit::Change;
+use crate::group_commit::GroupCommit;
+use crate::group_commit::SettledChange;
 use crate::name::Name;
 use crate::outcome::Outcome;
 use crate::outcome::Reason;
 
-/// How a node treats its claims.
+/// Settings of a node's claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// How often and how large transactions are.
-    pub batch: batch::Settings,
-    /// Most abandoned claims whose rows wait to be cleared.
+    /// Rate and size of transactions.
+    pub group_commit: group_commit::Settings,
+    /// Maximum number of abandoned claims whose rows wait to be cleared.
     pub max_backlog: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            batch: batch::Settings::default(),
+            group_commit: group_commit::Settings::default(),
             max_backlog: 4_096,
         }
     }
 }
 
-/// A request with effects.
+/// A non-idempotent request to claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Request {
-    /// Names the claim.
+    /// Identifier of the claim.
     pub id: Id,
-    /// Unique among all attempts of all nodes.
+    /// Attempt that will run the request; unique across all nodes.
     pub attempt: Name,
     /// Digest of the request's body.
     pub digest: Name,
@@ -55,113 +56,114 @@
     pub now_unix_ms: Millis,
 }
 
-/// What happens to the claims of a node.
+/// Input to [`Claims`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// A caller's request must be claimed.
+    /// A caller's request needs a claim.
     Claim(Request),
-    /// The caller of a request that is not held yet waits no longer.
-    GiveUp {
+    /// The caller stopped waiting for a claim that is not held yet.
+    Abandon {
         /// The request's attempt.
         attempt: Name,
     },
-    /// A request that was held has not been sent and never will be.
+    /// A request whose claim is held was not sent and never will be.
     Release {
         /// The request's attempt.
         attempt: Name,
     },
-    /// A request that was held has ended.
+    /// A request whose claim is held has ended.
     Finish {
         /// The request's attempt.
         attempt: Name,
-        /// How it ended.
-        ending: Ending,
+        /// Its final result.
+        final_result: FinalResult,
     },
-    /// The platform answered the transaction in flight, or failed to.
-    Answered(batch::Answer),
-    /// The rows asked for were read, absent ones left out; `None` if that failed.
+    /// The transaction in flight has ended with this result.
+    TransactionDone(group_commit::TransactionResult),
+    /// The requested rows were read, with absent rows left out; `None` if the read failed.
     ReadBack(Option<BTreeMap<Id, Row>>),
-    /// Another node asks about an attempt of this one.
-    Asked {
-        /// The node that asks.
+    /// Another node queried the status of an attempt of this node.
+    QueryReceived {
+        /// The node that sent the query.
         from: Name,
-        /// The question.
-        question: Question,
+        /// The query.
+        query: StatusQuery,
     },
-    /// Another node answered a question, or [`Status::Gone`] stands for its silence.
-    Told(Reply),
-    /// Rows that are kept no longer were found.
+    /// Another node replied to a query; [`Status::Gone`] if it did not reply in time.
+    ReplyReceived(StatusReply),
+    /// Rows past their retention were found.
     Expired(Vec<(Id, Row)>),
     /// Time has passed.
     Tick,
 }
 
-/// What must be done for the claims of a node.
+/// Output of [`Claims`], for the caller to perform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Perform a transaction and report with [`Event::Answered`].
+    /// Perform a transaction and report with [`Event::TransactionDone`].
     Transact(Vec<Change>),
     /// Read rows and report with [`Event::ReadBack`].
     Read(Vec<Id>),
-    /// Ask a node and report with [`Event::Told`].
-    Ask {
-        /// The node to ask.
+    /// Query a node and report with [`Event::ReplyReceived`].
+    SendQuery {
+        /// The node to query.
         holder: Name,
-        /// The question.
-        question: Question,
+        /// The query.
+        query: StatusQuery,
     },
-    /// Answer another node.
-    Tell {
-        /// The node that asked.
+    /// Reply to another node.
+    SendReply {
+        /// The node that sent the query.
         to: Name,
-        /// The answer.
-        reply: Reply,
+        /// The reply.
+        reply: StatusReply,
     },
-    /// Tell a caller's request what it may do.
+    /// Report a decision to the caller's request.
     Decide {
         /// The request's attempt.
         attempt: Name,
-        /// What it may do or is told.
-        verdict: Verdict,
+        /// The decision.
+        decision: Decision,
     },
 }
 
 /// The claims of one node.
 ///
-/// An attempt stays here until it can no longer be sent, or until its ending
-/// is in the table. So an attempt of this life of the node that is not here
-/// was never sent and never will be, unless its row has changed since.
+/// An attempt stays in the map until it can no longer be sent, or until its
+/// final result is in the table. So an attempt of the current incarnation that
+/// is not in the map was never sent and never will be, unless its row has
+/// changed since.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Claims {
     node: Name,
     incarnation: u64,
     settings: Settings,
-    // Ordered maps, since a model checker hashes them.
+    // Ordered maps, since the model checker hashes the state.
     attempts: BTreeMap<Name, Attempt>,
-    live: BTreeMap<Id, Name>,
+    current: BTreeMap<Id, Name>,
     releasing: BTreeSet<Name>,
     dropped: u64,
-    batch: Batch,
+    group_commit: GroupCommit,
 }
 
 impl Claims {
-    /// Makes the claims of a node's new life.
+    /// Creates the claims of a node that has just started.
     pub fn new(node: Name, incarnation: u64, settings: Settings) -> Self {
         Self {
             node,
             incarnation,
             settings,
             attempts: BTreeMap::new(),
-            live: BTreeMap::new(),
+            current: BTreeMap::new(),
             releasing: BTreeSet::new(),
             dropped: 0,
-            batch: Batch::new(settings.batch),
+            group_commit: GroupCommit::new(settings.group_commit),
         }
     }
 
-    /// Returns when [`Event::Tick`] is needed next, if at all.
+    /// Returns when the next [`Event::Tick`] is due, if any.
     pub fn next_tick(&self) -> Option<Millis> {
-        self.batch.next_start()
+        self.group_commit.next_start()
     }
 
     /// Returns the number of attempts that are not settled.
@@ -184,34 +186,37 @@
         self.dropped
     }
 
-    /// Takes in an event and returns what must be done.
+    /// Handles an event and returns the actions to perform.
     pub fn on(&mut self, now: Millis, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::Claim(request) => self.claim(now, request, &mut actions),
-            Event::GiveUp { attempt } => self.give_up(&attempt, &mut actions),
+            Event::Abandon { attempt } => self.abandon(&attempt, &mut actions),
             Event::Release { attempt } => self.release(&attempt, &mut actions),
-            Event::Finish { attempt, ending } => self.finish(&attempt, ending, &mut actions),
-            Event::Answered(answer) => self.answered(now, answer, &mut actions),
+            Event::Finish {
+                attempt,
+                final_result,
+            } => self.finish(&attempt, final_result, &mut actions),
+            Event::TransactionDone(result) => self.on_transaction_done(now, result, &mut actions),
             Event::ReadBack(rows) => {
-                let done = self.batch.read_back(now, rows.as_ref());
-                self.settle(done, &mut actions);
+                let settled = self.group_commit.read_back(now, rows.as_ref());
+                self.settle(settled, &mut actions);
                 self.refuse_queued(now, &mut actions);
             }
-            Event::Asked { from, question } => actions.push(self.tell(from, question)),
-            Event::Told(reply) => self.told(&reply, &mut actions),
+            Event::QueryReceived { from, query } => actions.push(self.reply_to_query(from, query)),
+            Event::ReplyReceived(reply) => self.on_reply(&reply, &mut actions),
             Event::Expired(rows) => self.expire(rows),
             Event::Tick => {}
         }
-        actions.extend(self.batch.start(now).map(Action::Transact));
+        actions.extend(self.group_commit.start(now).map(Action::Transact));
         actions
     }
 
     fn claim(&mut self, now: Millis, request: Request, actions: &mut Vec<Action>) {
-        if let Some(verdict) = self.judge_local(now, &request) {
+        if let Some(decision) = self.decide_locally(now, &request) {
             actions.push(Action::Decide {
                 attempt: request.attempt,
-                verdict,
+                decision,
             });
             return;
         }
@@ -223,38 +228,38 @@
             claimed_at_ms: request.now_unix_ms,
             state: State::Claimed,
         };
-        self.live
+        self.current
             .insert(request.id.clone(), request.attempt.clone());
         let (attempt, steps) = Attempt::start(request.id, record);
         self.attempts.insert(request.attempt.clone(), attempt);
         self.perform(&request.attempt, steps, actions);
     }
 
-    /// Decides about a request without the table, if that is possible.
-    fn judge_local(&self, now: Millis, request: &Request) -> Option<Verdict> {
+    /// Decides on a request without access to the table, if possible.
+    fn decide_locally(&self, now: Millis, request: &Request) -> Option<Decision> {
         let other = self
-            .live
+            .current
             .get(&request.id)
             .and_then(|attempt| self.attempts.get(attempt));
         if let Some(other) = other {
             if *other.digest() != request.digest {
-                return Some(Verdict::Refused(attempt::key_reused()));
+                return Some(Decision::Refused(attempt::key_reused()));
             }
             return Some(match other.status() {
-                Status::Ended(ending) => Verdict::Replay(ending),
-                _ => Verdict::Refused(attempt::may_have_run(Reason::KeyInUse)),
+                Status::Ended(final_result) => Decision::Replay(final_result),
+                _ => Decision::Refused(attempt::may_have_run(Reason::KeyInUse)),
             });
         }
-        let retry_after_ms = self.batch.outage(now)?;
-        Some(Verdict::Refused(unavailable(retry_after_ms)))
+        let retry_after_ms = self.group_commit.retry_after(now)?;
+        Some(Decision::Refused(unavailable(retry_after_ms)))
     }
 
-    fn give_up(&mut self, name: &Name, actions: &mut Vec<Action>) {
+    fn abandon(&mut self, name: &Name, actions: &mut Vec<Action>) {
         let Some(attempt) = self.attempts.get_mut(name) else {
             return;
         };
-        let queued = self.batch.cancel_claim(name);
-        let steps = attempt.give_up(queued);
+        let queued = self.group_commit.cancel_claim(name);
+        let steps = attempt.abandon(queued);
         self.perform(name, steps, actions);
     }
 
@@ -266,86 +271,91 @@
         self.perform(name, steps, actions);
     }
 
-    fn finish(&mut self, name: &Name, ending: Ending, actions: &mut Vec<Action>) {
+    fn finish(&mut self, name: &Name, final_result: FinalResult, actions: &mut Vec<Action>) {
         let Some(attempt) = self.attempts.get_mut(name) else {
             return;
         };
-        let steps = match ending.outcome {
+        let steps = match final_result.outcome {
             Outcome::NotRun { .. } => attempt.release(),
-            _ => attempt.finish(ending),
+            _ => attempt.finish(final_result),
         };
         self.perform(name, steps, actions);
     }
 
-    fn answered(&mut self, now: Millis, answer: batch::Answer, actions: &mut Vec<Action>) {
-        let done = self.batch.answered(now, answer);
-        self.settle(done, actions);
-        let unsettled = self.batch.unsettled();
+    fn on_transaction_done(
+        &mut self,
+        now: Millis,
+        result: group_commit::TransactionResult,
+        actions: &mut Vec<Action>,
+    ) {
+        let settled = self.group_commit.on_transaction_done(now, result);
+        self.settle(settled, actions);
+        let unsettled = self.group_commit.unsettled();
         if !unsettled.is_empty() {
             actions.push(Action::Read(unsettled));
         }
         self.refuse_queued(now, actions);
     }
 
-    /// Refuses at once what waits for a platform that has just failed.
+    /// Refuses all queued claims at once after a platform failure.
     fn refuse_queued(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        if self.batch.outage(now).is_none() {
+        if self.group_commit.retry_after(now).is_none() {
             return;
         }
-        for change in self.batch.cancel_claims() {
+        for change in self.group_commit.cancel_claims() {
             let name = change.attempt.clone();
             let Some(attempt) = self.attempts.get_mut(&name) else {
                 continue;
             };
-            let steps = attempt.give_up(Some(change));
+            let steps = attempt.abandon(Some(change));
             self.perform(&name, steps, actions);
         }
     }
 
-    fn settle(&mut self, done: Vec<Done>, actions: &mut Vec<Action>) {
-        for done in done {
-            let name = done.change.attempt.clone();
+    fn settle(&mut self, settled: Vec<SettledChange>, actions: &mut Vec<Action>) {
+        for settled in settled {
+            let name = settled.change.attempt.clone();
             let Some(attempt) = self.attempts.get_mut(&name) else {
                 continue;
             };
-            let steps = attempt.on_done(done);
+            let steps = attempt.on_settled(settled);
             self.perform(&name, steps, actions);
         }
     }
 
-    fn tell(&self, from: Name, question: Question) -> Action {
-        let status = self.status(&question);
-        Action::Tell {
+    fn reply_to_query(&self, from: Name, query: StatusQuery) -> Action {
+        let status = self.status(&query);
+        Action::SendReply {
             to: from,
-            reply: Reply {
-                asker: question.asker,
-                attempt: question.attempt,
+            reply: StatusReply {
+                requester: query.requester,
+                attempt: query.attempt,
                 status,
             },
         }
     }
 
-    fn status(&self, question: &Question) -> Status {
-        if question.incarnation != self.incarnation {
+    fn status(&self, query: &StatusQuery) -> Status {
+        if query.incarnation != self.incarnation {
             return Status::Gone;
         }
         self.attempts
-            .get(&question.attempt)
+            .get(&query.attempt)
             .map_or(Status::Unsent, Attempt::status)
     }
 
-    fn told(&mut self, reply: &Reply, actions: &mut Vec<Action>) {
-        let Some(attempt) = self.attempts.get_mut(&reply.asker) else {
+    fn on_reply(&mut self, reply: &StatusReply, actions: &mut Vec<Action>) {
+        let Some(attempt) = self.attempts.get_mut(&reply.requester) else {
             return;
         };
         let steps = attempt.on_status(&reply.attempt, reply.status.clone());
-        self.perform(&reply.asker, steps, actions);
+        self.perform(&reply.requester, steps, actions);
     }
 
     fn expire(&mut self, rows: Vec<(Id, Row)>) {
         for (id, row) in rows {
-            self.batch.push_rest(Change {
-                // No attempt waits for the fate of the row.
+            self.group_commit.push_background(Change {
+                // No attempt waits for the outcome of the deletion.
                 attempt: Name::default(),
                 id,
                 expected: Some(row.revision),
@@ -356,86 +366,89 @@
     }
 
     fn perform(&mut self, name: &Name, steps: Vec<Step>, actions: &mut Vec<Action>) {
-        self.unlist_unsent(name);
+        self.free_key_if_unsent(name);
         for step in steps {
             match step {
-                Step::Claim(change) => self.batch.push_claim(change),
-                Step::Rest(change) => self.push_rest(name, change),
-                Step::Ask(row) => self.ask(name, &row, actions),
-                Step::Decide(verdict) => actions.push(self.decide(name, verdict)),
-                Step::Forget => self.forget(name),
+                Step::Claim(change) => self.group_commit.push_claim(change),
+                Step::Write(change) => self.push_background(name, change),
+                Step::QueryHolder(row) => self.query_holder(name, &row, actions),
+                Step::Decide(decision) => actions.push(self.decide(name, decision)),
+                Step::Remove => self.remove_attempt(name),
             }
         }
     }
 
-    /// Makes room for a new request with the key of an attempt that will never be sent.
-    fn unlist_unsent(&mut self, name: &Name) {
+    /// Frees the key of an attempt that will never be sent for a new request.
+    fn free_key_if_unsent(&mut self, name: &Name) {
         if let Some(attempt) = self.attempts.get(name)
             && attempt.status() == Status::Unsent
-            && self.live.get(attempt.id()) == Some(name)
+            && self.current.get(attempt.id()) == Some(name)
         {
-            self.live.remove(attempt.id());
+            self.current.remove(attempt.id());
         }
     }
 
-    fn push_rest(&mut self, name: &Name, change: Change) {
+    fn push_background(&mut self, name: &Name, change: Change) {
         let releasing = self.attempts.get(name).is_some_and(Attempt::is_releasing);
         if releasing && !self.releasing.contains(name) {
             if self.releasing.len() >= self.settings.max_backlog {
-                // Whoever meets the row still learns here that it was not sent.
+                // A node that finds the row can still query this one, which replies
+                // that the attempt was not sent.
                 self.dropped += 1;
-                self.forget(name);
+                self.remove_attempt(name);
                 return;
             }
             self.releasing.insert(name.clone());
         }
-        self.batch.push_rest(change);
+        self.group_commit.push_background(change);
     }
 
-    fn ask(&mut self, asker: &Name, row: &Row, actions: &mut Vec<Action>) {
-        let question = Question {
-            asker: asker.clone(),
+    fn query_holder(&mut self, requester: &Name, row: &Row, actions: &mut Vec<Action>) {
+        let query = StatusQuery {
+            requester: requester.clone(),
             attempt: row.record.attempt.clone(),
             incarnation: row.record.incarnation,
         };
         if row.record.holder != self.node {
-            actions.push(Action::Ask {
+            actions.push(Action::SendQuery {
                 holder: row.record.holder.clone(),
-                question,
+                query,
             });
             return;
         }
-        let reply = Reply {
-            asker: question.asker.clone(),
-            attempt: question.attempt.clone(),
-            status: self.status(&question),
+        let reply = StatusReply {
+            requester: query.requester.clone(),
+            attempt: query.attempt.clone(),
+            status: self.status(&query),
         };
-        self.told(&reply, actions);
+        self.on_reply(&reply, actions);
     }
 
-    fn decide(&self, name: &Name, verdict: Verdict) -> Action {
-        let verdict = match verdict {
-            Verdict::Unavailable => Verdict::Refused(unavailable(self.settings.batch.backoff_ms)),
-            verdict => verdict,
+    fn decide(&self, name: &Name, decision: Decision) -> Action {
+        let decision = match decision {
+            Decision::Unavailable => {
+                Decision::Refused(unavailable(self.settings.group_commit.backoff_ms))
+            }
+            decision => decision,
         };
         Action::Decide {
             attempt: name.clone(),
-            verdict,
+            decision,
         }
     }
 
-    fn forget(&mut self, name: &Name) {
+    fn remove_attempt(&mut self, name: &Name) {
         let Some(attempt) = self.attempts.remove(name) else {
             return;
         };
-        if self.live.get(attempt.id()) == Some(name) {
-            self.live.remove(attempt.id());
+        if self.current.get(attempt.id()) == Some(name) {
+            self.current.remove(attempt.id());
         }
         self.releasing.remove(name);
     }
 }
 
-/// The refusal of a request while the platform cannot be used.
+/// Returns the outcome for a request while the platform is unavailable.
 fn unavailable(retry_after_ms: Millis) -> Outcome {
     Outcome::NotRun {
         reason: Reason::PlatformUnavailable,
--- a/filbertpaddle-core/src/commit.rs
+++ b/filbertpaddle-core/src/commit.rs
@@ -1,7 +1,7 @@
-//! A committer: joins the changes of many nodes into one transaction.
+//! Committer: joins the changes of several nodes into one transaction.
 //!
-//! Any number of committers may run at once, and none needs to be agreed on:
-//! every change carries the condition that guards its row.
+//! Any number of committers may run at once without agreement between nodes,
+//! since every change carries the condition that guards its row.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,22 +9,23 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::batch::Answer;
-use crate::batch::Change;
 use crate::claim::Id;
 use crate::clock::Millis;
+use crate::group_commit::Change;
+use crate::group_commit::TransactionResult;
 use crate::name::Name;
 
-/// How a committer works.
+/// Settings of a committer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// Most rows in one transaction, unless one node sends more.
+    /// Maximum number of rows in one transaction; a larger change set gets a transaction
+    /// of its own.
     pub max_rows: usize,
-    /// Shortest time between the starts of two transactions.
+    /// Minimum time between the starts of two transactions.
     pub pace_ms: Millis,
-    /// Most nodes' changes that wait.
+    /// Maximum number of queued change sets.
     pub max_queue: usize,
-    /// Longest time that a node's changes wait; their sender has given up by then.
+    /// Maximum time in the queue; the sender stops waiting before that.
     pub max_wait_ms: Millis,
 }
 
@@ -39,81 +40,81 @@
     }
 }
 
-/// The changes of one node, which are made together or not at all.
+/// Changes of one node, committed together or not at all.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Unit {
-    /// Node that wants the changes.
+pub struct ChangeSet {
+    /// Node that submitted the changes.
     pub from: Name,
-    /// Number that the node gave them.
+    /// Sequence number assigned by that node.
     pub sequence: u64,
     /// The changes.
     pub changes: Vec<Change>,
 }
 
-/// What happens to a committer.
+/// Input to [`Committer`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// A node hands its changes in.
-    Submit(Unit),
-    /// The platform answered the transaction in flight, or failed to.
-    Answered(Answer),
+    /// A node submitted changes.
+    Submit(ChangeSet),
+    /// The transaction in flight has ended with this result.
+    TransactionDone(TransactionResult),
     /// Time has passed.
     Tick,
 }
 
-/// What a committer does.
+/// Output of [`Committer`], for the caller to perform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Perform a transaction and report with [`Event::Answered`].
+    /// Perform a transaction and report with [`Event::TransactionDone`].
     Transact(Vec<Change>),
-    /// Tell a node what became of its changes.
+    /// Report the result to the node that submitted the changes.
     Reply {
         /// The node.
         to: Name,
-        /// Number that it gave its changes.
+        /// Sequence number of its change set.
         sequence: u64,
-        /// What became of them.
-        answer: Answer,
+        /// Result of the change set.
+        result: TransactionResult,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Waiting {
-    unit: Unit,
-    since_ms: Millis,
+struct QueuedSet {
+    change_set: ChangeSet,
+    queued_at_ms: Millis,
 }
 
-/// Changes of many nodes that wait for a transaction, and those in flight.
+/// Queue of change sets and the transaction in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Committer {
     settings: Settings,
-    queue: VecDeque<Waiting>,
-    in_flight: Vec<Waiting>,
-    earliest_ms: Millis,
+    queue: VecDeque<QueuedSet>,
+    in_flight: Vec<QueuedSet>,
+    earliest_start_ms: Millis,
 }
 
 impl Committer {
-    /// Makes a committer that has nothing to do.
+    /// Creates an idle committer.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
             queue: VecDeque::new(),
             in_flight: Vec::new(),
-            earliest_ms: Millis::ZERO,
+            earliest_start_ms: Millis::ZERO,
         }
     }
 
-    /// Returns when [`Event::Tick`] is needed next, if at all.
+    /// Returns when the next [`Event::Tick`] is due, if any.
     pub fn next_tick(&self) -> Option<Millis> {
         let ready = self.in_flight.is_empty() && !self.queue.is_empty();
-        ready.then_some(self.earliest_ms)
+        ready.then_some(self.earliest_start_ms)
     }
 
-    /// Takes in an event and returns what must be done.
+    /// Handles an event and returns the actions to perform.
     pub fn on(&mut self, now: Millis, event: Event) -> Vec<Action> {
         let mut actions = match event {
-            Event::Submit(unit) => self.submit(now, unit),
-            Event::Answered(answer) => self.answered(&answer),
+            Event::Submit(change_set) => self.submit(now, change_set),
+            Event::TransactionDone(result) => self.on_transaction_done(&result),
             Event::Tick => Vec::new(),
         };
         actions.extend(self.expire(now));
@@ -121,55 +122,62 @@
         actions
     }
 
-    fn submit(&mut self, now: Millis, unit: Unit) -> Vec<Action> {
+    fn submit(&mut self, now: Millis, change_set: ChangeSet) -> Vec<Action> {
         if self.queue.len() >= self.settings.max_queue {
-            return vec![reply(&unit, Answer::NotDone)];
+            return vec![reply(&change_set, TransactionResult::NotDone)];
         }
-        let since_ms = now;
-        self.queue.push_back(Waiting { unit, since_ms });
+        let queued_at_ms = now;
+        self.queue.push_back(QueuedSet {
+            change_set,
+            queued_at_ms,
+        });
         Vec::new()
     }
 
-    fn answered(&mut self, answer: &Answer) -> Vec<Action> {
-        let units = std::mem::take(&mut self.in_flight);
-        let Answer::Conflict { rows } = answer else {
-            return units
+    fn on_transaction_done(&mut self, result: &TransactionResult) -> Vec<Action> {
+        let sets = std::mem::take(&mut self.in_flight);
+        let TransactionResult::Conflict { rows } = result else {
+            return sets
                 .iter()
-                .map(|waiting| reply(&waiting.unit, answer.clone()))
+                .map(|queued| reply(&queued.change_set, result.clone()))
                 .collect();
         };
-        let (out, kept): (Vec<_>, Vec<_>) = units.into_iter().partition(|waiting| {
-            let mut changes = waiting.unit.changes.iter();
+        let (out, kept): (Vec<_>, Vec<_>) = sets.into_iter().partition(|queued| {
+            let mut changes = queued.change_set.changes.iter();
             changes.any(|change| rows.contains_key(&change.id))
         });
         if out.is_empty() {
-            let refuse = |waiting: &Waiting| reply(&waiting.unit, Answer::NotDone);
+            let refuse = |queued: &QueuedSet| reply(&queued.change_set, TransactionResult::NotDone);
             return kept.iter().map(refuse).collect();
         }
-        for waiting in kept.into_iter().rev() {
-            self.queue.push_front(waiting);
+        for queued in kept.into_iter().rev() {
+            self.queue.push_front(queued);
         }
         out.iter()
-            .map(|waiting| {
-                let ids = waiting.unit.changes.iter().map(|change| &change.id);
-                let own: BTreeMap<Id, _> = ids
+            .map(|queued| {
+                let ids = queued.change_set.changes.iter().map(|change| &change.id);
+                let conflicting: BTreeMap<Id, _> = ids
                     .filter_map(|id| Some((id.clone(), rows.get(id)?.clone())))
                     .collect();
-                reply(&waiting.unit, Answer::Conflict { rows: own })
+                reply(
+                    &queued.change_set,
+                    TransactionResult::Conflict { rows: conflicting },
+                )
             })
             .collect()
     }
 
-    /// Refuses what has waited so long that its sender reads back already.
+    /// Refuses change sets that have waited so long that their senders already read back.
     fn expire(&mut self, now: Millis) -> Vec<Action> {
         let max_wait_ms = self.settings.max_wait_ms;
-        let old = |waiting: &Waiting| now.since(waiting.since_ms) > max_wait_ms;
-        let (expired, kept): (VecDeque<_>, VecDeque<_>) =
-            std::mem::take(&mut self.queue).into_iter().partition(old);
+        let is_expired = |queued: &QueuedSet| now.since(queued.queued_at_ms) > max_wait_ms;
+        let (expired, kept): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.queue)
+            .into_iter()
+            .partition(is_expired);
         self.queue = kept;
         expired
             .iter()
-            .map(|waiting| reply(&waiting.unit, Answer::NotDone))
+            .map(|queued| reply(&queued.change_set, TransactionResult::NotDone))
             .collect()
     }
 
@@ -177,35 +185,35 @@
         if self.next_tick()? > now {
             return None;
         }
-        self.earliest_ms = now + self.settings.pace_ms;
+        self.earliest_start_ms = now + self.settings.pace_ms;
         let mut ids = BTreeSet::new();
         let mut rows = 0;
-        for waiting in std::mem::take(&mut self.queue) {
-            let changes = &waiting.unit.changes;
+        for queued in std::mem::take(&mut self.queue) {
+            let changes = &queued.change_set.changes;
             let fits = rows == 0 || rows + changes.len() <= self.settings.max_rows;
-            // Two changes of one row cannot be in one transaction.
+            // A transaction cannot hold two changes of one row.
             let distinct = changes.iter().all(|change| !ids.contains(&change.id));
             if fits && distinct {
                 rows += changes.len();
                 ids.extend(changes.iter().map(|change| change.id.clone()));
-                self.in_flight.push(waiting);
+                self.in_flight.push(queued);
             } else {
-                self.queue.push_back(waiting);
+                self.queue.push_back(queued);
             }
         }
-        let units = self.in_flight.iter();
+        let sets = self.in_flight.iter();
         Some(
-            units
-                .flat_map(|waiting| waiting.unit.changes.clone())
+            sets.flat_map(|queued| queued.change_set.changes.clone())
                 .collect(),
         )
     }
 }
 
-/// Returns the committer that `own` hands its changes to, among the nodes of
-/// its data centre; `nodes` includes `own`.
+/// Returns the committer for the changes of node `own`, chosen by rendezvous
+/// hashing among the nodes of its data centre; `nodes` includes `own`.
 ///
-/// Nodes whose views differ choose differently for a while, which is harmless.
+/// Nodes whose views differ may choose different committers for a while, which
+/// is harmless.
 pub fn choose(own: &Name, nodes: &[Name], nodes_per_committer: usize) -> Name {
     let count = nodes.len().div_ceil(nodes_per_committer.max(1));
     let mut ranked: Vec<&Name> = nodes.iter().collect();
@@ -221,10 +229,10 @@
         .clone()
 }
 
-fn reply(unit: &Unit, answer: Answer) -> Action {
+fn reply(change_set: &ChangeSet, result: TransactionResult) -> Action {
     Action::Reply {
-        to: unit.from.clone(),
-        sequence: unit.sequence,
-        answer,
+        to: change_set.from.clone(),
+        sequence: change_set.sequence,
+        result,
     }
 }
--- a/filbertpaddle-core/src/delivery.rs
+++ b/filbertpaddle-core/src/delivery.rs
@@ -1,91 +1,92 @@
-//! Delivery of one answer: each token once, in order, from one generation.
+//! Delivery of one answer to its caller: each token once, in order and from a single
+//! generation.
 
 use crate::name::Name;
 use crate::outcome::Outcome;
 use crate::outcome::Reason;
 
-/// What a target sent on the stream of an attempt.
+/// Event on the target's stream of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// A token arrived.
     Token {
-        /// Attempt named on the event.
+        /// Attempt that the event names.
         attempt: Name,
         /// Position of the token, from zero.
         index: u32,
     },
     /// The generation ended at the target.
     End {
-        /// Attempt named on the event.
+        /// Attempt that the event names.
         attempt: Name,
-        /// Number of tokens of the whole generation.
+        /// Total number of tokens of the generation.
         tokens: u32,
     },
     /// The generation was cancelled at the target.
     Cancelled {
-        /// Attempt named on the event.
+        /// Attempt that the event names.
         attempt: Name,
     },
-    /// The stream broke, and the target may still run the attempt.
+    /// The stream broke; the target may still be running the attempt.
     Broken,
-    /// The target has gone or no longer knows the attempt.
+    /// The target is gone or no longer has the attempt.
     Lost,
 }
 
-/// What to do next.
+/// Action to take after an event.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Pass the token on to the caller.
     Deliver,
-    /// Drop the event: it belongs to another attempt.
-    DropCrossed,
-    /// Drop the event: the token was delivered before.
+    /// Drop the event, which belongs to another attempt.
+    DropForeign,
+    /// Drop the event, since its token was already delivered.
     DropDuplicate,
-    /// Ask the target for the stream from this index on.
+    /// Request the stream from the target again, starting at this index.
     Resume {
-        /// Position of the next token wanted.
+        /// Position of the next token to deliver.
         from: u32,
     },
-    /// Give up this attempt and start another on another target.
+    /// Abandon this attempt and start a new one on another target.
     Restart,
-    /// Tell the caller how it ended.
+    /// Report the final outcome to the caller.
     Finish(Outcome),
 }
 
-/// What may be done again when a target fails.
+/// Properties of a request that decide whether it may restart when a target fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Promise {
-    /// Whether running the request twice is harmless.
+pub struct RestartPolicy {
+    /// Whether the request may safely run twice.
     pub idempotent: bool,
-    /// Whether the caller gets nothing until the answer is whole.
-    pub whole: bool,
+    /// Whether the caller receives nothing until the answer is complete.
+    pub buffered: bool,
 }
 
-/// Most resumes of one attempt without a new token in between.
-pub const MAX_FRUITLESS_RESUMES: u32 = 3;
+/// Maximum number of consecutive resumes of one attempt without a new token.
+pub const MAX_RESUMES_WITHOUT_PROGRESS: u32 = 3;
 
-/// State of one answer on its way to the caller.
+/// Delivery state of one answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Delivery {
-    promise: Promise,
+    restart_policy: RestartPolicy,
     attempt: Name,
     next_index: u32,
-    fruitless_resumes: u32,
+    resumes_without_progress: u32,
 }
 
 impl Delivery {
-    /// Starts delivery of an attempt that is about to be sent.
-    pub fn new(promise: Promise, attempt: Name) -> Self {
-        Self::resumed(promise, attempt, 0)
+    /// Creates the delivery of an attempt that is about to be sent.
+    pub fn new(restart_policy: RestartPolicy, attempt: Name) -> Self {
+        Self::resumed(restart_policy, attempt, 0)
     }
 
-    /// Goes on with an attempt of which the caller holds all tokens before `from`.
-    pub fn resumed(promise: Promise, attempt: Name, from: u32) -> Self {
+    /// Creates the delivery of an attempt whose tokens before `from` the caller already has.
+    pub fn resumed(restart_policy: RestartPolicy, attempt: Name, from: u32) -> Self {
         Self {
-            promise,
+            restart_policy,
             attempt,
             next_index: from,
-            fruitless_resumes: 0,
+            resumes_without_progress: 0,
         }
     }
 
@@ -94,7 +95,7 @@
         &self.attempt
     }
 
-    /// Returns the number of tokens the caller holds.
+    /// Returns the number of tokens delivered so far.
     pub fn delivered_tokens(&self) -> u32 {
         self.next_index
     }
@@ -103,16 +104,16 @@
     pub fn restart(&mut self, attempt: Name) {
         self.attempt = attempt;
         self.next_index = 0;
-        self.fruitless_resumes = 0;
+        self.resumes_without_progress = 0;
     }
 
-    /// Decides on one event.
+    /// Handles one event and returns the action to take.
     pub fn on(&mut self, event: &Event) -> Action {
         match event {
             Event::Token { attempt, index } => self.on_token(attempt, *index),
             Event::End { attempt, tokens } => self.on_end(attempt, *tokens),
-            Event::Cancelled { attempt } if *attempt != self.attempt => Action::DropCrossed,
-            Event::Cancelled { .. } => Action::Finish(self.cut_short(Reason::Cancelled)),
+            Event::Cancelled { attempt } if *attempt != self.attempt => Action::DropForeign,
+            Event::Cancelled { .. } => Action::Finish(self.interrupted_outcome(Reason::Cancelled)),
             Event::Broken => self.resume(),
             Event::Lost => self.on_lost(),
         }
@@ -120,7 +121,7 @@
 
     fn on_token(&mut self, attempt: &Name, index: u32) -> Action {
         if *attempt != self.attempt {
-            return Action::DropCrossed;
+            return Action::DropForeign;
         }
         if index < self.next_index {
             return Action::DropDuplicate;
@@ -129,13 +130,13 @@
             return self.resume();
         }
         self.next_index += 1;
-        self.fruitless_resumes = 0;
+        self.resumes_without_progress = 0;
         Action::Deliver
     }
 
     fn on_end(&mut self, attempt: &Name, tokens: u32) -> Action {
         if *attempt != self.attempt {
-            return Action::DropCrossed;
+            return Action::DropForeign;
         }
         if tokens > self.next_index {
             return self.resume();
@@ -146,27 +147,27 @@
     }
 
     fn resume(&mut self) -> Action {
-        if self.fruitless_resumes >= MAX_FRUITLESS_RESUMES {
+        if self.resumes_without_progress >= MAX_RESUMES_WITHOUT_PROGRESS {
             return self.on_lost();
         }
-        self.fruitless_resumes += 1;
+        self.resumes_without_progress += 1;
         Action::Resume {
             from: self.next_index,
         }
     }
 
-    // Tokens of two generations are never joined, so only an unseen answer
-    // starts again.
+    // Tokens of two generations are never mixed, so an answer restarts only if
+    // the caller has received none of it.
     fn on_lost(&self) -> Action {
-        let unseen = self.promise.whole || self.next_index == 0;
-        if self.promise.idempotent && unseen {
+        let nothing_delivered = self.restart_policy.buffered || self.next_index == 0;
+        if self.restart_policy.idempotent && nothing_delivered {
             return Action::Restart;
         }
-        Action::Finish(self.cut_short(Reason::TargetFailed))
+        Action::Finish(self.interrupted_outcome(Reason::TargetFailed))
     }
 
-    fn cut_short(&self, reason: Reason) -> Outcome {
-        if !self.promise.idempotent {
+    fn interrupted_outcome(&self, reason: Reason) -> Outcome {
+        if !self.restart_policy.idempotent {
             return Outcome::MayHaveRun { reason };
         }
         Outcome::Incomplete {
--- a/filbertpaddle-core/src/lib.rs
+++ b/filbertpaddle-core/src/lib.rs
@@ -1,14 +1,13 @@
 //! Coordination decisions for serving generations of unknown length.
 //!
-//! Every part is a plain struct that takes the time and a typed event and
-//! yields typed actions. Nothing here performs I/O, reads a wall clock or
-//! knows which transport carries its messages.
+//! Each component is a plain struct that takes the current time and a typed
+//! event and returns typed actions. The crate performs no I/O, reads no clock
+//! and does not depend on the transport of its messages.
 
 pub mod apart;
 pub mod ask;
 pub mod attempt;
 pub mod backlog;
-pub mod batch;
 pub mod claim;
 pub mod claims;
 pub mod clock;
@@ -18,6 +17,7 @@
 pub mod edit;
 pub mod engine;
 pub mod gossip;
+pub mod group_commit;
 pub mod ledger;
 pub mod length;
 pub mod limit;
--- a/filbertpaddle-core/tests/claims.rs
+++ b/filbertpaddle-core/tests/claims.rs
@@ -1,12 +1,10 @@
-//! Group commit and outages of one node's claims.
+//! Claims of one node: group commit, lost answers and platform outages.
 
 use std::collections::BTreeMap;
 
-use filbertpaddle_core::attempt::Verdict;
-use filbertpaddle_core::batch::Answer;
-use filbertpaddle_core::batch::Change;
+use filbertpaddle_core::attempt::Decision;
 use filbertpaddle_core::claim;
-use filbertpaddle_core::claim::Ending;
+use filbertpaddle_core::claim::FinalResult;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claim::Record;
 use filbertpaddle_core::claim::Row;
@@ -17,6 +15,8 @@
 use filbertpaddle_core::claims::Request;
 use filbertpaddle_core::claims::Settings;
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::group_commit::Change;
+use filbertpaddle_core::group_commit::TransactionResult;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_core::outcome::Reason;
@@ -55,20 +55,20 @@
         .unwrap_or_default()
 }
 
-fn verdicts(actions: &[Action]) -> Vec<(&Name, &Verdict)> {
+fn decisions(actions: &[Action]) -> Vec<(&Name, &Decision)> {
     actions
         .iter()
         .filter_map(|action| match action {
-            Action::Decide { attempt, verdict } => Some((attempt, verdict)),
+            Action::Decide { attempt, decision } => Some((attempt, decision)),
             _ => None,
         })
         .collect()
 }
 
-fn is_unavailable(verdict: &Verdict) -> bool {
+fn is_unavailable(decision: &Decision) -> bool {
     matches!(
-        verdict,
-        Verdict::Refused(Outcome::NotRun {
+        decision,
+        Decision::Refused(Outcome::NotRun {
             reason: Reason::PlatformUnavailable,
             retry_after_ms: Some(_),
         })
@@ -76,40 +76,43 @@
 }
 
 /// Starts a transaction with claim 0 and queues claims 1 to `last` behind it.
-fn queued(claims: &mut Claims, last: u32) {
+fn start_and_queue(claims: &mut Claims, last: u32) {
     for key in 0..=last {
         claims.on(Millis(0), claim(key));
     }
 }
 
 #[test]
-fn claims_that_wait_share_the_next_transaction() {
+fn queued_claims_share_the_next_transaction() {
     let mut claims = claims();
-    queued(&mut claims, 100);
+    start_and_queue(&mut claims, 100);
     claims.on(
         Millis(15),
-        Event::Answered(Answer::Committed { revision: 1 }),
+        Event::TransactionDone(TransactionResult::Committed { revision: 1 }),
     );
     let actions = claims.on(Millis(20), Event::Tick);
     assert_eq!(transaction(&actions).len(), 100);
-    let committed = Event::Answered(Answer::Committed { revision: 2 });
+    let committed = Event::TransactionDone(TransactionResult::Committed { revision: 2 });
     let actions = claims.on(Millis(30), committed);
-    let held = verdicts(&actions);
+    let held = decisions(&actions);
     assert_eq!(held.len(), 100);
-    assert!(held.iter().all(|(_, verdict)| **verdict == Verdict::Held));
+    assert!(
+        held.iter()
+            .all(|(_, decision)| **decision == Decision::Held)
+    );
 }
 
 #[test]
-fn conflicting_row_is_taken_out_and_the_rest_is_retried() {
+fn conflicting_row_is_removed_and_the_rest_is_retried() {
     let mut claims = claims();
-    queued(&mut claims, 3);
+    start_and_queue(&mut claims, 3);
     claims.on(
         Millis(20),
-        Event::Answered(Answer::Committed { revision: 1 }),
+        Event::TransactionDone(TransactionResult::Committed { revision: 1 }),
     );
-    let ending = Ending {
+    let final_result = FinalResult {
         outcome: Outcome::Complete { tokens: 1 },
-        answer: claim::Answer::Absent,
+        answer: claim::StoredAnswer::Absent,
     };
     let row = Row {
         record: Record {
@@ -118,85 +121,106 @@
             holder: "other".into(),
             incarnation: 1,
             claimed_at_ms: Millis(0),
-            state: State::Finished(ending.clone()),
+            state: State::Finished(final_result.clone()),
         },
         revision: 1,
     };
     let rows = BTreeMap::from([(id(2), Some(row))]);
-    let actions = claims.on(Millis(40), Event::Answered(Answer::Conflict { rows }));
-    let replay = Verdict::Replay(ending);
-    assert_eq!(verdicts(&actions), [(&attempt(2), &replay)]);
+    let actions = claims.on(
+        Millis(40),
+        Event::TransactionDone(TransactionResult::Conflict { rows }),
+    );
+    let replay = Decision::Replay(final_result);
+    assert_eq!(decisions(&actions), [(&attempt(2), &replay)]);
     let retried = transaction(&actions);
     let ids = retried.iter().map(|change| change.id.clone());
     assert_eq!(ids.collect::<Vec<_>>(), [id(1), id(3)]);
 }
 
 #[test]
-fn failed_transaction_refuses_all_that_wait_at_once() {
+fn failed_transaction_refuses_all_queued_claims() {
     let failures = [
-        vec![Event::Answered(Answer::NotDone)],
-        vec![Event::Answered(Answer::Unknown), Event::ReadBack(None)],
+        vec![Event::TransactionDone(TransactionResult::NotDone)],
+        vec![
+            Event::TransactionDone(TransactionResult::Unknown),
+            Event::ReadBack(None),
+        ],
     ];
     for events in failures {
         let unsettled = events.len() - 1;
         let mut claims = claims();
-        queued(&mut claims, 10);
+        start_and_queue(&mut claims, 10);
         let now = Millis(1_000);
         let actions: Vec<Action> = events
             .into_iter()
             .flat_map(|event| claims.on(now, event))
             .collect();
-        let refused = verdicts(&actions);
+        let refused = decisions(&actions);
         assert_eq!(refused.len(), 11);
-        assert!(refused.iter().all(|(_, verdict)| is_unavailable(verdict)));
+        assert!(refused.iter().all(|(_, decision)| is_unavailable(decision)));
         let actions = claims.on(Millis(1_001), claim(20));
-        assert!(is_unavailable(verdicts(&actions)[0].1));
+        assert!(is_unavailable(decisions(&actions)[0].1));
         assert_eq!(claims.len(), unsettled);
     }
 }
 
 #[test]
-fn one_lost_answer_is_no_outage() {
+fn one_lost_answer_is_not_an_outage() {
     let mut claims = claims();
-    queued(&mut claims, 3);
-    let actions = claims.on(Millis(20), Event::Answered(Answer::Unknown));
-    assert_eq!(verdicts(&actions), []);
-    assert_eq!(verdicts(&claims.on(Millis(21), claim(4))), []);
-    // The lost claim has not landed, so it is tried again with the others.
+    start_and_queue(&mut claims, 3);
+    let actions = claims.on(
+        Millis(20),
+        Event::TransactionDone(TransactionResult::Unknown),
+    );
+    assert_eq!(decisions(&actions), []);
+    assert_eq!(decisions(&claims.on(Millis(21), claim(4))), []);
+    // The read-back shows no claim, so it is retried with the others.
     let actions = claims.on(Millis(22), Event::ReadBack(Some(BTreeMap::new())));
-    assert_eq!(verdicts(&actions), []);
+    assert_eq!(decisions(&actions), []);
     assert_eq!(transaction(&actions).len(), 5);
-    // Lost twice in a row, it counts as an outage.
-    claims.on(Millis(50), Event::Answered(Answer::Unknown));
+    // A second lost answer in a row counts as an outage.
+    claims.on(
+        Millis(50),
+        Event::TransactionDone(TransactionResult::Unknown),
+    );
     let actions = claims.on(Millis(51), Event::ReadBack(Some(BTreeMap::new())));
     assert_eq!(transaction(&actions).len(), 5);
-    claims.on(Millis(80), Event::Answered(Answer::Unknown));
+    claims.on(
+        Millis(80),
+        Event::TransactionDone(TransactionResult::Unknown),
+    );
     let actions = claims.on(Millis(81), Event::ReadBack(Some(BTreeMap::new())));
-    assert_eq!(verdicts(&actions).len(), 5);
+    assert_eq!(decisions(&actions).len(), 5);
 }
 
 #[test]
-fn one_claim_probes_after_the_pause() {
+fn one_claim_probes_after_the_backoff() {
     let mut claims = claims();
-    queued(&mut claims, 0);
-    claims.on(Millis(0), Event::Answered(Answer::NotDone));
+    start_and_queue(&mut claims, 0);
+    claims.on(
+        Millis(0),
+        Event::TransactionDone(TransactionResult::NotDone),
+    );
     let actions = claims.on(Millis(500), claim(1));
     assert_eq!(transaction(&actions).len(), 1);
     let actions = claims.on(Millis(500), claim(2));
-    assert!(is_unavailable(verdicts(&actions)[0].1));
+    assert!(is_unavailable(decisions(&actions)[0].1));
     claims.on(
         Millis(501),
-        Event::Answered(Answer::Committed { revision: 1 }),
+        Event::TransactionDone(TransactionResult::Committed { revision: 1 }),
     );
     let actions = claims.on(Millis(520), claim(3));
     assert_eq!(transaction(&actions).len(), 1);
 }
 
 #[test]
-fn claim_seen_after_a_lost_answer_is_held() {
+fn claim_read_back_after_a_lost_answer_is_held() {
     let mut claims = claims();
     let sent = transaction(&claims.on(Millis(0), claim(0)));
-    let actions = claims.on(Millis(10), Event::Answered(Answer::Unknown));
+    let actions = claims.on(
+        Millis(10),
+        Event::TransactionDone(TransactionResult::Unknown),
+    );
     assert_eq!(actions, [Action::Read(vec![id(0)])]);
     let row = Row {
         record: sent[0].record.clone().unwrap(),
@@ -204,7 +228,7 @@
     };
     let rows = BTreeMap::from([(id(0), row)]);
     let actions = claims.on(Millis(11), Event::ReadBack(Some(rows)));
-    assert_eq!(verdicts(&actions), [(&attempt(0), &Verdict::Held)]);
+    assert_eq!(decisions(&actions), [(&attempt(0), &Decision::Held)]);
 }
 
 #[test]
@@ -217,7 +241,7 @@
     for round in 0..4 {
         let now = Millis(u64::from(round) * 1_000);
         claims.on(now, claim(round));
-        claims.on(now, Event::Answered(Answer::Unknown));
+        claims.on(now, Event::TransactionDone(TransactionResult::Unknown));
         claims.on(now, Event::ReadBack(None));
     }
     assert_eq!((claims.backlog(), claims.dropped()), (2, 2));
@@ -231,30 +255,33 @@
     }));
     claims.on(
         Millis(10_001),
-        Event::Answered(Answer::Committed { revision: 1 }),
+        Event::TransactionDone(TransactionResult::Committed { revision: 1 }),
     );
     assert!(claims.is_empty());
 }
 
 #[test]
-fn ending_is_kept_until_it_is_in_the_table() {
+fn final_result_is_kept_until_it_is_committed() {
     let mut claims = claims();
     claims.on(Millis(0), claim(0));
     claims.on(
         Millis(1),
-        Event::Answered(Answer::Committed { revision: 1 }),
+        Event::TransactionDone(TransactionResult::Committed { revision: 1 }),
     );
-    let ending = Ending {
+    let final_result = FinalResult {
         outcome: Outcome::Complete { tokens: 1 },
-        answer: claim::Answer::Inline("answer".into()),
+        answer: claim::StoredAnswer::Inline("answer".into()),
     };
     let finish = Event::Finish {
         attempt: attempt(0),
-        ending: ending.clone(),
+        final_result: final_result.clone(),
     };
     let actions = claims.on(Millis(100), finish);
     assert_eq!(transaction(&actions).len(), 1);
-    claims.on(Millis(100), Event::Answered(Answer::NotDone));
+    claims.on(
+        Millis(100),
+        Event::TransactionDone(TransactionResult::NotDone),
+    );
     let resent = Event::Claim(Request {
         id: id(0),
         attempt: attempt(9),
@@ -263,8 +290,8 @@
     });
     let actions = claims.on(Millis(101), resent);
     assert_eq!(
-        verdicts(&actions),
-        [(&attempt(9), &Verdict::Replay(ending))]
+        decisions(&actions),
+        [(&attempt(9), &Decision::Replay(final_result))]
     );
     assert_eq!(claims.next_tick(), Some(Millis(600)));
     assert_eq!(
@@ -273,7 +300,7 @@
     );
     claims.on(
         Millis(601),
-        Event::Answered(Answer::Committed { revision: 2 }),
+        Event::TransactionDone(TransactionResult::Committed { revision: 2 }),
     );
     assert!(claims.is_empty());
 }
--- a/filbertpaddle-core/tests/sweep.rs
+++ b/filbertpaddle-core/tests/sweep.rs
@@ -1,7 +1,6 @@
-//! Which claims are kept, and how a pass goes on.
+//! Retention of claims, paging and conditional removal of expired rows.
 
-use filbertpaddle_core::batch::Answer;
-use filbertpaddle_core::claim::Ending;
+use filbertpaddle_core::claim::FinalResult;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claim::Record;
 use filbertpaddle_core::claim::Row;
@@ -11,6 +10,7 @@
 use filbertpaddle_core::claims::Event;
 use filbertpaddle_core::claims::Settings;
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::group_commit::TransactionResult;
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_core::sweep;
 use filbertpaddle_core::sweep::Entry;
@@ -38,14 +38,14 @@
 }
 
 fn finished() -> State {
-    State::Finished(Ending {
+    State::Finished(FinalResult {
         outcome: Outcome::Complete { tokens: 1 },
         answer: Default::default(),
     })
 }
 
 #[test]
-fn claims_are_kept_for_their_time() {
+fn claims_expire_after_their_retention() {
     let day = sweep::RETENTION_MS;
     let hour = sweep::RELEASED_RETENTION_MS;
     let page = vec![
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn full_page_goes_on_and_much_to_delete_hurries() {
+fn full_page_continues_and_many_expired_rows_shorten_the_interval() {
     let old = sweep::RETENTION_MS + Millis(1);
     let page = (0..sweep::PAGE_ROWS).map(|number| entry(number, old, finished()));
     let step = sweep::step(page.collect(), NOW);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn expired_rows_are_deleted_only_as_they_were_seen() {
+fn expired_rows_are_deleted_only_at_the_revision_read() {
     let mut claims = Claims::new("node".into(), 1, Settings::default());
     let expired = sweep::step(
         vec![entry(7, sweep::RETENTION_MS + Millis(1), finished())],
@@ -85,6 +85,9 @@
     };
     assert_eq!(changes[0].expected, Some(7));
     assert_eq!(changes[0].record, None);
-    let lost = claims.on(Millis(1), Event::Answered(Answer::NotDone));
+    let lost = claims.on(
+        Millis(1),
+        Event::TransactionDone(TransactionResult::NotDone),
+    );
     assert!(lost.is_empty() && claims.is_empty());
 }
--- a/filbertpaddle-wire/tests/claim.rs
+++ b/filbertpaddle-wire/tests/claim.rs
@@ -1,12 +1,12 @@
 //! Changes of claims as they travel to a committer.
 
-use filbertpaddle_core::batch::Change;
-use filbertpaddle_core::claim::Answer;
-use filbertpaddle_core::claim::Ending;
+use filbertpaddle_core::claim::FinalResult;
 use filbertpaddle_core::claim::Id;
 use filbertpaddle_core::claim::Record;
 use filbertpaddle_core::claim::State;
+use filbertpaddle_core::claim::StoredAnswer;
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::group_commit::Change;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_wire::claim;
@@ -44,9 +44,9 @@
 
 #[test]
 fn changes_survive_a_frame() {
-    let finished = State::Finished(Ending {
+    let finished = State::Finished(FinalResult {
         outcome: Outcome::Complete { tokens: 1 },
-        answer: Answer::Inline("done".into()),
+        answer: StoredAnswer::Inline("done".into()),
     });
     let states = [State::Claimed, State::Released, finished];
     let sent = vec![commit(states.map(change).to_vec())];
--- a/filbertpaddle/src/claim_actor.rs
+++ b/filbertpaddle/src/claim_actor.rs
@@ -3,18 +3,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use filbertpaddle_core::attempt::Verdict;
-use filbertpaddle_core::batch::Answer;
-use filbertpaddle_core::batch::Change;
+use filbertpaddle_core::attempt::Decision;
 use filbertpaddle_core::claim::Id;
-use filbertpaddle_core::claim::Question;
-use filbertpaddle_core::claim::Reply;
 use filbertpaddle_core::claim::Status;
+use filbertpaddle_core::claim::StatusQuery;
+use filbertpaddle_core::claim::StatusReply;
 use filbertpaddle_core::claims::Action;
 use filbertpaddle_core::claims::Claims;
 use filbertpaddle_core::claims::Event;
 use filbertpaddle_core::claims::Request;
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::group_commit::Change;
+use filbertpaddle_core::group_commit::TransactionResult;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_platform::client::Client;
 use filbertpaddle_wire::claim;
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub(crate) struct Ask {
     pub(crate) request: Request,
-    pub(crate) verdict: oneshot::Sender<Verdict>,
+    pub(crate) verdict: oneshot::Sender<Decision>,
 }
 
 /// Something that happened to the claims.
@@ -55,7 +55,7 @@
 pub(crate) struct Settled {
     pub(crate) by: Name,
     pub(crate) sequence: u64,
-    pub(crate) answer: Answer,
+    pub(crate) answer: TransactionResult,
 }
 
 /// A committer has had long enough to answer.
@@ -78,7 +78,7 @@
     pub(crate) peers: Peers,
     pub(crate) clock: Clock,
     pub(crate) metrics: Arc<Metrics>,
-    pub(crate) waiting: IndexMap<Name, oneshot::Sender<Verdict>>,
+    pub(crate) waiting: IndexMap<Name, oneshot::Sender<Decision>>,
     pub(crate) timer_ms: Option<Millis>,
 }
 
@@ -119,7 +119,7 @@
 
     async fn handle(&mut self, settled: Settled, context: &mut Context<Self>) {
         if self.route.settle(settled.sequence, &settled.by) {
-            let event = Event::Answered(settled.answer);
+            let event = Event::TransactionDone(settled.answer);
             self.on(event, &context.mailbox().address());
         }
     }
@@ -132,7 +132,7 @@
         if self.route.settle(overdue.sequence, &overdue.by) {
             self.metrics.count("claim.committer_silent");
             self.route.avoid(self.clock.now(), overdue.by);
-            let event = Event::Answered(Answer::Unknown);
+            let event = Event::TransactionDone(TransactionResult::Unknown);
             self.on(event, &context.mailbox().address());
         }
     }
@@ -159,12 +159,12 @@
         match action {
             Action::Transact(changes) => self.transact(changes, own),
             Action::Read(ids) => self.read(ids, own),
-            Action::Ask { holder, question } => self.ask(&holder, question, own),
-            Action::Tell { to, reply } => {
+            Action::SendQuery { holder, query } => self.ask(&holder, query, own),
+            Action::SendReply { to, reply } => {
                 let message = Message::Claim(claim::Message::Tell(reply));
                 self.peers.send(&to, message);
             }
-            Action::Decide { attempt, verdict } => self.decide(&attempt, verdict, own),
+            Action::Decide { attempt, decision } => self.decide(&attempt, decision, own),
         }
     }
 
@@ -188,11 +188,11 @@
         });
     }
 
-    fn ask(&self, holder: &Name, question: Question, own: &WeakAddress<Self>) {
+    fn ask(&self, holder: &Name, question: StatusQuery, own: &WeakAddress<Self>) {
         self.metrics.count("claim.asked");
         // Silence proves nothing, so it is taken as a holder that has gone.
-        let silence = Reply {
-            asker: question.asker.clone(),
+        let silence = StatusReply {
+            requester: question.requester.clone(),
             attempt: question.attempt.clone(),
             status: Status::Gone,
         };
@@ -204,12 +204,12 @@
         let own = own.clone();
         tokio::spawn(async move {
             tokio::time::sleep(wait).await;
-            own.send(Input(Event::Told(silence))).await.ok();
+            own.send(Input(Event::ReplyReceived(silence))).await.ok();
         });
     }
 
-    fn decide(&mut self, attempt: &Name, verdict: Verdict, own: &WeakAddress<Self>) {
-        let held = verdict == Verdict::Held;
+    fn decide(&mut self, attempt: &Name, verdict: Decision, own: &WeakAddress<Self>) {
+        let held = verdict == Decision::Held;
         let told = self
             .waiting
             .swap_remove(attempt)
