--- a/filbertpaddle-core/benches/config.rs
+++ b/filbertpaddle-core/benches/config.rs
@@ -16,8 +16,8 @@
 use filbertpaddle_core::relay::Member;
 use filbertpaddle_core::replica::Intake;
 use filbertpaddle_core::replica::Replica;
+use filbertpaddle_core::replicator::Replicator;
 use filbertpaddle_core::revision::Revision;
-use filbertpaddle_core::spread::Spread;
 use filbertpaddle_core::template::Template;
 
 /// Templates in force.
@@ -66,15 +66,15 @@
     replica
 }
 
-fn spread() -> Spread {
+fn replicator() -> Replicator {
     let member = |index: usize| Member {
         node: format!("entry-{index}").into(),
         data_centre: "north".into(),
     };
-    let mut spread = Spread::new(member(0));
+    let mut replicator = Replicator::new(member(0));
     let members = (0..MEMBERS).map(member).collect();
-    spread.on(Millis::ZERO, Event::Members(members));
-    spread
+    replicator.on(Millis::ZERO, Event::Members(members));
+    replicator
 }
 
 fn changes(c: &mut Criterion) {
@@ -94,13 +94,13 @@
     let pushes: Vec<_> = (1..=CHANGES).map(change).collect();
     group.bench_function("push", |b| {
         b.iter_batched_ref(
-            spread,
-            |spread| {
+            replicator,
+            |replicator| {
                 for change in &pushes {
                     let message = Message::Push(change.clone());
                     let from = "entry-1".into();
                     let event = Event::Message { from, message };
-                    black_box(spread.on(Millis(1), event));
+                    black_box(replicator.on(Millis(1), event));
                 }
             },
             BatchSize::LargeInput,
@@ -133,10 +133,10 @@
 }
 
 fn ask(c: &mut Criterion) {
-    let mut spread = spread();
+    let mut replicator = replicator();
     (1..=TEMPLATES).for_each(|revision| {
         let event = Event::Accepted(change(revision));
-        spread.on(Millis(1), event);
+        replicator.on(Millis(1), event);
     });
     c.bench_function("ask", |b| {
         b.iter(|| {
@@ -146,7 +146,7 @@
                 age_ms: Some(Millis(1)),
             };
             let from = "entry-1".into();
-            black_box(spread.on(Millis(2), Event::Message { from, message }))
+            black_box(replicator.on(Millis(2), Event::Message { from, message }))
         });
     });
 }
--- a/filbertpaddle-core/src/gossip.rs
+++ b/filbertpaddle-core/src/gossip.rs
@@ -99,7 +99,7 @@
     TablePage(Page),
     /// The table did not answer the last read.
     TableFailed,
-    /// [`TICK_MS`](crate::spread::TICK_MS) have passed.
+    /// [`TICK_INTERVAL_MS`](crate::replicator::TICK_INTERVAL_MS) have passed.
     Tick,
 }
 
--- a/filbertpaddle-core/src/relay.rs
+++ b/filbertpaddle-core/src/relay.rs
@@ -59,7 +59,7 @@
 
 /// The live nodes, with who of them does not answer this one.
 #[derive(Clone, Debug)]
-pub struct Roster {
+pub struct LiveNodes {
     me: Member,
     members: Vec<Member>,
     seq: u64,
@@ -67,7 +67,7 @@
     silent_until: BTreeMap<Name, Millis>,
 }
 
-impl Roster {
+impl LiveNodes {
     /// Starts with this node alone.
     pub fn new(me: Member) -> Self {
         Self {
@@ -80,7 +80,7 @@
     }
 
     /// Returns this node.
-    pub fn me(&self) -> &Member {
+    pub fn local(&self) -> &Member {
         &self.me
     }
 
--- a/filbertpaddle-core/src/spread.rs
+++ b/filbertpaddle-core/src/replicator.rs
@@ -15,8 +15,8 @@
 use crate::gossip::NodeStatus;
 use crate::name::Name;
 use crate::relay;
+use crate::relay::LiveNodes;
 use crate::relay::Member;
-use crate::relay::Roster;
 use crate::replica::MAX_RECENT;
 use crate::replica::Page;
 use crate::replica::Replica;
@@ -33,7 +33,7 @@
 /// Relays of other data centres that a relay asks at once when it looks for news.
 const FAR_ASKS: usize = 4;
 /// Time between two ticks.
-pub const TICK_MS: Millis = Millis(250);
+pub const TICK_INTERVAL_MS: Millis = Millis(250);
 
 /// What a node last said of itself.
 #[derive(Clone, Copy, Debug)]
@@ -54,8 +54,8 @@
 
 /// One node's part in spreading configuration.
 #[derive(Clone, Debug)]
-pub struct Spread {
-    roster: Roster,
+pub struct Replicator {
+    live_nodes: LiveNodes,
     replica: Replica,
     next_ask_at: Millis,
     stand_by: usize,
@@ -66,11 +66,11 @@
     ready: bool,
 }
 
-impl Spread {
+impl Replicator {
     /// Starts with nothing known.
     pub fn new(me: Member) -> Self {
         Self {
-            roster: Roster::new(me),
+            live_nodes: LiveNodes::new(me),
             replica: Replica::default(),
             next_ask_at: Millis::ZERO,
             stand_by: 0,
@@ -96,23 +96,25 @@
     }
 
     /// Returns whether the table failed to answer the last read.
-    pub fn is_table_silent(&self) -> bool {
+    pub fn is_table_unavailable(&self) -> bool {
         self.table.failed
     }
 
     /// Returns the live nodes as this node sees them.
-    pub fn roster(&self) -> &Roster {
-        &self.roster
+    pub fn live_nodes(&self) -> &LiveNodes {
+        &self.live_nodes
     }
 
     /// Returns what is known of the nodes of this data centre.
     pub fn status(&self, now: Millis) -> Vec<NodeStatus> {
-        let nodes = self.roster.nodes_of(&self.roster.me().data_centre);
+        let nodes = self
+            .live_nodes
+            .nodes_of(&self.live_nodes.local().data_centre);
         nodes.map(|node| self.status_of(now, node)).collect()
     }
 
     fn status_of(&self, now: Millis, node: &Name) -> NodeStatus {
-        let heard = if *node == self.roster.me().node {
+        let heard = if *node == self.live_nodes.local().node {
             Some(Heard {
                 at: now,
                 head: self.replica.head(),
@@ -147,8 +149,8 @@
     }
 
     fn on_members(&mut self, members: Vec<Member>) {
-        self.roster.set(members);
-        self.heard.retain(|node, _| self.roster.contains(node));
+        self.live_nodes.set(members);
+        self.heard.retain(|node, _| self.live_nodes.contains(node));
     }
 
     fn on_accepted(&mut self, change: &Change, actions: &mut Vec<Action>) {
@@ -156,9 +158,9 @@
             return;
         }
         actions.push(Action::InForce(change.setting.key()));
-        for data_centre in self.roster.data_centres() {
+        for data_centre in self.live_nodes.data_centres() {
             let relay = self.relay_of(&data_centre);
-            let to = relay.filter(|relay| *relay != self.roster.me().node);
+            let to = relay.filter(|relay| *relay != self.live_nodes.local().node);
             actions.extend(to.map(|to| push(to, change)));
         }
         if self.is_relay() {
@@ -167,7 +169,7 @@
     }
 
     fn on_message(&mut self, now: Millis, from: Name, message: Message, actions: &mut Vec<Action>) {
-        self.roster.hear(&from);
+        self.live_nodes.hear(&from);
         match message {
             Message::Push(change) => self.on_push(&from, &change, actions),
             Message::Ask { seq, head, age_ms } => {
@@ -181,7 +183,7 @@
                 age_ms,
                 changes,
             } => {
-                let Some(asked_at) = self.roster.answered(&from, seq) else {
+                let Some(asked_at) = self.live_nodes.answered(&from, seq) else {
                     return;
                 };
                 self.hear(now, &from, head, age_ms);
@@ -198,7 +200,7 @@
                 actions.push(Action::Send { to: from, message });
             }
             Message::Page { seq, page } => {
-                let is_answer = self.roster.answered(&from, seq).is_some();
+                let is_answer = self.live_nodes.answered(&from, seq).is_some();
                 if is_answer && self.transfers_from(&Source::Node(from)) {
                     self.on_page(now, &page, actions);
                 }
@@ -305,7 +307,7 @@
     }
 
     fn on_tick(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        if self.roster.pass_over_silent(now) {
+        if self.live_nodes.pass_over_silent(now) {
             // Whoever is next in rank is asked at once.
             self.next_ask_at = now;
         }
@@ -321,7 +323,7 @@
     }
 
     fn read_table(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let stands_by = self.is_stale(now) && self.roster.my_rank() < relay::STAND_BYS;
+        let stands_by = self.is_stale(now) && self.live_nodes.my_rank() < relay::STAND_BYS;
         let reads = self.is_relay() || stands_by || !self.ready;
         if !reads || now < self.table.next_at || self.table.reading_since.is_some() {
             return;
@@ -336,14 +338,14 @@
         if self.is_relay() || !self.ready {
             nodes.extend(self.far_relays(now));
         }
-        nodes.retain(|node| *node != self.roster.me().node && !self.roster.owes(node));
+        nodes.retain(|node| *node != self.live_nodes.local().node && !self.live_nodes.owes(node));
         nodes
     }
 
     /// Returns the relay, and a stand-by if the relay leaves this node stale.
     fn near(&mut self, now: Millis) -> Vec<Name> {
         let stale = self.is_stale(now);
-        let ranked = self.roster.ranked(&self.roster.me().data_centre);
+        let ranked = self.live_nodes.ranked(&self.live_nodes.local().data_centre);
         let nodes = ranked.into_iter().take(relay::STAND_BYS).cloned();
         if !self.ready {
             return nodes.collect();
@@ -361,8 +363,8 @@
     }
 
     fn far_relays(&mut self, now: Millis) -> Vec<Name> {
-        let mut far = self.roster.data_centres();
-        far.retain(|data_centre| *data_centre != self.roster.me().data_centre);
+        let mut far = self.live_nodes.data_centres();
+        far.retain(|data_centre| *data_centre != self.live_nodes.local().data_centre);
         if far.is_empty() {
             return Vec::new();
         }
@@ -398,13 +400,13 @@
         let Some(heard) = self.heard.values().map(|heard| heard.head).max() else {
             return false;
         };
-        let is_settled = self.roster.is_settled() && self.transfer.is_none();
+        let is_settled = self.live_nodes.is_settled() && self.transfer.is_none();
         let has_all = heard <= self.replica.head() && self.replica.current_at().is_some();
         self.table.failed && is_settled && has_all
     }
 
     fn hear(&mut self, now: Millis, node: &Name, head: Revision, age_ms: Option<Millis>) {
-        if !self.roster.contains(node) {
+        if !self.live_nodes.contains(node) {
             return;
         }
         let current_at = age_ms.map(|age_ms| Millis(now.0.saturating_sub(age_ms.0)));
@@ -430,7 +432,7 @@
     }
 
     fn ask(&mut self, now: Millis, to: Name, actions: &mut Vec<Action>) {
-        let seq = self.roster.ask(now, &to);
+        let seq = self.live_nodes.ask(now, &to);
         let message = Message::Ask {
             seq,
             head: self.replica.head(),
@@ -457,7 +459,7 @@
         match from {
             Source::Table(head) => actions.push(Action::ReadPage { head: *head, after }),
             Source::Node(node) => {
-                let seq = self.roster.ask(now, node);
+                let seq = self.live_nodes.ask(now, node);
                 let message = Message::AskPage { seq, after };
                 let to = node.clone();
                 actions.push(Action::Send { to, message });
@@ -478,18 +480,22 @@
     }
 
     fn forward(&self, from: Option<&Name>, change: &Change, actions: &mut Vec<Action>) {
-        let ranked = self.roster.ranked(&self.roster.me().data_centre);
-        let children = relay::children(&ranked, &self.roster.me().node);
+        let ranked = self.live_nodes.ranked(&self.live_nodes.local().data_centre);
+        let children = relay::children(&ranked, &self.live_nodes.local().node);
         let others = children.into_iter().filter(|child| Some(*child) != from);
         actions.extend(others.map(|child| push(child.clone(), change)));
     }
 
     fn relay_of(&self, data_centre: &Name) -> Option<Name> {
-        self.roster.ranked(data_centre).first().copied().cloned()
+        self.live_nodes
+            .ranked(data_centre)
+            .first()
+            .copied()
+            .cloned()
     }
 
     fn is_relay(&self) -> bool {
-        self.roster.my_rank() == 0
+        self.live_nodes.my_rank() == 0
     }
 }
 
--- a/filbertpaddle-core/tests/spread.rs
+++ b/filbertpaddle-core/tests/replicator.rs
@@ -14,15 +14,15 @@
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::relay::Member;
 use filbertpaddle_core::replica::Page;
+use filbertpaddle_core::replicator::Replicator;
+use filbertpaddle_core::replicator::TICK_INTERVAL_MS;
 use filbertpaddle_core::revision::Revision;
-use filbertpaddle_core::spread::Spread;
-use filbertpaddle_core::spread::TICK_MS;
 
 /// The bound from acceptance to every reachable node.
 const BOUND_MS: u64 = 6_000;
 
 struct Net {
-    nodes: BTreeMap<Name, Spread>,
+    nodes: BTreeMap<Name, Replicator>,
     members: Vec<Member>,
     log: Vec<Change>,
     now: Millis,
@@ -81,13 +81,13 @@
     }
 
     fn add(&mut self, member: Member) {
-        let mut spread = Spread::new(member.clone());
-        spread.on(self.now, Event::Members(self.members.clone()));
-        self.nodes.insert(member.node, spread);
+        let mut replicator = Replicator::new(member.clone());
+        replicator.on(self.now, Event::Members(self.members.clone()));
+        self.nodes.insert(member.node, replicator);
     }
 
     fn data_centre(&self, node: &Name) -> Name {
-        self.nodes[node].roster().me().data_centre.clone()
+        self.nodes[node].live_nodes().local().data_centre.clone()
     }
 
     fn is_reachable(&self, from: &Name, to: &Name) -> bool {
@@ -103,10 +103,10 @@
     }
 
     fn deliver(&mut self, node: &Name, event: Event) {
-        let Some(spread) = self.nodes.get_mut(node) else {
+        let Some(replicator) = self.nodes.get_mut(node) else {
             return;
         };
-        let actions = spread.on(self.now, event);
+        let actions = replicator.on(self.now, event);
         for action in actions {
             self.run(node, action);
         }
@@ -172,8 +172,8 @@
 
     fn pass(&mut self, span_ms: u64) {
         let nodes: Vec<_> = self.nodes.keys().cloned().collect();
-        for _ in 0..span_ms / TICK_MS.0 {
-            self.now = self.now + TICK_MS;
+        for _ in 0..span_ms / TICK_INTERVAL_MS.0 {
+            self.now = self.now + TICK_INTERVAL_MS;
             for node in nodes
                 .iter()
                 .filter(|node| !self.dead.contains(node))
@@ -190,14 +190,14 @@
         self.nodes
             .iter()
             .filter(|(node, _)| !self.dead.contains(node))
-            .filter(|(_, spread)| spread.replica().head() < head)
+            .filter(|(_, replicator)| replicator.replica().head() < head)
             .map(|(node, _)| node)
             .collect()
     }
 
     fn relay_of(&self, data_centre: &str) -> Name {
         let any = &self.nodes["node-0"];
-        any.roster().ranked(&data_centre.into())[0].clone()
+        any.live_nodes().ranked(&data_centre.into())[0].clone()
     }
 }
 
--- a/filbertpaddle/src/config.rs
+++ b/filbertpaddle/src/config.rs
@@ -9,8 +9,8 @@
 use filbertpaddle_core::gossip::Event;
 use filbertpaddle_core::gossip::Message;
 use filbertpaddle_core::relay::Member;
-use filbertpaddle_core::spread::Spread;
-use filbertpaddle_core::spread::TICK_MS;
+use filbertpaddle_core::replicator::Replicator;
+use filbertpaddle_core::replicator::TICK_INTERVAL_MS;
 use filbertpaddle_platform::client::Client;
 use filbertpaddle_wire::config;
 use filbertpaddle_wire::message;
@@ -75,7 +75,7 @@
             data_centre: parts.own.data_centre.clone(),
         };
         let follower = Follower {
-            spread: Spread::new(member),
+            spread: Replicator::new(member),
             known: Known::default(),
             publish,
             own: parts.own,
@@ -138,7 +138,7 @@
 struct GetReport;
 
 struct Follower {
-    spread: Spread,
+    spread: Replicator,
     known: Known,
     publish: watch::Sender<Option<Arc<Snapshot>>>,
     own: Peer,
@@ -273,8 +273,8 @@
     type Return = ();
 
     async fn handle(&mut self, _: AskStatus, _: &mut Context<Self>) {
-        for data_centre in self.spread.roster().data_centres() {
-            let ranked = self.spread.roster().ranked(&data_centre);
+        for data_centre in self.spread.live_nodes().data_centres() {
+            let ranked = self.spread.live_nodes().ranked(&data_centre);
             let Some(relay) = ranked.first().filter(|relay| ***relay != self.own.name) else {
                 continue;
             };
@@ -293,7 +293,7 @@
 }
 
 async fn tick(actor: WeakAddress<Follower>) {
-    let mut interval = tokio::time::interval(clock::duration(TICK_MS));
+    let mut interval = tokio::time::interval(clock::duration(TICK_INTERVAL_MS));
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
--- a/filbertpaddle/src/status.rs
+++ b/filbertpaddle/src/status.rs
@@ -3,8 +3,8 @@
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::gossip::NodeStatus;
 use filbertpaddle_core::name::Name;
+use filbertpaddle_core::replicator::Replicator;
 use filbertpaddle_core::revision::Revision;
-use filbertpaddle_core::spread::Spread;
 use indexmap::IndexMap;
 use serde::Deserialize;
 use serde::Serialize;
@@ -106,13 +106,14 @@
     }
 
     /// Says what is known.
-    pub fn report(&self, now: Millis, own: &Peer, spread: &Spread) -> Report {
+    pub fn report(&self, now: Millis, own: &Peer, spread: &Replicator) -> Report {
         let head = spread.replica().head();
         let mut names: Vec<_> = self.nodes.values().map(|seen| &seen.data_centre).collect();
         names.push(&own.data_centre);
         names.sort();
         names.dedup();
-        let relays = |name: &Name| spread.roster().ranked(name).first().copied() == Some(&own.name);
+        let relays =
+            |name: &Name| spread.live_nodes().ranked(name).first().copied() == Some(&own.name);
         let data_centre = |name: &Name| {
             let own_answer = Answer {
                 at: now,
@@ -130,7 +131,7 @@
             head,
             age_ms: spread.replica().current_at().map(|at| now.since(at)),
             ready: spread.is_ready(),
-            table_silent: spread.is_table_silent(),
+            table_silent: spread.is_table_unavailable(),
             data_centres: names.into_iter().map(data_centre).collect(),
         }
     }
