--- a/filbertpaddle-core/benches/config.rs
+++ b/filbertpaddle-core/benches/config.rs
@@ -140,7 +140,7 @@
     });
     c.bench_function("ask", |b| {
         b.iter(|| {
-            let message = Message::Ask {
+            let message = Message::PullRequest {
                 seq: 1,
                 head: Revision(TEMPLATES),
                 age_ms: Some(Millis(1)),
--- a/filbertpaddle-core/src/gossip.rs
+++ b/filbertpaddle-core/src/gossip.rs
@@ -17,7 +17,7 @@
     /// A change that was new to the sender.
     Push(Change),
     /// Asks for what is newer.
-    Ask {
+    PullRequest {
         /// Chosen by the asker, and returned.
         seq: u64,
         /// The asker's head.
@@ -25,8 +25,8 @@
         /// How long ago the asker was last known to miss nothing.
         age_ms: Option<Millis>,
     },
-    /// Answers [`Message::Ask`].
-    Answer {
+    /// Answers [`Message::PullRequest`].
+    PullResponse {
         /// From the question.
         seq: u64,
         /// The sender's head.
@@ -37,26 +37,26 @@
         changes: Vec<Change>,
     },
     /// Asks for a page of the whole configuration.
-    AskPage {
+    PageRequest {
         /// Chosen by the asker, and returned.
         seq: u64,
         /// Last key of the page before.
         after: Option<Key>,
     },
-    /// Answers [`Message::AskPage`].
-    Page {
+    /// Answers [`Message::PageRequest`].
+    PageResponse {
         /// From the question.
         seq: u64,
         /// The page.
         page: Page,
     },
     /// Asks a relay about the nodes of its data centre.
-    AskStatus {
+    StatusRequest {
         /// Chosen by the asker, and returned.
         seq: u64,
     },
-    /// Answers [`Message::AskStatus`].
-    Status {
+    /// Answers [`Message::StatusRequest`].
+    StatusResponse {
         /// From the question.
         seq: u64,
         /// What the sender knows of its data centre's nodes.
@@ -128,5 +128,5 @@
         after: Option<Key>,
     },
     /// A change came into force here.
-    InForce(Key),
+    Applied(Key),
 }
--- a/filbertpaddle-core/src/replicator.rs
+++ b/filbertpaddle-core/src/replicator.rs
@@ -157,7 +157,7 @@
         if !self.replica.apply(change) {
             return;
         }
-        actions.push(Action::InForce(change.setting.key()));
+        actions.push(Action::Applied(change.setting.key()));
         for data_centre in self.live_nodes.data_centres() {
             let relay = self.relay_of(&data_centre);
             let to = relay.filter(|relay| *relay != self.live_nodes.local().node);
@@ -172,12 +172,12 @@
         self.live_nodes.hear(&from);
         match message {
             Message::Push(change) => self.on_push(&from, &change, actions),
-            Message::Ask { seq, head, age_ms } => {
+            Message::PullRequest { seq, head, age_ms } => {
                 self.hear(now, &from, head, age_ms);
                 let message = self.answer(now, seq, head);
                 actions.push(Action::Send { to: from, message });
             }
-            Message::Answer {
+            Message::PullResponse {
                 seq,
                 head,
                 age_ms,
@@ -194,30 +194,30 @@
                 }
                 self.catch_up(now, from, head, !changes.is_empty(), actions);
             }
-            Message::AskPage { seq, after } => {
+            Message::PageRequest { seq, after } => {
                 let page = self.replica.page(after.as_ref());
-                let message = Message::Page { seq, page };
+                let message = Message::PageResponse { seq, page };
                 actions.push(Action::Send { to: from, message });
             }
-            Message::Page { seq, page } => {
+            Message::PageResponse { seq, page } => {
                 let is_answer = self.live_nodes.answered(&from, seq).is_some();
                 if is_answer && self.transfers_from(&Source::Node(from)) {
                     self.on_page(now, &page, actions);
                 }
             }
-            Message::AskStatus { seq } => {
+            Message::StatusRequest { seq } => {
                 let nodes = self.status(now);
-                let message = Message::Status { seq, nodes };
+                let message = Message::StatusResponse { seq, nodes };
                 actions.push(Action::Send { to: from, message });
             }
             // The daemon gives these to whoever waits for them.
-            Message::Status { .. } => {}
+            Message::StatusResponse { .. } => {}
         }
     }
 
     fn on_push(&mut self, from: &Name, change: &Change, actions: &mut Vec<Action>) {
         if self.replica.apply(change) {
-            actions.push(Action::InForce(change.setting.key()));
+            actions.push(Action::Applied(change.setting.key()));
             self.forward(Some(from), change, actions);
         }
     }
@@ -293,7 +293,7 @@
             known.map(|known| known.revision) < Some(change.revision)
         };
         let in_force = page.changes.iter().filter(newer);
-        actions.extend(in_force.map(|change| Action::InForce(change.setting.key())));
+        actions.extend(in_force.map(|change| Action::Applied(change.setting.key())));
         self.replica.apply_page(&mut transfer.intake, page);
         if page.last {
             return;
@@ -419,7 +419,7 @@
     }
 
     fn answer(&self, now: Millis, seq: u64, head: Revision) -> Message {
-        Message::Answer {
+        Message::PullResponse {
             seq,
             head: self.replica.head(),
             age_ms: self.age_ms(now),
@@ -433,7 +433,7 @@
 
     fn ask(&mut self, now: Millis, to: Name, actions: &mut Vec<Action>) {
         let seq = self.live_nodes.ask(now, &to);
-        let message = Message::Ask {
+        let message = Message::PullRequest {
             seq,
             head: self.replica.head(),
             age_ms: self.age_ms(now),
@@ -460,7 +460,7 @@
             Source::Table(head) => actions.push(Action::ReadPage { head: *head, after }),
             Source::Node(node) => {
                 let seq = self.live_nodes.ask(now, node);
-                let message = Message::AskPage { seq, after };
+                let message = Message::PageRequest { seq, after };
                 let to = node.clone();
                 actions.push(Action::Send { to, message });
             }
@@ -472,7 +472,7 @@
             if !self.replica.apply(change) {
                 continue;
             }
-            actions.push(Action::InForce(change.setting.key()));
+            actions.push(Action::Applied(change.setting.key()));
             if self.ready && self.is_relay() {
                 self.forward(None, change, actions);
             }
--- a/filbertpaddle-core/tests/replicator.rs
+++ b/filbertpaddle-core/tests/replicator.rs
@@ -115,7 +115,7 @@
     fn run(&mut self, node: &Name, action: Action) {
         match action {
             Action::Send { to, message } => self.send(node, &to, message),
-            Action::InForce(_) => {}
+            Action::Applied(_) => {}
             read => {
                 let is_cut = self.table_cut.contains(&self.data_centre(node));
                 let event = if is_cut {
--- a/filbertpaddle-wire/src/config.rs
+++ b/filbertpaddle-wire/src/config.rs
@@ -135,12 +135,12 @@
         use gossip::Message as Core;
         match message {
             Core::Push(change) => Self::Push(Box::new(change.into())),
-            Core::Ask { seq, head, age_ms } => Self::Ask {
+            Core::PullRequest { seq, head, age_ms } => Self::Ask {
                 seq,
                 head: head.0,
                 age_ms: age_ms.map(|age_ms| age_ms.0),
             },
-            Core::Answer {
+            Core::PullResponse {
                 seq,
                 head,
                 age_ms,
@@ -151,18 +151,18 @@
                 age_ms: age_ms.map(|age_ms| age_ms.0),
                 changes: convert(changes),
             },
-            Core::AskPage { seq, after } => Self::AskPage {
+            Core::PageRequest { seq, after } => Self::AskPage {
                 seq,
                 after: after.map(Key::from),
             },
-            Core::Page { seq, page } => Self::Page {
+            Core::PageResponse { seq, page } => Self::Page {
                 seq,
                 head: page.head.0,
                 changes: convert(page.changes),
                 last: page.last,
             },
-            Core::AskStatus { seq } => Self::AskStatus { seq },
-            Core::Status { seq, nodes } => Self::Status {
+            Core::StatusRequest { seq } => Self::AskStatus { seq },
+            Core::StatusResponse { seq, nodes } => Self::Status {
                 seq,
                 nodes: convert(nodes),
             },
@@ -174,7 +174,7 @@
     fn from(message: Message) -> Self {
         match message {
             Message::Push(change) => Self::Push((*change).into()),
-            Message::Ask { seq, head, age_ms } => Self::Ask {
+            Message::Ask { seq, head, age_ms } => Self::PullRequest {
                 seq,
                 head: Revision(head),
                 age_ms: age_ms.map(Millis),
@@ -184,13 +184,13 @@
                 head,
                 age_ms,
                 changes,
-            } => Self::Answer {
+            } => Self::PullResponse {
                 seq,
                 head: Revision(head),
                 age_ms: age_ms.map(Millis),
                 changes: convert(changes),
             },
-            Message::AskPage { seq, after } => Self::AskPage {
+            Message::AskPage { seq, after } => Self::PageRequest {
                 seq,
                 after: after.map(Into::into),
             },
@@ -199,7 +199,7 @@
                 head,
                 changes,
                 last,
-            } => Self::Page {
+            } => Self::PageResponse {
                 seq,
                 page: replica::Page {
                     head: Revision(head),
@@ -207,8 +207,8 @@
                     last,
                 },
             },
-            Message::AskStatus { seq } => Self::AskStatus { seq },
-            Message::Status { seq, nodes } => Self::Status {
+            Message::AskStatus { seq } => Self::StatusRequest { seq },
+            Message::Status { seq, nodes } => Self::StatusResponse {
                 seq,
                 nodes: convert(nodes),
             },
--- a/filbertpaddle-wire/tests/config.rs
+++ b/filbertpaddle-wire/tests/config.rs
@@ -89,24 +89,24 @@
     };
     let messages = [
         gossip::Message::Push(changes[0].clone()),
-        gossip::Message::Ask {
+        gossip::Message::PullRequest {
             seq: 1,
             head: Revision(2),
             age_ms: None,
         },
-        gossip::Message::Answer {
+        gossip::Message::PullResponse {
             seq: 1,
             head: Revision(2),
             age_ms: Some(Millis(3)),
             changes: changes.clone(),
         },
-        gossip::Message::AskPage {
+        gossip::Message::PageRequest {
             seq: 4,
             after: Some(changes[0].setting.key()),
         },
-        gossip::Message::Page { seq: 4, page },
-        gossip::Message::AskStatus { seq: 5 },
-        gossip::Message::Status {
+        gossip::Message::PageResponse { seq: 4, page },
+        gossip::Message::StatusRequest { seq: 5 },
+        gossip::Message::StatusResponse {
             seq: 5,
             nodes: vec![gossip::NodeStatus {
                 node: "entry-1".into(),
@@ -138,7 +138,7 @@
     }
     let changes = replica.changes_after(Revision(200)).unwrap();
     assert!(!changes.is_empty());
-    let bytes = encode(gossip::Message::Answer {
+    let bytes = encode(gossip::Message::PullResponse {
         seq: 1,
         head: Revision(1),
         age_ms: None,
@@ -154,13 +154,13 @@
 #[test]
 fn a_change_a_second_stays_far_below_the_budget() {
     let push_bytes = encode(gossip::Message::Push(change(settings().remove(0)))).len();
-    let ask_bytes = encode(gossip::Message::Ask {
+    let ask_bytes = encode(gossip::Message::PullRequest {
         seq: 1_000_000,
         head: Revision(1_234_567),
         age_ms: Some(Millis(1_500)),
     })
     .len();
-    let answer_bytes = encode(gossip::Message::Answer {
+    let answer_bytes = encode(gossip::Message::PullResponse {
         seq: 1_000_000,
         head: Revision(1_234_567),
         age_ms: Some(Millis(1_500)),
--- a/filbertpaddle/src/config.rs
+++ b/filbertpaddle/src/config.rs
@@ -161,7 +161,7 @@
                     let message = message::Message::Config(message.into());
                     self.peers.send(&to, message);
                 }
-                Action::InForce(key) => in_force.push(key),
+                Action::Applied(key) => in_force.push(key),
                 read => {
                     tokio::spawn(run_read(
                         actor.clone(),
@@ -225,7 +225,7 @@
 
     async fn handle(&mut self, Input(event): Input, context: &mut Context<Self>) {
         if let Event::Message {
-            message: Message::Status { nodes, .. },
+            message: Message::StatusResponse { nodes, .. },
             from,
         } = &event
         {
@@ -278,7 +278,7 @@
             let Some(relay) = ranked.first().filter(|relay| ***relay != self.own.name) else {
                 continue;
             };
-            let ask = Message::AskStatus { seq: 0 };
+            let ask = Message::StatusRequest { seq: 0 };
             self.peers.send(relay, message::Message::Config(ask.into()));
         }
     }
@@ -325,7 +325,7 @@
         Action::ReadPage { head, after } => table::read_page(&platform, head, after.as_ref())
             .await
             .map(Event::TablePage),
-        Action::Send { .. } | Action::InForce(_) => return,
+        Action::Send { .. } | Action::Applied(_) => return,
     };
     let event = event.unwrap_or_else(|error| {
         warn!(log, "Configuration not read."; "error" => %error);
