--- a/filbertpaddle-core/src/edit.rs
+++ b/filbertpaddle-core/src/edit.rs
@@ -42,7 +42,7 @@
 
 /// Rows read as of one revision of the table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Seen {
+pub struct Snapshot {
     /// The highest accepted revision.
     pub head: Option<Row<Revision>>,
     /// The entry's last change.
@@ -66,13 +66,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// The rows were read.
-    Seen(Seen),
+    RowsRead(Snapshot),
     /// The transaction took effect.
     Committed,
     /// The transaction did not take effect because a condition failed.
     Conflict,
     /// No answer to the transaction; it may take effect even later.
-    Lost,
+    NoAnswer,
     /// The read failed, or the transaction was refused with nothing done.
     Refused,
     /// The operator's request has no time left.
@@ -143,17 +143,17 @@
     /// Takes the table's answer to the last action.
     pub fn on(&mut self, event: Event) -> Action {
         match event {
-            Event::Seen(seen) => self.on_seen(seen),
+            Event::RowsRead(seen) => self.on_seen(seen),
             Event::Committed => self.on_committed(),
             // A conflict may be with an earlier send of this very transaction.
             Event::Conflict => self.read(),
-            Event::Lost => self.on_lost(),
+            Event::NoAnswer => self.on_lost(),
             Event::Refused => self.on_refused(),
             Event::Expired => self.on_expired(),
         }
     }
 
-    fn on_seen(&mut self, seen: Seen) -> Action {
+    fn on_seen(&mut self, seen: Snapshot) -> Action {
         if seen.audit == Some(self.request.id)
             && let Some(revision) = self.tried
         {
@@ -227,7 +227,7 @@
         }
     }
 
-    fn commit(&mut self, seen: Seen) -> Action {
+    fn commit(&mut self, seen: Snapshot) -> Action {
         let head = seen.head.as_ref().map_or(Revision::ZERO, |row| row.value);
         let revision = head.next();
         if self.tried.is_some_and(|tried| tried != revision) {
--- a/filbertpaddle-core/tests/config_model.rs
+++ b/filbertpaddle-core/tests/config_model.rs
@@ -18,7 +18,7 @@
 use filbertpaddle_core::edit::Event;
 use filbertpaddle_core::edit::Request;
 use filbertpaddle_core::edit::Row;
-use filbertpaddle_core::edit::Seen;
+use filbertpaddle_core::edit::Snapshot;
 use filbertpaddle_core::replica::Intake;
 use filbertpaddle_core::replica::Page;
 use filbertpaddle_core::replica::Replica;
@@ -42,10 +42,10 @@
         changes.find(|change| change.setting.key() == *key)
     }
 
-    fn read(&self, key: &Key, audit: Option<Revision>) -> Seen {
+    fn read(&self, key: &Key, audit: Option<Revision>) -> Snapshot {
         let head = self.head();
         let row = |revision: Revision| self.log.get(revision.0 as usize - 1);
-        Seen {
+        Snapshot {
             head: (head > Revision::ZERO).then_some(Row {
                 value: head,
                 version: head.0,
@@ -134,7 +134,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Act(Action),
-    Answered(Seen),
+    Answered(Snapshot),
     /// Only in the broken variant: the operator has not repeated yet.
     Repeat,
 }
@@ -220,7 +220,7 @@
         }
         match &editor.step {
             Step::Answered(seen) => with(&|state| {
-                state.editors[index].deliver(Event::Seen(seen.clone()));
+                state.editors[index].deliver(Event::RowsRead(seen.clone()));
             }),
             Step::Act(Action::Read { key, audit }) => with(&|state| {
                 let seen = state.table.read(key, *audit);
@@ -269,7 +269,7 @@
 
     fn lose(&mut self, index: usize, variant: EditVariant) {
         if variant == EditVariant::Real {
-            self.fail(index, Event::Lost);
+            self.fail(index, Event::NoAnswer);
             return;
         }
         self.editors[index].faults_left -= 1;
--- a/filbertpaddle/src/edit.rs
+++ b/filbertpaddle/src/edit.rs
@@ -30,7 +30,7 @@
             Action::Commit(_) if start.elapsed() >= LIMIT => Event::Refused,
             _ if start.elapsed() >= LIMIT => Event::Expired,
             Action::Read { key, audit } => match table::read_seen(platform, &key, audit).await {
-                Ok(seen) => Event::Seen(seen),
+                Ok(seen) => Event::RowsRead(seen),
                 Err(error) => {
                     warn!(log, "Entry not read."; "error" => %error);
                     Event::Refused
@@ -38,7 +38,7 @@
             },
             Action::Commit(commit) => table::commit(platform, &commit).await,
         };
-        if matches!(event, Event::Refused | Event::Lost) {
+        if matches!(event, Event::Refused | Event::NoAnswer) {
             tokio::time::sleep(RETRY_INTERVAL).await;
         }
         action = edit.on(event);
--- a/filbertpaddle/src/table.rs
+++ b/filbertpaddle/src/table.rs
@@ -7,7 +7,7 @@
 use filbertpaddle_core::edit::Commit;
 use filbertpaddle_core::edit::Event;
 use filbertpaddle_core::edit::Row;
-use filbertpaddle_core::edit::Seen;
+use filbertpaddle_core::edit::Snapshot;
 use filbertpaddle_core::replica::MAX_RECENT;
 use filbertpaddle_core::replica::Page;
 use filbertpaddle_core::revision::Revision;
@@ -147,13 +147,13 @@
     platform: &Client,
     key: &Key,
     audit: Option<Revision>,
-) -> Result<Seen, Error> {
+) -> Result<Snapshot, Error> {
     let entry_key = entry_key(key);
     let audit_key = audit.map(audit_key);
     let keys = [HEAD_KEY.to_owned(), entry_key.clone()];
     let keys = keys.into_iter().chain(audit_key.clone()).collect();
     let rows = platform.read(keys).await?.rows;
-    let mut seen = Seen::default();
+    let mut seen = Snapshot::default();
     for row in &rows {
         if row.key == HEAD_KEY {
             seen.head = Some(versioned(row)?);
@@ -175,7 +175,7 @@
         Ok(TransactAnswer::Committed { .. }) => Event::Committed,
         Ok(TransactAnswer::Conflict { .. }) => Event::Conflict,
         Err(error) if error.is_not_done() => Event::Refused,
-        Err(_) => Event::Lost,
+        Err(_) => Event::NoAnswer,
     }
 }
 
