--- a/filbertpaddle-core/benches/config.rs
+++ b/filbertpaddle-core/benches/config.rs
@@ -14,8 +14,8 @@
 use filbertpaddle_core::gossip::Event;
 use filbertpaddle_core::gossip::Message;
 use filbertpaddle_core::relay::Member;
-use filbertpaddle_core::replica::Intake;
 use filbertpaddle_core::replica::Replica;
+use filbertpaddle_core::replica::TransferProgress;
 use filbertpaddle_core::replicator::Replicator;
 use filbertpaddle_core::revision::Revision;
 use filbertpaddle_core::template::Template;
@@ -117,11 +117,11 @@
     group.bench_function("pages", |b| {
         b.iter(|| {
             let mut copy = Replica::default();
-            let mut intake = Intake::default();
+            let mut progress = TransferProgress::default();
             let mut after = None;
             loop {
                 let page = replica.page(after.as_ref());
-                copy.apply_page(&mut intake, &page);
+                copy.apply_page(&mut progress, &page);
                 if page.last {
                     return copy.head();
                 }
--- a/filbertpaddle-core/src/gossip.rs
+++ b/filbertpaddle-core/src/gossip.rs
@@ -115,7 +115,7 @@
     },
     /// Read `config/head`.
     ReadHead,
-    /// Read audit rows after a revision, at most [`MAX_RECENT`](crate::replica::MAX_RECENT).
+    /// Read audit rows after a revision, at most [`MAX_RECENT_CHANGES`](crate::replica::MAX_RECENT_CHANGES).
     ReadLog {
         /// The revision.
         after: Revision,
--- a/filbertpaddle-core/src/replica.rs
+++ b/filbertpaddle-core/src/replica.rs
@@ -11,11 +11,11 @@
 use crate::revision::Revision;
 
 /// Most changes kept for peers that are a little behind.
-pub const MAX_RECENT: usize = 256;
+pub const MAX_RECENT_CHANGES: usize = 256;
 /// Most bytes of changes kept for peers that are a little behind.
 pub const MAX_RECENT_BYTES: usize = 1 << 20;
 /// Most changes kept beyond a gap in the order.
-pub const MAX_AHEAD: usize = 256;
+pub const MAX_OUT_OF_ORDER_CHANGES: usize = 256;
 /// Most bytes of all entries together, beyond which no entry may be added or grow.
 pub const MAX_ENTRIES_BYTES: usize = 48 << 20;
 /// Most bytes of changes in one message.
@@ -46,7 +46,7 @@
 /// The pages may come from a copy that changes, or even restarts, meanwhile:
 /// what they prove together is the lowest of their heads.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Intake {
+pub struct TransferProgress {
     head: Option<Revision>,
 }
 
@@ -105,7 +105,7 @@
             return false;
         }
         let merged = self.merge(change);
-        if change.revision != self.head.next() && self.ahead.len() >= MAX_AHEAD {
+        if change.revision != self.head.next() && self.ahead.len() >= MAX_OUT_OF_ORDER_CHANGES {
             return merged;
         }
         self.ahead.insert(change.revision, change.clone());
@@ -114,16 +114,16 @@
     }
 
     /// Takes a page of a whole transfer; returns whether anything in it was new.
-    pub fn apply_page(&mut self, intake: &mut Intake, page: &Page) -> bool {
+    pub fn apply_page(&mut self, progress: &mut TransferProgress, page: &Page) -> bool {
         let merged = page
             .changes
             .iter()
             .filter(|change| self.merge(change))
             .count();
-        let head = intake.head.map_or(page.head, |head| head.min(page.head));
-        intake.head = Some(head);
+        let head = progress.head.map_or(page.head, |head| head.min(page.head));
+        progress.head = Some(head);
         if page.last {
-            intake.head = None;
+            progress.head = None;
             self.raise_head(head);
         }
         merged > 0
@@ -203,7 +203,7 @@
     fn keep(&mut self, change: Change) {
         self.recent_bytes += change.setting.size_bytes();
         self.recent.push_back(change);
-        while self.recent.len() > MAX_RECENT || self.recent_bytes > MAX_RECENT_BYTES {
+        while self.recent.len() > MAX_RECENT_CHANGES || self.recent_bytes > MAX_RECENT_BYTES {
             let Some(oldest) = self.recent.pop_front() else {
                 return;
             };
--- a/filbertpaddle-core/src/replicator.rs
+++ b/filbertpaddle-core/src/replicator.rs
@@ -17,7 +17,7 @@
 use crate::relay;
 use crate::relay::LiveNodes;
 use crate::relay::Member;
-use crate::replica::MAX_RECENT;
+use crate::replica::MAX_RECENT_CHANGES;
 use crate::replica::Page;
 use crate::replica::Replica;
 use crate::revision::Revision;
@@ -270,7 +270,7 @@
         if known >= head {
             return;
         }
-        if progressed && head.0 - known.0 <= MAX_RECENT as u64 {
+        if progressed && head.0 - known.0 <= MAX_RECENT_CHANGES as u64 {
             actions.push(Action::ReadLog { after: known });
         } else {
             self.start_transfer(now, Source::Table(head), actions);
@@ -294,7 +294,7 @@
         };
         let in_force = page.changes.iter().filter(newer);
         actions.extend(in_force.map(|change| Action::Applied(change.setting.key())));
-        self.replica.apply_page(&mut transfer.intake, page);
+        self.replica.apply_page(&mut transfer.progress, page);
         if page.last {
             return;
         }
--- a/filbertpaddle-core/src/transfer.rs
+++ b/filbertpaddle-core/src/transfer.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Millis;
 use crate::name::Name;
-use crate::replica::Intake;
+use crate::replica::TransferProgress;
 use crate::revision::Revision;
 
 /// How long a transfer may wait for its next page.
@@ -23,7 +23,7 @@
     /// Where the pages come from.
     pub from: Source,
     /// What the pages so far prove.
-    pub intake: Intake,
+    pub progress: TransferProgress,
     /// When the last page was asked for.
     pub at: Millis,
 }
@@ -33,7 +33,7 @@
     pub fn new(now: Millis, from: Source) -> Self {
         Self {
             from,
-            intake: Intake::default(),
+            progress: TransferProgress::default(),
             at: now,
         }
     }
--- a/filbertpaddle-core/tests/config_model.rs
+++ b/filbertpaddle-core/tests/config_model.rs
@@ -19,9 +19,9 @@
 use filbertpaddle_core::edit::Request;
 use filbertpaddle_core::edit::Row;
 use filbertpaddle_core::edit::Snapshot;
-use filbertpaddle_core::replica::Intake;
 use filbertpaddle_core::replica::Page;
 use filbertpaddle_core::replica::Replica;
+use filbertpaddle_core::replica::TransferProgress;
 use filbertpaddle_core::revision::Revision;
 use pathfinding::prelude::bfs;
 use pathfinding::prelude::dijkstra_reach;
@@ -383,7 +383,7 @@
     replica: Replica,
     /// A read of the head that has not been answered.
     head_read: Option<Revision>,
-    transfer: Option<(Intake, Source)>,
+    transfer: Option<(TransferProgress, Source)>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -479,15 +479,17 @@
             None => {
                 for source in [Source::Table(self.table.head()), Source::Node(1 - index)] {
                     with(&|node| {
-                        let mut intake = Intake::default();
-                        node.replica.apply_page(&mut intake, &self.page(source, 0));
-                        node.transfer = Some((intake, source));
+                        let mut progress = TransferProgress::default();
+                        node.replica
+                            .apply_page(&mut progress, &self.page(source, 0));
+                        node.transfer = Some((progress, source));
                     });
                 }
             }
             Some((_, source)) => with(&|node| {
-                if let Some((mut intake, _)) = node.transfer.take() {
-                    node.replica.apply_page(&mut intake, &self.page(source, 1));
+                if let Some((mut progress, _)) = node.transfer.take() {
+                    node.replica
+                        .apply_page(&mut progress, &self.page(source, 1));
                 }
             }),
         }
--- a/filbertpaddle-core/tests/replica.rs
+++ b/filbertpaddle-core/tests/replica.rs
@@ -5,9 +5,9 @@
 use filbertpaddle_core::config::ChangeId;
 use filbertpaddle_core::config::MAX_PROMPT_BYTES;
 use filbertpaddle_core::config::Setting;
-use filbertpaddle_core::replica::MAX_AHEAD;
 use filbertpaddle_core::replica::MAX_ENTRIES_BYTES;
-use filbertpaddle_core::replica::MAX_RECENT;
+use filbertpaddle_core::replica::MAX_OUT_OF_ORDER_CHANGES;
+use filbertpaddle_core::replica::MAX_RECENT_CHANGES;
 use filbertpaddle_core::replica::Replica;
 use filbertpaddle_core::revision::Revision;
 use filbertpaddle_core::template::Template;
@@ -60,7 +60,7 @@
 #[test]
 fn changes_beyond_a_gap_are_bounded_and_in_force() {
     let mut replica = Replica::default();
-    let last = MAX_AHEAD as u64 + 100;
+    let last = MAX_OUT_OF_ORDER_CHANGES as u64 + 100;
     for revision in 2..=last {
         assert!(replica.apply(&change(revision, template(revision, 1))));
     }
@@ -76,7 +76,7 @@
 #[test]
 fn a_peer_far_behind_is_sent_to_the_pages() {
     let mut replica = Replica::default();
-    let last = MAX_RECENT as u64 + 10;
+    let last = MAX_RECENT_CHANGES as u64 + 10;
     (1..=last).for_each(|revision| {
         replica.apply(&change(revision, template(revision, 1)));
     });
--- a/filbertpaddle/src/table.rs
+++ b/filbertpaddle/src/table.rs
@@ -8,7 +8,7 @@
 use filbertpaddle_core::edit::Event;
 use filbertpaddle_core::edit::Row;
 use filbertpaddle_core::edit::Snapshot;
-use filbertpaddle_core::replica::MAX_RECENT;
+use filbertpaddle_core::replica::MAX_RECENT_CHANGES;
 use filbertpaddle_core::replica::Page;
 use filbertpaddle_core::revision::Revision;
 use filbertpaddle_platform::client::Client;
@@ -109,7 +109,7 @@
 ///
 /// Returns [`Error`] if a row cannot be read.
 pub async fn read_log(platform: &Client, after: Revision) -> Result<Vec<Change>, Error> {
-    let limit = u32::try_from(MAX_RECENT).unwrap_or(u32::MAX);
+    let limit = u32::try_from(MAX_RECENT_CHANGES).unwrap_or(u32::MAX);
     let records = read_audit(platform, after, limit).await?;
     Ok(records.into_iter().map(|record| record.change).collect())
 }
