--- a/filbertpaddle-core/src/service.rs
+++ b/filbertpaddle-core/src/availability.rs
@@ -17,15 +17,15 @@
 use crate::revision::Revision;
 
 /// Time between two steps of the share of what came back.
-pub const STEP_MS: Millis = Millis::from_secs(5);
+pub const RAMP_STEP_MS: Millis = Millis::from_secs(5);
 /// First share of what came back, in thousandths.
-pub const FIRST_SHARE: u16 = 100;
+pub const INITIAL_SHARE_PER_MILLE: u16 = 100;
 /// By how much the share grows with each step, in thousandths.
-pub const STEP_SHARE: u16 = 100;
+pub const RAMP_STEP_PER_MILLE: u16 = 100;
 /// The whole share, in thousandths.
-pub const WHOLE_SHARE: u16 = 1_000;
+pub const FULL_SHARE_PER_MILLE: u16 = 1_000;
 /// How long a reclaim notice outlives the VM's last mention in the platform's list.
-pub const RECLAIM_MS: Millis = Millis::from_secs(600);
+pub const RECLAIM_NOTICE_TTL_MS: Millis = Millis::from_secs(600);
 
 /// Part of its usual new work that a data centre or VM may get, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -35,7 +35,7 @@
     /// No new work.
     pub const NONE: Self = Self(0);
     /// No restriction.
-    pub const WHOLE: Self = Self(WHOLE_SHARE);
+    pub const FULL: Self = Self(FULL_SHARE_PER_MILLE);
 
     /// Returns the share in thousandths.
     pub const fn per_mille(self) -> u16 {
@@ -52,23 +52,23 @@
     /// # Examples
     ///
     /// ```
-    /// use filbertpaddle_core::service::Share;
+    /// use filbertpaddle_core::availability::Share;
     ///
-    /// assert_eq!(Share::WHOLE.of(7), 7);
-    /// assert_eq!(Share::NONE.of(7), 0);
+    /// assert_eq!(Share::FULL.scale(7), 7);
+    /// assert_eq!(Share::NONE.scale(7), 0);
     /// ```
-    pub fn of(self, limit: u32) -> u32 {
+    pub fn scale(self, limit: u32) -> u32 {
         if self.is_none() || limit == 0 {
             return 0;
         }
-        let scaled = u64::from(limit) * u64::from(self.0) / u64::from(WHOLE_SHARE);
+        let scaled = u64::from(limit) * u64::from(self.0) / u64::from(FULL_SHARE_PER_MILLE);
         u32::try_from(scaled).unwrap_or(limit).max(1)
     }
 }
 
 /// One VM of the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Listed {
+pub struct ListedVm {
     /// Name of the VM.
     pub vm: Name,
     /// Its data centre.
@@ -81,13 +81,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// The VM may get no new work; what runs there finishes.
-    VmLeft(Name),
+    VmOutOfService(Name),
     /// The VM may get new work again and counts as cold.
-    VmReturned(Name),
+    VmBackInService(Name),
     /// The data centre may get no new work; what runs there finishes.
-    DataCentreLeft(Name),
+    DataCentreOutOfService(Name),
     /// The data centre may get new work again.
-    DataCentreReturned(Name),
+    DataCentreBackInService(Name),
 }
 
 /// Whether something is in service, and since when.
@@ -105,13 +105,15 @@
 impl Standing {
     fn share(self, now: Millis) -> Share {
         match self {
-            Self::Known => Share::WHOLE,
+            Self::Known => Share::FULL,
             Self::Out => Share::NONE,
             Self::Back(since) => {
-                let steps = now.since(since).0 / STEP_MS.0;
-                let grown = steps.saturating_mul(u64::from(STEP_SHARE));
-                let share = grown.saturating_add(u64::from(FIRST_SHARE));
-                Share(u16::try_from(share).map_or(WHOLE_SHARE, |share| share.min(WHOLE_SHARE)))
+                let steps = now.since(since).0 / RAMP_STEP_MS.0;
+                let grown = steps.saturating_mul(u64::from(RAMP_STEP_PER_MILLE));
+                let share = grown.saturating_add(u64::from(INITIAL_SHARE_PER_MILLE));
+                Share(u16::try_from(share).map_or(FULL_SHARE_PER_MILLE, |share| {
+                    share.min(FULL_SHARE_PER_MILLE)
+                }))
             }
         }
     }
@@ -182,7 +184,7 @@
 
 /// What may get new work, as one node sees it.
 #[derive(Clone, Debug, Default)]
-pub struct Registry {
+pub struct Availability {
     data_centres: IndexMap<Name, DataCentre>,
     vms: IndexMap<Name, Vm>,
     vm_decisions: IndexMap<Name, Decision>,
@@ -190,7 +192,7 @@
     has_config: bool,
 }
 
-impl Registry {
+impl Availability {
     /// Takes the operators' decisions from this node's configuration.
     ///
     /// The first call must wait until the configuration is known to be recent.
@@ -213,7 +215,7 @@
     ///
     /// A VM that was listed and is missing now is out, as is one listed as
     /// leaving. A reclaim notice outweighs a list that lags behind it.
-    pub fn on_list(&mut self, now: Millis, list: &[Listed]) -> Vec<Action> {
+    pub fn on_list(&mut self, now: Millis, list: &[ListedVm]) -> Vec<Action> {
         let mut actions = Vec::new();
         for vm in self.vms.values_mut() {
             vm.platform_out = true;
@@ -241,7 +243,10 @@
         }
         self.has_list = true;
         for (name, vm) in &mut self.vms {
-            if vm.reclaimed_at.is_some_and(|at| now.since(at) > RECLAIM_MS) {
+            if vm
+                .reclaimed_at
+                .is_some_and(|at| now.since(at) > RECLAIM_NOTICE_TTL_MS)
+            {
                 vm.reclaimed_at = None;
             }
             settle(now, name, vm, &mut actions);
@@ -289,9 +294,9 @@
             return;
         }
         actions.push(if is_out {
-            Action::DataCentreLeft(name.clone())
+            Action::DataCentreOutOfService(name.clone())
         } else {
-            Action::DataCentreReturned(name.clone())
+            Action::DataCentreBackInService(name.clone())
         });
     }
 
@@ -318,9 +323,9 @@
         return;
     }
     actions.push(if is_out {
-        Action::VmLeft(name.clone())
+        Action::VmOutOfService(name.clone())
     } else {
-        Action::VmReturned(name.clone())
+        Action::VmBackInService(name.clone())
     });
 }
 
--- a/filbertpaddle-core/src/ledger.rs
+++ b/filbertpaddle-core/src/ledger.rs
@@ -1,11 +1,11 @@
 //! The work that an owner counts on one target.
 
+use crate::availability::FULL_SHARE_PER_MILLE;
 use crate::clock::Millis;
 use crate::limit::Limit;
 use crate::name::Name;
 use crate::report::Report;
 use crate::roster::Id;
-use crate::service::WHOLE_SHARE;
 use crate::slot::Key;
 use crate::slot::Source;
 use crate::slot::fence;
@@ -46,7 +46,7 @@
             is_cleared: false,
             is_sealed: false,
             is_outbid: false,
-            portion_per_mille: WHOLE_SHARE,
+            portion_per_mille: FULL_SHARE_PER_MILLE,
         }
     }
 
@@ -92,7 +92,7 @@
 
     /// Returns the part of a limit that may be used, at least one.
     pub fn portion(&self, limit: u32) -> u32 {
-        let whole = u32::from(WHOLE_SHARE);
+        let whole = u32::from(FULL_SHARE_PER_MILLE);
         let portion = limit.saturating_mul(u32::from(self.portion_per_mille)) / whole;
         portion.clamp(1, limit.max(1))
     }
--- a/filbertpaddle-core/src/lib.rs
+++ b/filbertpaddle-core/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod apart;
 pub mod ask;
 pub mod attempt;
+pub mod availability;
 pub mod backlog;
 pub mod batch;
 pub mod claim;
@@ -42,7 +43,6 @@
 pub mod revision;
 pub mod roster;
 pub mod scheduler;
-pub mod service;
 pub mod slot;
 pub mod spill;
 pub mod standing;
--- a/filbertpaddle-core/tests/service.rs
+++ b/filbertpaddle-core/tests/availability.rs
@@ -1,5 +1,13 @@
 //! What may get new work.
 
+use filbertpaddle_core::availability::Action;
+use filbertpaddle_core::availability::Availability;
+use filbertpaddle_core::availability::INITIAL_SHARE_PER_MILLE;
+use filbertpaddle_core::availability::ListedVm;
+use filbertpaddle_core::availability::RAMP_STEP_MS;
+use filbertpaddle_core::availability::RAMP_STEP_PER_MILLE;
+use filbertpaddle_core::availability::RECLAIM_NOTICE_TTL_MS;
+use filbertpaddle_core::availability::Share;
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::config::Change;
 use filbertpaddle_core::config::ChangeId;
@@ -7,14 +15,6 @@
 use filbertpaddle_core::config::Setting;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::replica::Replica;
-use filbertpaddle_core::service::Action;
-use filbertpaddle_core::service::FIRST_SHARE;
-use filbertpaddle_core::service::Listed;
-use filbertpaddle_core::service::RECLAIM_MS;
-use filbertpaddle_core::service::Registry;
-use filbertpaddle_core::service::STEP_MS;
-use filbertpaddle_core::service::STEP_SHARE;
-use filbertpaddle_core::service::Share;
 use proptest::prelude::any;
 use proptest::prelude::prop;
 use proptest::prop_assert;
@@ -22,15 +22,15 @@
 
 const T0: Millis = Millis(1_000);
 
-fn listed(vm: &str, data_centre: &str) -> Listed {
-    Listed {
+fn listed(vm: &str, data_centre: &str) -> ListedVm {
+    ListedVm {
         vm: vm.into(),
         data_centre: data_centre.into(),
         leaving: false,
     }
 }
 
-fn list() -> Vec<Listed> {
+fn list() -> Vec<ListedVm> {
     vec![listed("vm-1", "north"), listed("vm-2", "south")]
 }
 
@@ -59,13 +59,13 @@
     }
 }
 
-fn share(registry: &Registry, now: Millis, vm: &str) -> u16 {
+fn share(registry: &Availability, now: Millis, vm: &str) -> u16 {
     registry.vm_share(now, &vm.into()).per_mille()
 }
 
-fn started() -> (Registry, Replica) {
+fn started() -> (Availability, Replica) {
     let replica = Replica::default();
-    let mut registry = Registry::default();
+    let mut registry = Availability::default();
     registry.on_list(T0, &list());
     (registry, replica)
 }
@@ -82,17 +82,20 @@
     let (mut registry, mut replica) = started();
     apply(&mut replica, data_centre("north", Service::Out));
     let left = registry.on_config(T0, &replica);
-    assert_eq!(left, [Action::DataCentreLeft("north".into())]);
+    assert_eq!(left, [Action::DataCentreOutOfService("north".into())]);
     assert_eq!(share(&registry, T0, "vm-1"), 0);
     assert_eq!(share(&registry, T0, "vm-2"), 1_000);
 
     apply(&mut replica, data_centre("north", Service::In));
     let returned = registry.on_config(T0, &replica);
-    assert_eq!(returned, [Action::DataCentreReturned("north".into())]);
-    assert_eq!(share(&registry, T0, "vm-1"), FIRST_SHARE);
-    let next = T0 + STEP_MS;
-    assert_eq!(share(&registry, next, "vm-1"), FIRST_SHARE + STEP_SHARE);
-    let later = T0 + Millis(STEP_MS.0 * 100);
+    assert_eq!(returned, [Action::DataCentreBackInService("north".into())]);
+    assert_eq!(share(&registry, T0, "vm-1"), INITIAL_SHARE_PER_MILLE);
+    let next = T0 + RAMP_STEP_MS;
+    assert_eq!(
+        share(&registry, next, "vm-1"),
+        INITIAL_SHARE_PER_MILLE + RAMP_STEP_PER_MILLE
+    );
+    let later = T0 + Millis(RAMP_STEP_MS.0 * 100);
     assert_eq!(share(&registry, later, "vm-1"), 1_000);
 }
 
@@ -107,14 +110,17 @@
     registry.on_config(T0, &replica);
     let listed_next = registry.on_list(T0 + Millis(1), &list());
     assert!(listed_next.is_empty());
-    assert_eq!(share(&registry, T0, "vm-1"), FIRST_SHARE);
-    assert_eq!(share(&registry, T0, "vm-2"), FIRST_SHARE);
+    assert_eq!(share(&registry, T0, "vm-1"), INITIAL_SHARE_PER_MILLE);
+    assert_eq!(share(&registry, T0, "vm-2"), INITIAL_SHARE_PER_MILLE);
     // The same configuration again does not start the steps over.
-    let next = T0 + STEP_MS;
+    let next = T0 + RAMP_STEP_MS;
     assert!(registry.on_config(next, &replica).is_empty());
     // Nor does a new list.
     assert!(registry.on_list(next, &list()).is_empty());
-    assert_eq!(share(&registry, next, "vm-1"), FIRST_SHARE + STEP_SHARE);
+    assert_eq!(
+        share(&registry, next, "vm-1"),
+        INITIAL_SHARE_PER_MILLE + RAMP_STEP_PER_MILLE
+    );
 }
 
 #[test]
@@ -142,16 +148,16 @@
 fn a_reclaim_outweighs_a_list_that_lags() {
     let (mut registry, _) = started();
     let left = registry.on_reclaim(T0, &"vm-1".into());
-    assert_eq!(left, [Action::VmLeft("vm-1".into())]);
+    assert_eq!(left, [Action::VmOutOfService("vm-1".into())]);
     let listed_next = registry.on_list(T0 + Millis(1), &list());
     assert!(listed_next.is_empty());
     assert_eq!(share(&registry, T0 + Millis(1), "vm-1"), 0);
     registry.on_list(T0 + Millis(2), &list()[1..]);
-    let later = T0 + RECLAIM_MS + Millis(3);
+    let later = T0 + RECLAIM_NOTICE_TTL_MS + Millis(3);
     registry.on_list(later, &list()[1..]);
     // A new VM of the same name starts from the first step.
     registry.on_list(later, &list());
-    assert_eq!(share(&registry, later, "vm-1"), FIRST_SHARE);
+    assert_eq!(share(&registry, later, "vm-1"), INITIAL_SHARE_PER_MILLE);
 }
 
 #[test]
@@ -183,9 +189,9 @@
     apply(&mut replica, vm("vm-1", Service::In));
     registry.on_config(T0, &replica);
     let share = registry.vm_share(T0, &"vm-1".into());
-    assert_eq!(share.of(100), 10);
-    assert_eq!(share.of(4), 1);
-    assert_eq!(Share::NONE.of(u32::MAX), 0);
+    assert_eq!(share.scale(100), 10);
+    assert_eq!(share.scale(4), 1);
+    assert_eq!(Share::NONE.scale(u32::MAX), 0);
 }
 
 proptest! {
@@ -212,7 +218,7 @@
                     let from = usize::from(out);
                     registry.on_list(now, &list()[from..]);
                 }
-                _ => now = now + STEP_MS,
+                _ => now = now + RAMP_STEP_MS,
             }
             registry.on_config(now, &replica);
             let is_none = registry.vm_share(now, &name).is_none();
--- a/filbertpaddle/src/service.rs
+++ b/filbertpaddle/src/service.rs
@@ -5,12 +5,12 @@
 use std::sync::MutexGuard;
 use std::sync::PoisonError;
 
+use filbertpaddle_core::availability::Action;
+use filbertpaddle_core::availability::Availability;
+use filbertpaddle_core::availability::ListedVm;
+use filbertpaddle_core::availability::Share;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::replica::Replica;
-use filbertpaddle_core::service::Action;
-use filbertpaddle_core::service::Listed;
-use filbertpaddle_core::service::Registry;
-use filbertpaddle_core::service::Share;
 use filbertpaddle_platform::protocol::Vm;
 use slog::Logger;
 use slog::info;
@@ -25,7 +25,7 @@
 
 #[derive(Debug)]
 struct Shared {
-    registry: Mutex<Registry>,
+    registry: Mutex<Availability>,
     clock: Clock,
     log: Logger,
 }
@@ -35,7 +35,7 @@
     pub fn new(clock: Clock, log: Logger) -> Self {
         Self {
             shared: Arc::new(Shared {
-                registry: Mutex::new(Registry::default()),
+                registry: Mutex::new(Availability::default()),
                 clock,
                 log,
             }),
@@ -76,7 +76,7 @@
         self.registry().data_centre_share(now, data_centre)
     }
 
-    fn registry(&self) -> MutexGuard<'_, Registry> {
+    fn registry(&self) -> MutexGuard<'_, Availability> {
         let registry = self.shared.registry.lock();
         registry.unwrap_or_else(PoisonError::into_inner)
     }
@@ -85,12 +85,12 @@
         let log = &self.shared.log;
         for action in actions {
             match action {
-                Action::VmLeft(name) => info!(log, "VM out."; "vm" => %name),
-                Action::VmReturned(name) => info!(log, "VM back."; "vm" => %name),
-                Action::DataCentreLeft(name) => {
+                Action::VmOutOfService(name) => info!(log, "VM out."; "vm" => %name),
+                Action::VmBackInService(name) => info!(log, "VM back."; "vm" => %name),
+                Action::DataCentreOutOfService(name) => {
                     info!(log, "Data centre out."; "data_centre" => %name);
                 }
-                Action::DataCentreReturned(name) => {
+                Action::DataCentreBackInService(name) => {
                     info!(log, "Data centre back."; "data_centre" => %name);
                 }
             }
@@ -98,8 +98,8 @@
     }
 }
 
-fn listed(vm: &Vm) -> Listed {
-    Listed {
+fn listed(vm: &Vm) -> ListedVm {
+    ListedVm {
         vm: vm.name.clone(),
         data_centre: vm.data_centre.clone(),
         leaving: vm.leaving,
