--- a/filbertpaddle-core/src/availability.rs
+++ b/filbertpaddle-core/src/availability.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::Millis;
 use crate::config::Change;
-use crate::config::Service;
+use crate::config::ServiceState;
 use crate::config::Setting;
 use crate::name::Name;
 use crate::replica::Replica;
@@ -143,9 +143,9 @@
     fn after(before: Self, change: &Change, has_config: bool) -> Self {
         let service = match &change.setting {
             Setting::DataCentre { service, .. } | Setting::Vm { service, .. } => *service,
-            Setting::Customer { .. } | Setting::Template { .. } => Service::In,
+            Setting::Customer { .. } | Setting::Template { .. } => ServiceState::In,
         };
-        let is_out = service == Service::Out;
+        let is_out = service == ServiceState::Out;
         // Only what is out can be brought in, so a later "in" tells of an
         // "out" that was passed over.
         let is_news = has_config && change.revision > before.revision;
--- a/filbertpaddle-core/src/config.rs
+++ b/filbertpaddle-core/src/config.rs
@@ -18,9 +18,9 @@
 /// Most parameters of a template.
 pub const MAX_PARAMETERS: usize = 64;
 /// Most key digests of a customer.
-pub const MAX_DIGESTS: usize = 8;
+pub const MAX_KEY_DIGESTS: usize = 8;
 /// Length of a hexadecimal SHA-256 digest, in bytes.
-pub const DIGEST_BYTES: usize = 64;
+pub const KEY_DIGEST_BYTES: usize = 64;
 
 /// What a setting is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -54,12 +54,12 @@
 /// The text is not a [`Key`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is not a configuration key")]
-pub struct UnknownKey(Name);
+pub struct ParseKeyError(Name);
 
 impl FromStr for Key {
-    type Err = UnknownKey;
+    type Err = ParseKeyError;
 
-    fn from_str(text: &str) -> Result<Self, UnknownKey> {
+    fn from_str(text: &str) -> Result<Self, ParseKeyError> {
         let mut parts = text.split('/');
         let key = match (parts.next(), parts.next(), parts.next(), parts.next()) {
             (Some("customer"), Some(name), None, None) => Self::Customer(name.into()),
@@ -69,7 +69,7 @@
                 customer: customer.into(),
                 name: name.into(),
             },
-            _ => return Err(UnknownKey(text.into())),
+            _ => return Err(ParseKeyError(text.into())),
         };
         Ok(key)
     }
@@ -91,7 +91,7 @@
 )]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
-pub enum Service {
+pub enum ServiceState {
     /// New work may be sent.
     #[default]
     In,
@@ -137,7 +137,7 @@
         /// Name of the data centre.
         name: Name,
         /// The operators' decision.
-        service: Service,
+        service: ServiceState,
     },
     /// One customer's template.
     Template {
@@ -153,31 +153,31 @@
         /// Name of the VM.
         name: Name,
         /// The operators' decision.
-        service: Service,
+        service: ServiceState,
     },
 }
 
 /// Why a setting is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Invalid {
+pub enum InvalidSetting {
     /// A name is empty, too long or has a character outside `a-z A-Z 0-9 . _ -`.
     #[error("`{0}` is not a name of 1 to 64 letters, digits, `.`, `_` or `-`")]
-    Name(Name),
+    InvalidName(Name),
     /// The prompt is too long.
     #[error("the prompt has {0} bytes, the most is {MAX_PROMPT_BYTES}")]
-    Prompt(usize),
+    PromptTooLong(usize),
     /// There are too many parameters.
     #[error("the template has {0} parameters, the most is {MAX_PARAMETERS}")]
-    Parameters(usize),
+    TooManyParameters(usize),
     /// A number that must be positive is zero.
     #[error("`{0}` must be at least 1")]
     Zero(&'static str),
     /// There are too many key digests.
-    #[error("the customer has {0} key digests, the most is {MAX_DIGESTS}")]
-    Digests(usize),
+    #[error("the customer has {0} key digests, the most is {MAX_KEY_DIGESTS}")]
+    TooManyKeyDigests(usize),
     /// A key digest is not a hexadecimal SHA-256 digest.
     #[error("a key digest must be 64 lower-case hexadecimal digits")]
-    Digest,
+    InvalidKeyDigest,
 }
 
 impl Setting {
@@ -199,21 +199,21 @@
     /// # Errors
     ///
     /// Returns the first reason why the setting is refused.
-    pub fn check(&self) -> Result<(), Invalid> {
+    pub fn validate(&self) -> Result<(), InvalidSetting> {
         match self {
             Self::Customer { name, customer } => {
-                check_name(name)?;
-                check_customer(customer)
+                validate_name(name)?;
+                validate_customer(customer)
             }
-            Self::DataCentre { name, .. } | Self::Vm { name, .. } => check_name(name),
+            Self::DataCentre { name, .. } | Self::Vm { name, .. } => validate_name(name),
             Self::Template {
                 customer,
                 name,
                 template,
             } => {
-                check_name(customer)?;
-                check_name(name)?;
-                check_template(template)
+                validate_name(customer)?;
+                validate_name(name)?;
+                validate_template(template)
             }
         }
     }
@@ -221,10 +221,10 @@
     /// Returns whether setting this over `entry` changes nothing.
     ///
     /// A data centre or VM without an entry is in service.
-    pub fn is_already(&self, entry: Option<&Self>) -> bool {
+    pub fn is_unchanged_from(&self, entry: Option<&Self>) -> bool {
         match (self, entry) {
             (Self::DataCentre { service, .. } | Self::Vm { service, .. }, None) => {
-                *service == Service::In
+                *service == ServiceState::In
             }
             (_, entry) => Some(self) == entry,
         }
@@ -234,7 +234,7 @@
     pub fn size_bytes(&self) -> usize {
         const FIXED_BYTES: usize = 64;
         let variable = match self {
-            Self::Customer { customer, .. } => customer.key_sha256.len() * DIGEST_BYTES,
+            Self::Customer { customer, .. } => customer.key_sha256.len() * KEY_DIGEST_BYTES,
             Self::DataCentre { .. } | Self::Vm { .. } => 0,
             Self::Template { template, .. } => {
                 let parameters: usize = template.parameters.iter().map(|name| name.len()).sum();
@@ -245,49 +245,49 @@
     }
 }
 
-fn check_name(name: &Name) -> Result<(), Invalid> {
+fn validate_name(name: &Name) -> Result<(), InvalidSetting> {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
     if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(plain) {
-        return Err(Invalid::Name(name.clone()));
+        return Err(InvalidSetting::InvalidName(name.clone()));
     }
     Ok(())
 }
 
-fn check_customer(customer: &Customer) -> Result<(), Invalid> {
+fn validate_customer(customer: &Customer) -> Result<(), InvalidSetting> {
     let hexadecimal = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
-    let digest = |text: &Name| text.len() == DIGEST_BYTES && text.bytes().all(hexadecimal);
-    if customer.key_sha256.len() > MAX_DIGESTS {
-        return Err(Invalid::Digests(customer.key_sha256.len()));
+    let digest = |text: &Name| text.len() == KEY_DIGEST_BYTES && text.bytes().all(hexadecimal);
+    if customer.key_sha256.len() > MAX_KEY_DIGESTS {
+        return Err(InvalidSetting::TooManyKeyDigests(customer.key_sha256.len()));
     }
     if !customer.key_sha256.iter().all(digest) {
-        return Err(Invalid::Digest);
+        return Err(InvalidSetting::InvalidKeyDigest);
     }
-    check_positive("weight", customer.weight)?;
-    check_positive("max_running", customer.max_running)
+    validate_positive("weight", customer.weight)?;
+    validate_positive("max_running", customer.max_running)
 }
 
-fn check_template(template: &Template) -> Result<(), Invalid> {
-    check_name(&template.model)?;
+fn validate_template(template: &Template) -> Result<(), InvalidSetting> {
+    validate_name(&template.model)?;
     let optional = [Some(&template.version), template.adapter.as_ref()];
     for name in optional.into_iter().flatten() {
         if !name.is_empty() {
-            check_name(name)?;
+            validate_name(name)?;
         }
     }
     if template.prompt.len() > MAX_PROMPT_BYTES {
-        return Err(Invalid::Prompt(template.prompt.len()));
+        return Err(InvalidSetting::PromptTooLong(template.prompt.len()));
     }
     if template.parameters.len() > MAX_PARAMETERS {
-        return Err(Invalid::Parameters(template.parameters.len()));
+        return Err(InvalidSetting::TooManyParameters(template.parameters.len()));
     }
-    template.parameters.iter().try_for_each(check_name)?;
-    check_positive("max_tokens", template.max_tokens)?;
-    check_positive("weight", template.weight)
+    template.parameters.iter().try_for_each(validate_name)?;
+    validate_positive("max_tokens", template.max_tokens)?;
+    validate_positive("weight", template.weight)
 }
 
-fn check_positive(field: &'static str, value: u32) -> Result<(), Invalid> {
+fn validate_positive(field: &'static str, value: u32) -> Result<(), InvalidSetting> {
     if value == 0 {
-        return Err(Invalid::Zero(field));
+        return Err(InvalidSetting::Zero(field));
     }
     Ok(())
 }
--- a/filbertpaddle-core/src/edit.rs
+++ b/filbertpaddle-core/src/edit.rs
@@ -172,7 +172,7 @@
         let current = seen.entry.as_ref().map(|entry| entry.value.revision);
         if current == self.request.expected {
             let entry = seen.entry.as_ref().map(|entry| &entry.value.setting);
-            if self.tried.is_none() && self.request.setting.is_already(entry) {
+            if self.tried.is_none() && self.request.setting.is_unchanged_from(entry) {
                 return Action::Finish(Answer::Unchanged { revision: current });
             }
             return self.commit(seen);
--- a/filbertpaddle-core/tests/availability.rs
+++ b/filbertpaddle-core/tests/availability.rs
@@ -11,7 +11,7 @@
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::config::Change;
 use filbertpaddle_core::config::ChangeId;
-use filbertpaddle_core::config::Service;
+use filbertpaddle_core::config::ServiceState;
 use filbertpaddle_core::config::Setting;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::replica::Replica;
@@ -45,14 +45,14 @@
     replica.apply(&change);
 }
 
-fn data_centre(name: &str, service: Service) -> Setting {
+fn data_centre(name: &str, service: ServiceState) -> Setting {
     Setting::DataCentre {
         name: name.into(),
         service,
     }
 }
 
-fn vm(name: &str, service: Service) -> Setting {
+fn vm(name: &str, service: ServiceState) -> Setting {
     Setting::Vm {
         name: name.into(),
         service,
@@ -80,13 +80,13 @@
 #[test]
 fn a_data_centre_that_is_out_gets_nothing_and_returns_by_steps() {
     let (mut registry, mut replica) = started();
-    apply(&mut replica, data_centre("north", Service::Out));
+    apply(&mut replica, data_centre("north", ServiceState::Out));
     let left = registry.on_config(T0, &replica);
     assert_eq!(left, [Action::DataCentreOutOfService("north".into())]);
     assert_eq!(share(&registry, T0, "vm-1"), 0);
     assert_eq!(share(&registry, T0, "vm-2"), 1_000);
 
-    apply(&mut replica, data_centre("north", Service::In));
+    apply(&mut replica, data_centre("north", ServiceState::In));
     let returned = registry.on_config(T0, &replica);
     assert_eq!(returned, [Action::DataCentreBackInService("north".into())]);
     assert_eq!(share(&registry, T0, "vm-1"), INITIAL_SHARE_PER_MILLE);
@@ -103,10 +103,10 @@
 fn a_return_whose_leave_was_missed_still_goes_by_steps() {
     let (mut registry, mut replica) = started();
     registry.on_config(T0, &replica);
-    apply(&mut replica, data_centre("north", Service::Out));
-    apply(&mut replica, data_centre("north", Service::In));
-    apply(&mut replica, vm("vm-2", Service::Out));
-    apply(&mut replica, vm("vm-2", Service::In));
+    apply(&mut replica, data_centre("north", ServiceState::Out));
+    apply(&mut replica, data_centre("north", ServiceState::In));
+    apply(&mut replica, vm("vm-2", ServiceState::Out));
+    apply(&mut replica, vm("vm-2", ServiceState::In));
     registry.on_config(T0, &replica);
     let listed_next = registry.on_list(T0 + Millis(1), &list());
     assert!(listed_next.is_empty());
@@ -126,8 +126,8 @@
 #[test]
 fn a_start_after_a_return_takes_the_whole_share() {
     let (mut registry, mut replica) = started();
-    apply(&mut replica, data_centre("north", Service::Out));
-    apply(&mut replica, data_centre("north", Service::In));
+    apply(&mut replica, data_centre("north", ServiceState::Out));
+    apply(&mut replica, data_centre("north", ServiceState::In));
     registry.on_config(T0, &replica);
     assert_eq!(share(&registry, T0, "vm-1"), 1_000);
 }
@@ -135,11 +135,11 @@
 #[test]
 fn out_wins_over_every_other_word() {
     let (mut registry, mut replica) = started();
-    apply(&mut replica, vm("vm-1", Service::Out));
+    apply(&mut replica, vm("vm-1", ServiceState::Out));
     registry.on_config(T0, &replica);
     registry.on_list(T0, &list());
     assert_eq!(share(&registry, T0, "vm-1"), 0);
-    apply(&mut replica, data_centre("north", Service::In));
+    apply(&mut replica, data_centre("north", ServiceState::In));
     registry.on_config(T0, &replica);
     assert_eq!(share(&registry, T0, "vm-1"), 0);
 }
@@ -174,7 +174,7 @@
 #[test]
 fn an_operators_out_outlives_an_absence_from_the_list() {
     let (mut registry, mut replica) = started();
-    apply(&mut replica, vm("vm-1", Service::Out));
+    apply(&mut replica, vm("vm-1", ServiceState::Out));
     registry.on_config(T0, &replica);
     registry.on_list(T0, &[]);
     registry.on_list(T0, &list());
@@ -184,9 +184,9 @@
 #[test]
 fn a_share_scales_a_limit_without_closing_it() {
     let (mut registry, mut replica) = started();
-    apply(&mut replica, vm("vm-1", Service::Out));
+    apply(&mut replica, vm("vm-1", ServiceState::Out));
     registry.on_config(T0, &replica);
-    apply(&mut replica, vm("vm-1", Service::In));
+    apply(&mut replica, vm("vm-1", ServiceState::In));
     registry.on_config(T0, &replica);
     let share = registry.vm_share(T0, &"vm-1".into());
     assert_eq!(share.scale(100), 10);
@@ -203,7 +203,7 @@
         let (mut vm_out, mut dc_out, mut gone) = (false, false, false);
         for (step, out) in steps {
             now = now + Millis(500);
-            let service = if out { Service::Out } else { Service::In };
+            let service = if out { ServiceState::Out } else { ServiceState::In };
             match step {
                 0 | 1 => {
                     vm_out = out;
--- a/filbertpaddle-core/tests/config_model.rs
+++ b/filbertpaddle-core/tests/config_model.rs
@@ -9,7 +9,7 @@
 use filbertpaddle_core::config::ChangeId;
 use filbertpaddle_core::config::Key;
 use filbertpaddle_core::config::Record;
-use filbertpaddle_core::config::Service;
+use filbertpaddle_core::config::ServiceState;
 use filbertpaddle_core::config::Setting;
 use filbertpaddle_core::edit::Action;
 use filbertpaddle_core::edit::Answer;
@@ -71,7 +71,7 @@
     }
 }
 
-fn setting(name: &str, service: Service) -> Setting {
+fn setting(name: &str, service: ServiceState) -> Setting {
     Setting::Vm {
         name: name.into(),
         service,
@@ -110,7 +110,7 @@
 struct Wish {
     name: &'static str,
     expected: Option<Revision>,
-    service: Service,
+    service: ServiceState,
 }
 
 /// Wants a new entry.
@@ -118,7 +118,7 @@
     Wish {
         name,
         expected: None,
-        service: Service::Out,
+        service: ServiceState::Out,
     }
 }
 
@@ -127,7 +127,7 @@
     Wish {
         name,
         expected: Some(Revision(1)),
-        service: Service::In,
+        service: ServiceState::In,
     }
 }
 
@@ -426,7 +426,7 @@
             id: ChangeId(revision.0),
             by: "operator".into(),
             at_ms: Millis::ZERO,
-            setting: setting(name, Service::Out),
+            setting: setting(name, ServiceState::Out),
         };
         let before = None;
         self.table.log.push(Record { change, before });
--- a/filbertpaddle-core/tests/replicator.rs
+++ b/filbertpaddle-core/tests/replicator.rs
@@ -6,7 +6,7 @@
 use filbertpaddle_core::config::Change;
 use filbertpaddle_core::config::ChangeId;
 use filbertpaddle_core::config::Key;
-use filbertpaddle_core::config::Service;
+use filbertpaddle_core::config::ServiceState;
 use filbertpaddle_core::config::Setting;
 use filbertpaddle_core::gossip::Action;
 use filbertpaddle_core::gossip::Event;
@@ -52,7 +52,7 @@
         at_ms: Millis::ZERO,
         setting: Setting::Vm {
             name: format!("vm-{}", revision % 400).into(),
-            service: Service::Out,
+            service: ServiceState::Out,
         },
     }
 }
--- a/filbertpaddle-wire/src/setting.rs
+++ b/filbertpaddle-wire/src/setting.rs
@@ -149,7 +149,7 @@
 
 impl From<config::Setting> for Setting {
     fn from(setting: config::Setting) -> Self {
-        let is_out = |service| service == config::Service::Out;
+        let is_out = |service| service == config::ServiceState::Out;
         match setting {
             config::Setting::Customer { name, customer } => Self::Customer(name, customer.into()),
             config::Setting::DataCentre { name, service } => {
@@ -169,9 +169,9 @@
     fn from(setting: Setting) -> Self {
         let service = |is_out| {
             if is_out {
-                config::Service::Out
+                config::ServiceState::Out
             } else {
-                config::Service::In
+                config::ServiceState::In
             }
         };
         match setting {
--- a/filbertpaddle-wire/tests/config.rs
+++ b/filbertpaddle-wire/tests/config.rs
@@ -6,7 +6,7 @@
 use filbertpaddle_core::config::Change;
 use filbertpaddle_core::config::ChangeId;
 use filbertpaddle_core::config::Customer;
-use filbertpaddle_core::config::Service;
+use filbertpaddle_core::config::ServiceState;
 use filbertpaddle_core::config::Setting;
 use filbertpaddle_core::gossip;
 use filbertpaddle_core::relay;
@@ -56,11 +56,11 @@
         },
         Setting::DataCentre {
             name: "north".into(),
-            service: Service::Out,
+            service: ServiceState::Out,
         },
         Setting::Vm {
             name: "target-12".into(),
-            service: Service::In,
+            service: ServiceState::In,
         },
     ]
 }
@@ -131,7 +131,7 @@
     for revision in 1..=400 {
         let mut change = change(Setting::Vm {
             name: format!("{revision:064}").into(),
-            service: Service::Out,
+            service: ServiceState::Out,
         });
         change.revision = Revision(revision);
         replica.apply(&change);
--- a/filbertpaddle/src/arguments.rs
+++ b/filbertpaddle/src/arguments.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use filbertpaddle_core::config::ChangeId;
-use filbertpaddle_core::config::Service;
+use filbertpaddle_core::config::ServiceState;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::revision::Revision;
 use lexopt::Arg;
@@ -59,9 +59,9 @@
         file: PathBuf,
     },
     /// Take a data centre out or bring it in.
-    DataCentre(Name, Service),
+    DataCentre(Name, ServiceState),
     /// Take a VM out or bring it in.
-    Vm(Name, Service),
+    Vm(Name, ServiceState),
     /// Show which revision is in force where.
     Status,
     /// Show accepted changes.
@@ -192,7 +192,7 @@
     Ok(call)
 }
 
-fn service(word: &str) -> Result<Service, lexopt::Error> {
+fn service(word: &str) -> Result<ServiceState, lexopt::Error> {
     word.parse()
         .map_err(|_| format!("expected `out` or `in`, not `{word}`").into())
 }
--- a/filbertpaddle/src/operate.rs
+++ b/filbertpaddle/src/operate.rs
@@ -7,7 +7,7 @@
 
 use filbertpaddle_core::config::Change;
 use filbertpaddle_core::config::ChangeId;
-use filbertpaddle_core::config::Service;
+use filbertpaddle_core::config::ServiceState;
 use filbertpaddle_core::revision::Revision;
 use filbertpaddle_core::template::Template;
 use reqwest::Client;
@@ -101,11 +101,11 @@
         }
         Call::DataCentre(name, service) => {
             let path = format!("data-centres/{name}");
-            node.set::<Service>(&path, service, options).await
+            node.set::<ServiceState>(&path, service, options).await
         }
         Call::Vm(name, service) => {
             let path = format!("vms/{name}");
-            node.set::<Service>(&path, service, options).await
+            node.set::<ServiceState>(&path, service, options).await
         }
         Call::Status => node.show::<Report, _>("status", show::report).await,
         Call::Audit => {
--- a/filbertpaddle/src/operator.rs
+++ b/filbertpaddle/src/operator.rs
@@ -313,7 +313,9 @@
         })?,
         Key::Vm(name) => set(body, |service| Setting::Vm { name, service })?,
     };
-    wish.value.check().map_err(|invalid| invalid.to_string())?;
+    wish.value
+        .validate()
+        .map_err(|invalid| invalid.to_string())?;
     Ok(wish)
 }
 
--- a/filbertpaddle/tests/common/operator.rs
+++ b/filbertpaddle/tests/common/operator.rs
@@ -7,7 +7,7 @@
 use filbertpaddle::operator_api::Refusals;
 use filbertpaddle::status::Report;
 use filbertpaddle_core::config::Change;
-use filbertpaddle_core::config::Service;
+use filbertpaddle_core::config::ServiceState;
 use filbertpaddle_core::revision::Revision;
 use filbertpaddle_core::template::Template;
 use serde::Serialize;
@@ -62,7 +62,7 @@
     }
 
     /// Takes something out of service or back in, from what is there now.
-    pub async fn set_service(&self, path: &str, service: Service) -> Answer {
+    pub async fn set_service(&self, path: &str, service: ServiceState) -> Answer {
         let current = self.entry(path).await;
         let expected = current.map(|change| change.revision);
         let body = serde_json::json!({"expected": expected, "value": service});
--- a/filbertpaddle/tests/configuration.rs
+++ b/filbertpaddle/tests/configuration.rs
@@ -17,7 +17,7 @@
 use common::operator::Operator;
 use common::wait;
 use filbertpaddle::operator_api::Answer;
-use filbertpaddle_core::config::Service;
+use filbertpaddle_core::config::ServiceState;
 use filbertpaddle_core::config::Setting;
 use filbertpaddle_core::revision::Revision;
 use filbertpaddle_core::template::Template;
@@ -242,7 +242,7 @@
     links::set(&fleet.south_platform, Link::Cut).await;
     let answer = set(&fleet.operator("south-1"), "refused").await;
     assert_eq!(answer, Answer::Unavailable);
-    let body = serde_json::json!({"value": Service::Out});
+    let body = serde_json::json!({"value": ServiceState::Out});
     let response = fleet
         .operator("south-1")
         .put("data-centres/south", &body)
--- a/filbertpaddle/tests/service.rs
+++ b/filbertpaddle/tests/service.rs
@@ -16,7 +16,7 @@
 use common::operator::Operator;
 use common::wait;
 use filbertpaddle::operator_api::Answer;
-use filbertpaddle_core::config::Service;
+use filbertpaddle_core::config::ServiceState;
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_standins::engine_state::Counters;
 use filbertpaddle_standins::faults::Faults;
@@ -127,7 +127,7 @@
         runs(&self.north).await - before
     }
 
-    async fn set_service(&self, path: &str, service: Service) {
+    async fn set_service(&self, path: &str, service: ServiceState) {
         let operator = Operator::at(&self.nodes[1]);
         let answer = operator.set_service(path, service).await;
         let revision = operator::accepted(&answer);
@@ -137,13 +137,13 @@
 
     async fn leaves_and_returns(&mut self, path: &str) {
         let streams = self.streams_with_one_in_the_north().await;
-        self.set_service(path, Service::Out).await;
+        self.set_service(path, ServiceState::Out).await;
         assert_eq!(self.runs_in_the_north().await, 0);
         for stream in streams {
             let (_, outcome) = stream.rest().await;
             assert!(matches!(outcome, Some(Outcome::Complete { .. })));
         }
-        self.set_service(path, Service::In).await;
+        self.set_service(path, ServiceState::In).await;
         self.until_each_engine_runs().await;
     }
 }
@@ -163,7 +163,9 @@
 #[tokio::test]
 async fn entries_of_a_data_centre_that_is_out_serve_through_others() {
     let mut fleet = Fleet::start().await;
-    fleet.set_service("data-centres/north", Service::Out).await;
+    fleet
+        .set_service("data-centres/north", ServiceState::Out)
+        .await;
     let streams = fleet.send_many(REQUESTS).await;
     assert_eq!(streams.len(), REQUESTS);
 }
@@ -192,7 +194,9 @@
 #[tokio::test]
 async fn out_stays_out_while_the_platform_is_out() {
     let mut fleet = Fleet::start().await;
-    fleet.set_service("data-centres/north", Service::Out).await;
+    fleet
+        .set_service("data-centres/north", ServiceState::Out)
+        .await;
     let outage = Faults {
         outage: Outage::Refuse,
         ..Faults::default()
@@ -201,7 +205,7 @@
     assert_eq!(fleet.runs_in_the_north().await, 0);
     let operator = Operator::at(&fleet.nodes[0]);
     let answer = operator
-        .set_service("data-centres/north", Service::In)
+        .set_service("data-centres/north", ServiceState::In)
         .await;
     assert_eq!(answer, Answer::Unavailable);
     assert_eq!(fleet.runs_in_the_north().await, 0);
@@ -212,7 +216,7 @@
     let fleet = Fleet::start().await;
     let operators = [Operator::at(&fleet.nodes[0]), Operator::at(&fleet.nodes[1])];
     let path = "data-centres/north";
-    let out = serde_json::json!({"value": Service::Out});
+    let out = serde_json::json!({"value": ServiceState::Out});
     let (a, b) = tokio::join!(operators[0].put(path, &out), operators[1].put(path, &out));
     let statuses = [a.status().as_u16(), b.status().as_u16()];
     assert!(
@@ -231,7 +235,7 @@
     let fleet = Fleet::start().await;
     let operator = Operator::at(&fleet.nodes[0]);
     let answer = operator
-        .set_service("data-centres/north", Service::In)
+        .set_service("data-centres/north", ServiceState::In)
         .await;
     assert_eq!(answer, Answer::Unchanged { revision: None });
 }
