--- a/filbertpaddle-core/src/template.rs
+++ b/filbertpaddle-core/src/template.rs
@@ -9,7 +9,7 @@
 /// How an answer is delivered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Delivery {
+pub enum DeliveryMode {
     /// Token by token, as server-sent events.
     #[default]
     Stream,
@@ -20,7 +20,7 @@
 /// What runs the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Work {
+pub enum WorkKind {
     /// A generation by a model engine.
     #[default]
     Generation,
@@ -49,10 +49,10 @@
     pub adapter: Option<Name>,
     /// What runs the request.
     #[serde(default)]
-    pub work: Work,
+    pub work: WorkKind,
     /// How the answer is delivered.
     #[serde(default)]
-    pub delivery: Delivery,
+    pub delivery: DeliveryMode,
     /// Scheduling priority.
     #[serde(default)]
     pub priority: Priority,
--- a/filbertpaddle-wire/src/setting.rs
+++ b/filbertpaddle-wire/src/setting.rs
@@ -222,8 +222,8 @@
             model: template.model,
             version: template.version,
             adapter: template.adapter,
-            is_call: template.work == template::Work::Call,
-            is_whole: template.delivery == template::Delivery::Whole,
+            is_call: template.work == template::WorkKind::Call,
+            is_whole: template.delivery == template::DeliveryMode::Whole,
             priority: template.priority.0,
             non_idempotent: !template.idempotent,
             prompt: template.prompt,
@@ -242,14 +242,14 @@
             version: template.version,
             adapter: template.adapter,
             work: if template.is_call {
-                template::Work::Call
+                template::WorkKind::Call
             } else {
-                template::Work::Generation
+                template::WorkKind::Generation
             },
             delivery: if template.is_whole {
-                template::Delivery::Whole
+                template::DeliveryMode::Whole
             } else {
-                template::Delivery::Stream
+                template::DeliveryMode::Stream
             },
             priority: template::Priority(template.priority),
             idempotent: !template.non_idempotent,
--- a/filbertpaddle-wire/tests/config.rs
+++ b/filbertpaddle-wire/tests/config.rs
@@ -14,10 +14,10 @@
 use filbertpaddle_core::replica::Page;
 use filbertpaddle_core::replica::Replica;
 use filbertpaddle_core::revision::Revision;
-use filbertpaddle_core::template::Delivery;
+use filbertpaddle_core::template::DeliveryMode;
 use filbertpaddle_core::template::Priority;
 use filbertpaddle_core::template::Template;
-use filbertpaddle_core::template::Work;
+use filbertpaddle_core::template::WorkKind;
 use filbertpaddle_wire::config;
 use filbertpaddle_wire::frame;
 use filbertpaddle_wire::message::Message;
@@ -27,8 +27,8 @@
         model: "drafting-large".into(),
         version: "2026-11".into(),
         adapter: Some("summaries".into()),
-        work: Work::Call,
-        delivery: Delivery::Whole,
+        work: WorkKind::Call,
+        delivery: DeliveryMode::Whole,
         priority: Priority(3),
         idempotent: false,
         prompt: prompt.into(),
--- a/filbertpaddle/src/caller.rs
+++ b/filbertpaddle/src/caller.rs
@@ -105,8 +105,8 @@
     let delivery = request.template.delivery;
     let started = run::start(front, request, permit).await;
     match delivery {
-        template::Delivery::Stream => reply::streamed(started),
-        template::Delivery::Whole => reply::whole(started).await,
+        template::DeliveryMode::Stream => reply::streamed(started),
+        template::DeliveryMode::Whole => reply::whole(started).await,
     }
 }
 
--- a/filbertpaddle/src/run.rs
+++ b/filbertpaddle/src/run.rs
@@ -8,7 +8,7 @@
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_core::outcome::Reason;
 use filbertpaddle_core::template;
-use filbertpaddle_core::template::Work;
+use filbertpaddle_core::template::WorkKind;
 use filbertpaddle_target::protocol::Submit;
 use filbertpaddle_wire::grant::Want;
 use slog::debug;
@@ -57,7 +57,7 @@
     fn new(front: Arc<Front>, request: Request, output: Output) -> Self {
         let promise = Promise {
             idempotent: request.template.idempotent,
-            whole: request.template.delivery == template::Delivery::Whole,
+            whole: request.template.delivery == template::DeliveryMode::Whole,
         };
         let delivery = Delivery::new(promise, front.gate.attempt());
         Self {
@@ -206,8 +206,8 @@
             output: &mut self.output,
         };
         let Used { step, ending } = match template.work {
-            Work::Generation => attempt.generate(&submit).await,
-            Work::Call => attempt.call(&submit, template.idempotent).await,
+            WorkKind::Generation => attempt.generate(&submit).await,
+            WorkKind::Call => attempt.call(&submit, template.idempotent).await,
         };
         let tokens = self.delivery.delivered_tokens();
         self.front.slots.release(grant, ending, tokens);
--- a/filbertpaddle/tests/at_most_once.rs
+++ b/filbertpaddle/tests/at_most_once.rs
@@ -24,9 +24,9 @@
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_core::outcome::Reason;
 use filbertpaddle_core::sweep;
-use filbertpaddle_core::template::Delivery;
+use filbertpaddle_core::template::DeliveryMode;
 use filbertpaddle_core::template::Template;
-use filbertpaddle_core::template::Work;
+use filbertpaddle_core::template::WorkKind;
 use filbertpaddle_platform::protocol::Transaction;
 use filbertpaddle_platform::protocol::Write;
 use filbertpaddle_standins::faults::Faults;
@@ -161,8 +161,8 @@
 
 fn call(idempotent: bool) -> Template {
     let mut template = fleet::template("store");
-    template.work = Work::Call;
-    template.delivery = Delivery::Whole;
+    template.work = WorkKind::Call;
+    template.delivery = DeliveryMode::Whole;
     template.idempotent = idempotent;
     template
 }
