--- a/filbertpaddle-core/src/config.rs
+++ b/filbertpaddle-core/src/config.rs
@@ -1,4 +1,4 @@
-//! What operators configure, and the record of each change.
+//! Configuration settings, their validation, and the audit record of each change.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,32 +11,32 @@
 use crate::revision::Revision;
 use crate::template::Template;
 
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Longest prompt of a template, in bytes.
+/// Maximum length of a template's prompt, in bytes.
 pub const MAX_PROMPT_BYTES: usize = 16 * 1024;
-/// Most parameters of a template.
+/// Maximum number of parameters of a template.
 pub const MAX_PARAMETERS: usize = 64;
-/// Most key digests of a customer.
+/// Maximum number of key digests of a customer.
 pub const MAX_KEY_DIGESTS: usize = 8;
 /// Length of a hexadecimal SHA-256 digest, in bytes.
 pub const KEY_DIGEST_BYTES: usize = 64;
 
-/// What a setting is about.
+/// Identifies the entry that a setting configures.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
-    /// A customer's account.
+    /// Account of the named customer.
     Customer(Name),
-    /// Whether a data centre is in service.
+    /// Service state of the named data centre.
     DataCentre(Name),
-    /// One customer's template.
+    /// Template of one customer.
     Template {
         /// Customer that uses the template.
         customer: Name,
         /// Name of the template.
         name: Name,
     },
-    /// Whether a VM is in service.
+    /// Service state of the named VM.
     Vm(Name),
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// The text is not a [`Key`].
+/// Error returned when a text cannot be parsed as a [`Key`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is not a configuration key")]
 pub struct ParseKeyError(Name);
@@ -75,7 +75,7 @@
     }
 }
 
-/// Whether operators let a data centre or VM take new work.
+/// Whether operators allow new work on a data centre or VM.
 #[derive(
     Clone,
     Copy,
@@ -95,7 +95,7 @@
     /// New work may be sent.
     #[default]
     In,
-    /// Running work finishes and no new work is sent.
+    /// No new work is sent; running work finishes.
     Out,
 }
 
@@ -105,10 +105,10 @@
 pub struct Customer {
     /// Hexadecimal SHA-256 digests of the customer's keys.
     pub key_sha256: Vec<Name>,
-    /// Relative share of tokens between customers.
+    /// Weight of the customer when tokens are shared between customers.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Most requests of the customer at once on one entry VM.
+    /// Maximum number of concurrent requests of the customer on one entry VM.
     #[serde(default = "default_max_running")]
     pub max_running: u32,
 }
@@ -121,7 +121,7 @@
     1_000
 }
 
-/// One configured thing with its value.
+/// One configuration entry with its value.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Setting {
@@ -129,14 +129,14 @@
     Customer {
         /// Name of the customer.
         name: Name,
-        /// The account.
+        /// Keys and limits of the account.
         customer: Customer,
     },
-    /// Whether a data centre is in service.
+    /// Service state of a data centre.
     DataCentre {
         /// Name of the data centre.
         name: Name,
-        /// The operators' decision.
+        /// State that operators set.
         service: ServiceState,
     },
     /// One customer's template.
@@ -145,35 +145,35 @@
         customer: Name,
         /// Name of the template.
         name: Name,
-        /// The template.
+        /// Definition of the template.
         template: Box<Template>,
     },
-    /// Whether a VM is in service.
+    /// Service state of a VM.
     Vm {
         /// Name of the VM.
         name: Name,
-        /// The operators' decision.
+        /// State that operators set.
         service: ServiceState,
     },
 }
 
-/// Why a setting is refused.
+/// Reason why a setting fails validation.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidSetting {
-    /// A name is empty, too long or has a character outside `a-z A-Z 0-9 . _ -`.
+    /// A name is empty, too long or contains a character outside `a-z A-Z 0-9 . _ -`.
     #[error("`{0}` is not a name of 1 to 64 letters, digits, `.`, `_` or `-`")]
     InvalidName(Name),
-    /// The prompt is too long.
-    #[error("the prompt has {0} bytes, the most is {MAX_PROMPT_BYTES}")]
+    /// The prompt exceeds [`MAX_PROMPT_BYTES`].
+    #[error("the prompt has {0} bytes; at most {MAX_PROMPT_BYTES} are allowed")]
     PromptTooLong(usize),
-    /// There are too many parameters.
-    #[error("the template has {0} parameters, the most is {MAX_PARAMETERS}")]
+    /// The number of parameters exceeds [`MAX_PARAMETERS`].
+    #[error("the template has {0} parameters; at most {MAX_PARAMETERS} are allowed")]
     TooManyParameters(usize),
     /// A number that must be positive is zero.
     #[error("`{0}` must be at least 1")]
     Zero(&'static str),
-    /// There are too many key digests.
-    #[error("the customer has {0} key digests, the most is {MAX_KEY_DIGESTS}")]
+    /// The number of key digests exceeds [`MAX_KEY_DIGESTS`].
+    #[error("the customer has {0} key digests; at most {MAX_KEY_DIGESTS} are allowed")]
     TooManyKeyDigests(usize),
     /// A key digest is not a hexadecimal SHA-256 digest.
     #[error("a key digest must be 64 lower-case hexadecimal digits")]
@@ -181,7 +181,7 @@
 }
 
 impl Setting {
-    /// Returns what the setting is about.
+    /// Returns the key of the entry that the setting configures.
     pub fn key(&self) -> Key {
         match self {
             Self::Customer { name, .. } => Key::Customer(name.clone()),
@@ -194,11 +194,11 @@
         }
     }
 
-    /// Checks names, sizes and values.
+    /// Validates names, sizes and values.
     ///
     /// # Errors
     ///
-    /// Returns the first reason why the setting is refused.
+    /// Returns the first violation found.
     pub fn validate(&self) -> Result<(), InvalidSetting> {
         match self {
             Self::Customer { name, customer } => {
@@ -218,9 +218,9 @@
         }
     }
 
-    /// Returns whether setting this over `entry` changes nothing.
+    /// Returns whether writing this setting over `entry` would change nothing.
     ///
-    /// A data centre or VM without an entry is in service.
+    /// A data centre or VM without an entry counts as in service.
     pub fn is_unchanged_from(&self, entry: Option<&Self>) -> bool {
         match (self, entry) {
             (Self::DataCentre { service, .. } | Self::Vm { service, .. }, None) => {
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Returns about how many bytes the setting takes in a message.
+    /// Returns the approximate size of the setting in a message, in bytes.
     pub fn size_bytes(&self) -> usize {
         const FIXED_BYTES: usize = 64;
         let variable = match self {
@@ -292,31 +292,31 @@
     Ok(())
 }
 
-/// Tells one attempt to change the configuration from every other.
+/// Unique identity of one configuration change, kept when the change is resent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ChangeId(pub u64);
 
-/// One accepted change; also the value of the row of the entry it changed.
+/// One accepted change; also stored as the value of the row of its entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// Place in the order of changes.
+    /// Position in the total order of changes.
     pub revision: Revision,
-    /// Chosen by whoever asked for the change.
+    /// Identity chosen by the client that requested the change.
     pub id: ChangeId,
-    /// Who changed it.
+    /// Operator who requested the change.
     pub by: Name,
-    /// When it was asked for, in Unix time.
+    /// Time of the request, in Unix time.
     pub at_ms: Millis,
     /// The new value.
     pub setting: Setting,
 }
 
-/// One row of the audit trail, which is also the log that nodes follow.
+/// One row of the audit trail, which is also the change log that nodes read.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// The change.
+    /// The accepted change.
     pub change: Change,
-    /// The value it replaced; `None` if there was none.
+    /// The value that was replaced; `None` if the entry is new.
     pub before: Option<Setting>,
 }
--- a/filbertpaddle-core/src/revision.rs
+++ b/filbertpaddle-core/src/revision.rs
@@ -1,11 +1,11 @@
-//! The one order of accepted configuration changes.
+//! Revision numbers: the total order of accepted configuration changes.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Position of a change in the order of accepted changes; the first is 1.
+/// Position of a change in the total order of accepted changes, starting at 1.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -13,7 +13,7 @@
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// Before the first change.
+    /// Revision of a configuration without any change.
     pub const ZERO: Self = Self(0);
 
     /// Returns the revision after this one.
--- a/filbertpaddle-core/src/template.rs
+++ b/filbertpaddle-core/src/template.rs
@@ -1,4 +1,4 @@
-//! Templates: what an operator promises a customer.
+//! Request templates: the model, delivery and limits that operators configure for a customer.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,72 +6,72 @@
 use crate::clock::Millis;
 use crate::name::Name;
 
-/// How an answer is delivered.
+/// How a response is delivered to the caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DeliveryMode {
     /// Token by token, as server-sent events.
     #[default]
     Stream,
-    /// As one body once the answer is whole.
+    /// As one body once the response is complete.
     Whole,
 }
 
-/// What runs the request.
+/// What executes a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkKind {
     /// A generation by a model engine.
     #[default]
     Generation,
-    /// A call to a plain service.
+    /// A call to a service other than a model engine.
     Call,
 }
 
-/// Scheduling priority; a higher value goes first.
+/// Scheduling priority; higher values are scheduled first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Priority(pub u8);
 
-/// One customer's template.
+/// Configuration of one kind of request of a customer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
-    /// Model or plain service that serves the template.
+    /// Model or service that serves the template.
     pub model: Name,
-    /// Model version that targets must have loaded.
+    /// Model version that a target must have loaded.
     #[serde(default)]
     pub version: Name,
-    /// Adapter that targets must have loaded, if any.
+    /// Adapter that a target must have loaded, if any.
     #[serde(default)]
     pub adapter: Option<Name>,
-    /// What runs the request.
+    /// What executes the request.
     #[serde(default)]
     pub work: WorkKind,
-    /// How the answer is delivered.
+    /// How the response is delivered.
     #[serde(default)]
     pub delivery: DeliveryMode,
     /// Scheduling priority.
     #[serde(default)]
     pub priority: Priority,
-    /// Whether running a request twice is harmless.
+    /// Whether a request may be executed more than once without harm.
     #[serde(default = "default_idempotent")]
     pub idempotent: bool,
-    /// Text placed before the parameters.
+    /// Text that precedes the parameters in the prompt.
     #[serde(default)]
     pub prompt: String,
-    /// Names of the parameters a request must give.
+    /// Names of the parameters that a request must supply.
     #[serde(default)]
     pub parameters: Vec<Name>,
-    /// Most tokens a generation may produce.
+    /// Maximum number of tokens of a generation.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
-    /// Longest time a request may wait for a target.
+    /// Maximum time that a request may wait for a target.
     #[serde(default = "default_max_wait_ms")]
     pub max_wait_ms: Millis,
-    /// Relative share of tokens between customers.
+    /// Weight of the request when tokens are shared between customers.
     #[serde(default = "default_weight")]
     pub weight: u32,
 }
