--- a/filbertpaddle-core/src/edit.rs
+++ b/filbertpaddle-core/src/edit.rs
@@ -1,8 +1,9 @@
-//! Making one change of the configuration in the platform's table.
+//! State machine that commits one configuration change to the platform's table.
 //!
-//! Each change is one transaction conditioned on the head and on the entry.
-//! A lost answer is resolved by the change's own id in the audit row of the
-//! revision it tried to take, so a change never takes effect twice.
+//! Each change is one transaction conditioned on the versions of the head and
+//! the entry. If the answer to a transaction is lost, the edit reads the audit
+//! row of the attempted revision and compares its change id with its own, so a
+//! change never takes effect twice.
 
 use crate::clock::Millis;
 use crate::config::Change;
@@ -13,118 +14,118 @@
 use crate::name::Name;
 use crate::revision::Revision;
 
-/// Most reads before an edit gives up.
+/// Maximum number of reads, after which an edit ends as unavailable or unknown.
 pub const MAX_READS: u8 = 16;
 
-/// What an operator asks for.
+/// An operator's request to change one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Request {
-    /// Identity of the change, kept over every resend.
+    /// Identity of the change, kept when it is resent.
     pub id: ChangeId,
-    /// Who asks.
+    /// Operator who requests the change.
     pub by: Name,
-    /// When it was asked, in Unix time.
+    /// Time of the request, in Unix time.
     pub at_ms: Millis,
-    /// Revision of the entry that the change replaces; `None` if it is new.
+    /// Current revision of the entry to replace; `None` if the entry must be new.
     pub expected: Option<Revision>,
     /// The new value.
     pub setting: Setting,
 }
 
-/// A row's value with the version that a condition names.
+/// A row's value with its version for use in a condition.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Row<T> {
     /// The decoded value.
     pub value: T,
-    /// The table's own revision of the row.
+    /// Revision that the table assigned to the row.
     pub version: u64,
 }
 
-/// Rows read as of one revision of the table.
+/// Rows read consistently at one revision of the table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Snapshot {
     /// The highest accepted revision.
     pub head: Option<Row<Revision>>,
-    /// The entry's last change.
+    /// The latest change of the entry.
     pub entry: Option<Row<Change>>,
-    /// The id in the audit row that was asked for.
+    /// Change id in the requested audit row, if the row exists.
     pub audit: Option<ChangeId>,
 }
 
-/// One transaction: head, entry and audit row together.
+/// One transaction that writes head, entry and audit row together.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Commit {
-    /// Version that the head row must have; `None` means absent.
+    /// Required version of the head row; `None` requires that it is absent.
     pub head: Option<u64>,
-    /// Version that the entry's row must have; `None` means absent.
+    /// Required version of the entry's row; `None` requires that it is absent.
     pub entry: Option<u64>,
-    /// The audit row; its change is the entry's new value.
+    /// Audit row to write; its change becomes the entry's new value.
     pub record: Record,
 }
 
-/// What the table answered.
+/// Result of the last read or transaction, or the end of the time limit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// The rows were read.
     RowsRead(Snapshot),
-    /// The transaction took effect.
+    /// The transaction was committed.
     Committed,
-    /// The transaction did not take effect because a condition failed.
+    /// The transaction was rejected because a condition failed.
     Conflict,
-    /// No answer to the transaction; it may take effect even later.
+    /// The transaction got no answer; it may have taken effect or may still do so.
     NoAnswer,
-    /// The read failed, or the transaction was refused with nothing done.
+    /// The read failed, or the transaction was refused without any effect.
     Refused,
-    /// The operator's request has no time left.
+    /// The time limit of the operator's request has passed.
     Expired,
 }
 
-/// What to do next.
+/// Next step for the caller to perform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Read the head, the entry and, if given, the audit row.
+    /// Reads the head, the entry and, if given, the audit row.
     Read {
-        /// The entry.
+        /// Key of the entry.
         key: Key,
-        /// Revision of the audit row.
+        /// Revision whose audit row is read.
         audit: Option<Revision>,
     },
-    /// Run the transaction.
+    /// Runs the transaction.
     Commit(Box<Commit>),
-    /// Tell the operator.
+    /// Returns the final answer to the operator.
     Finish(Answer),
 }
 
-/// What the operator is told.
+/// Final answer to the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
-    /// The change is accepted.
+    /// The change was accepted at this revision.
     Accepted(Revision),
-    /// Nothing was changed: it is so already.
+    /// Nothing was changed: the entry already has the requested value.
     Unchanged {
-        /// Revision that set the entry; `None` if it never was.
+        /// Revision that set the entry; `None` if the entry was never set.
         revision: Option<Revision>,
     },
-    /// Nothing was changed: the entry is not as expected.
+    /// Nothing was changed: the entry is not at the expected revision.
     Conflict {
-        /// The change that stands instead; `None` if there is no entry.
+        /// The latest change of the entry; `None` if there is no entry.
         current: Option<Box<Change>>,
     },
-    /// Nothing was changed: the table cannot be reached.
+    /// Nothing was changed: the table is unavailable.
     Unavailable,
-    /// The change may have been accepted, at this revision only.
+    /// The change may have been accepted, but at no other revision than this one.
     Unknown(Revision),
 }
 
-/// One change on its way into the table.
+/// State of one change that is being committed to the table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Edit {
     request: Request,
     reads: u8,
-    /// Revision of a transaction that may have taken effect.
-    tried: Option<Revision>,
-    /// Revision of the transaction that is running.
-    running: Option<Revision>,
+    /// Revision of a transaction whose answer was lost and which may have taken effect.
+    unresolved: Option<Revision>,
+    /// Revision of the transaction that awaits its answer.
+    in_flight: Option<Revision>,
 }
 
 impl Edit {
@@ -133,109 +134,115 @@
         let mut edit = Self {
             request,
             reads: 0,
-            tried: None,
-            running: None,
+            unresolved: None,
+            in_flight: None,
         };
         let action = edit.read();
         (edit, action)
     }
 
-    /// Takes the table's answer to the last action.
+    /// Handles the result of the last action and returns the next one.
     pub fn on(&mut self, event: Event) -> Action {
         match event {
-            Event::RowsRead(seen) => self.on_seen(seen),
+            Event::RowsRead(snapshot) => self.on_rows_read(snapshot),
             Event::Committed => self.on_committed(),
-            // A conflict may be with an earlier send of this very transaction.
+            // The conflict may be with an earlier attempt of the same transaction.
             Event::Conflict => self.read(),
-            Event::NoAnswer => self.on_lost(),
+            Event::NoAnswer => self.on_no_answer(),
             Event::Refused => self.on_refused(),
             Event::Expired => self.on_expired(),
         }
     }
 
-    fn on_seen(&mut self, seen: Snapshot) -> Action {
-        if seen.audit == Some(self.request.id)
-            && let Some(revision) = self.tried
+    fn on_rows_read(&mut self, snapshot: Snapshot) -> Action {
+        if snapshot.audit == Some(self.request.id)
+            && let Some(revision) = self.unresolved
         {
             return Action::Finish(Answer::Accepted(revision));
         }
-        if let Some(entry) = &seen.entry
+        if let Some(entry) = &snapshot.entry
             && entry.value.id == self.request.id
         {
             return Action::Finish(Answer::Accepted(entry.value.revision));
         }
-        if seen.audit.is_some() {
-            // Another change holds the revision, so the transaction that was
-            // tried can never take effect.
-            self.tried = None;
+        if snapshot.audit.is_some() {
+            // Another change holds the revision, so the unresolved transaction
+            // can never take effect.
+            self.unresolved = None;
         }
-        let current = seen.entry.as_ref().map(|entry| entry.value.revision);
+        let current = snapshot.entry.as_ref().map(|entry| entry.value.revision);
         if current == self.request.expected {
-            let entry = seen.entry.as_ref().map(|entry| &entry.value.setting);
-            if self.tried.is_none() && self.request.setting.is_unchanged_from(entry) {
+            let entry = snapshot.entry.as_ref().map(|entry| &entry.value.setting);
+            if self.unresolved.is_none() && self.request.setting.is_unchanged_from(entry) {
                 return Action::Finish(Answer::Unchanged { revision: current });
             }
-            return self.commit(seen);
+            return self.commit(snapshot);
         }
-        if self.tried.is_some() {
-            // The read is older than the transaction that was tried.
+        if self.unresolved.is_some() {
+            // The read is stale: it predates the unresolved transaction.
             return self.read();
         }
         Action::Finish(Answer::Conflict {
-            current: seen.entry.map(|entry| Box::new(entry.value)),
+            current: snapshot.entry.map(|entry| Box::new(entry.value)),
         })
     }
 
     fn on_committed(&mut self) -> Action {
-        match self.running.take() {
+        match self.in_flight.take() {
             Some(revision) => Action::Finish(Answer::Accepted(revision)),
             None => self.read(),
         }
     }
 
-    fn on_lost(&mut self) -> Action {
-        if let Some(revision) = self.running.take() {
-            self.tried = Some(revision);
+    fn on_no_answer(&mut self) -> Action {
+        if let Some(revision) = self.in_flight.take() {
+            self.unresolved = Some(revision);
         }
         self.read()
     }
 
     fn on_refused(&mut self) -> Action {
-        self.running = None;
-        if self.tried.is_some() {
+        self.in_flight = None;
+        if self.unresolved.is_some() {
             return self.read();
         }
         Action::Finish(Answer::Unavailable)
     }
 
     fn on_expired(&self) -> Action {
-        Action::Finish(match self.tried.or(self.running) {
+        Action::Finish(match self.unresolved.or(self.in_flight) {
             Some(revision) => Answer::Unknown(revision),
             None => Answer::Unavailable,
         })
     }
 
     fn read(&mut self) -> Action {
-        self.running = None;
+        self.in_flight = None;
         if self.reads == MAX_READS {
             return self.on_expired();
         }
         self.reads += 1;
         Action::Read {
             key: self.request.setting.key(),
-            audit: self.tried,
+            audit: self.unresolved,
         }
     }
 
-    fn commit(&mut self, seen: Snapshot) -> Action {
-        let head = seen.head.as_ref().map_or(Revision::ZERO, |row| row.value);
+    fn commit(&mut self, snapshot: Snapshot) -> Action {
+        let head = snapshot
+            .head
+            .as_ref()
+            .map_or(Revision::ZERO, |row| row.value);
         let revision = head.next();
-        if self.tried.is_some_and(|tried| tried != revision) {
-            // Only a read that shows the tried revision's audit row may give
-            // it up, and this one does not.
+        if self
+            .unresolved
+            .is_some_and(|unresolved| unresolved != revision)
+        {
+            // The unresolved transaction is ruled out only by a read of its
+            // audit row, which this snapshot does not contain.
             return self.read();
         }
-        self.running = Some(revision);
+        self.in_flight = Some(revision);
         let change = Change {
             revision,
             id: self.request.id,
@@ -243,12 +250,12 @@
             at_ms: self.request.at_ms,
             setting: self.request.setting.clone(),
         };
-        let (entry, before) = match seen.entry {
+        let (entry, before) = match snapshot.entry {
             Some(row) => (Some(row.version), Some(row.value.setting)),
             None => (None, None),
         };
         Action::Commit(Box::new(Commit {
-            head: seen.head.map(|row| row.version),
+            head: snapshot.head.map(|row| row.version),
             entry,
             record: Record { change, before },
         }))
