--- a/filbertpaddle-core/src/availability.rs
+++ b/filbertpaddle-core/src/availability.rs
@@ -1,8 +1,8 @@
-//! Which data centres and VMs may get new work.
+//! Availability of data centres and VMs for new work.
 //!
-//! Combines the operators' decisions, the platform's lagging list of VMs and
-//! reclaim notices. Whatever says out wins; what comes back gets its share
-//! of new work step by step.
+//! Combines the operators' decisions, the platform's VM list, which lags behind,
+//! and reclaim notices. A data centre or VM is out of service if any of these
+//! sources says so; after it returns, its share of new work is ramped up in steps.
 
 use std::mem;
 
@@ -16,18 +16,19 @@
 use crate::replica::Replica;
 use crate::revision::Revision;
 
-/// Time between two steps of the share of what came back.
+/// Interval between two steps of the ramp-up after a return to service.
 pub const RAMP_STEP_MS: Millis = Millis::from_secs(5);
-/// First share of what came back, in thousandths.
+/// Share of new work right after a return to service, in thousandths.
 pub const INITIAL_SHARE_PER_MILLE: u16 = 100;
-/// By how much the share grows with each step, in thousandths.
+/// Increase of the share with each step of the ramp-up, in thousandths.
 pub const RAMP_STEP_PER_MILLE: u16 = 100;
-/// The whole share, in thousandths.
+/// Share without any restriction, in thousandths.
 pub const FULL_SHARE_PER_MILLE: u16 = 1_000;
-/// How long a reclaim notice outlives the VM's last mention in the platform's list.
+/// How long a reclaim notice stays in effect after the VM was last listed by the
+/// platform.
 pub const RECLAIM_NOTICE_TTL_MS: Millis = Millis::from_secs(600);
 
-/// Part of its usual new work that a data centre or VM may get, in thousandths.
+/// Share of its usual new work that a data centre or VM may get, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Share(u16);
 
@@ -47,7 +48,8 @@
         self.0 == 0
     }
 
-    /// Scales a limit; what may get any work keeps at least 1.
+    /// Scales a limit by the share; the result is at least 1 unless the share or the
+    /// limit is zero.
     ///
     /// # Examples
     ///
@@ -66,48 +68,48 @@
     }
 }
 
-/// One VM of the platform's list.
+/// One VM in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ListedVm {
     /// Name of the VM.
     pub vm: Name,
     /// Its data centre.
     pub data_centre: Name,
-    /// Whether the platform says that it is about to leave.
+    /// Whether the platform lists the VM as about to be removed.
     pub leaving: bool,
 }
 
-/// What changed for a data centre or VM.
+/// Change in the availability of a data centre or VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// The VM may get no new work; what runs there finishes.
+    /// The VM gets no new work; running work finishes.
     VmOutOfService(Name),
-    /// The VM may get new work again and counts as cold.
+    /// The VM gets new work again and counts as cold.
     VmBackInService(Name),
-    /// The data centre may get no new work; what runs there finishes.
+    /// The data centre gets no new work; running work finishes.
     DataCentreOutOfService(Name),
-    /// The data centre may get new work again.
+    /// The data centre gets new work again.
     DataCentreBackInService(Name),
 }
 
-/// Whether something is in service, and since when.
+/// Service state that determines the current share of new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-enum Standing {
-    /// Not known to have been out: no steps.
+enum RampState {
+    /// In service and never known to have been out: full share without a ramp-up.
     #[default]
-    Known,
-    /// Out.
+    NeverOut,
+    /// Out of service.
     Out,
-    /// Came back at this time.
-    Back(Millis),
+    /// Returned to service, or listed for the first time, at this time.
+    RampingSince(Millis),
 }
 
-impl Standing {
+impl RampState {
     fn share(self, now: Millis) -> Share {
         match self {
-            Self::Known => Share::FULL,
+            Self::NeverOut => Share::FULL,
             Self::Out => Share::NONE,
-            Self::Back(since) => {
+            Self::RampingSince(since) => {
                 let steps = now.since(since).0 / RAMP_STEP_MS.0;
                 let grown = steps.saturating_mul(u64::from(RAMP_STEP_PER_MILLE));
                 let share = grown.saturating_add(u64::from(INITIAL_SHARE_PER_MILLE));
@@ -118,71 +120,76 @@
         }
     }
 
-    /// Moves in or out; returns whether that changed.
+    /// Sets whether this is out of service; returns whether the state changed.
     fn set(&mut self, now: Millis, is_out: bool) -> bool {
         let was_out = *self == Self::Out;
         if is_out == was_out {
             return false;
         }
-        *self = if is_out { Self::Out } else { Self::Back(now) };
+        *self = if is_out {
+            Self::Out
+        } else {
+            Self::RampingSince(now)
+        };
         true
     }
 }
 
-/// What operators last decided about a data centre or VM.
+/// Operators' latest decision about a data centre or VM.
 #[derive(Clone, Copy, Debug, Default)]
 struct Decision {
     revision: Revision,
     is_out: bool,
-    /// It was out in between, though this node may not have seen that.
-    has_returned: bool,
+    /// The data centre or VM was out of service and returned; this node may have
+    /// missed the first of the two changes.
+    has_unseen_return: bool,
 }
 
 impl Decision {
-    /// Returns the decision in a setting, given the one before.
+    /// Returns the decision of a change that follows the decision `before`.
     fn after(before: Self, change: &Change, has_config: bool) -> Self {
         let service = match &change.setting {
             Setting::DataCentre { service, .. } | Setting::Vm { service, .. } => *service,
             Setting::Customer { .. } | Setting::Template { .. } => ServiceState::In,
         };
         let is_out = service == ServiceState::Out;
-        // Only what is out can be brought in, so a later "in" tells of an
-        // "out" that was passed over.
-        let is_news = has_config && change.revision > before.revision;
+        // Only something that is out of service can be put in service, so a newer
+        // "in" implies an "out" that this node may have missed.
+        let is_newer = has_config && change.revision > before.revision;
         Self {
             revision: change.revision,
             is_out,
-            has_returned: is_news && !is_out,
+            has_unseen_return: is_newer && !is_out,
         }
     }
 }
 
-/// What is known of one data centre.
+/// State of one data centre.
 #[derive(Clone, Copy, Debug, Default)]
 struct DataCentre {
     decision: Decision,
-    standing: Standing,
+    ramp: RampState,
 }
 
-/// What is known of one VM.
+/// State of one VM.
 #[derive(Clone, Debug)]
 struct Vm {
     data_centre: Name,
     decision: Decision,
-    /// Missing from the list or listed as leaving.
-    platform_out: bool,
-    /// When the VM was last listed, if it announced its own reclaim.
+    /// Whether the VM is missing from the platform's list or listed as leaving.
+    is_platform_out: bool,
+    /// Time at which the VM was last listed or gave notice, if it gave a reclaim notice.
     reclaimed_at: Option<Millis>,
-    standing: Standing,
+    ramp: RampState,
 }
 
 impl Vm {
     fn is_out(&self) -> bool {
-        self.decision.is_out || self.platform_out || self.reclaimed_at.is_some()
+        self.decision.is_out || self.is_platform_out || self.reclaimed_at.is_some()
     }
 }
 
-/// What may get new work, as one node sees it.
+/// Tracks on one node which data centres and VMs may get new work.
 #[derive(Clone, Debug, Default)]
 pub struct Availability {
     data_centres: IndexMap<Name, DataCentre>,
@@ -193,17 +200,17 @@
 }
 
 impl Availability {
-    /// Takes the operators' decisions from this node's configuration.
+    /// Applies the operators' decisions in this node's configuration.
     ///
-    /// The first call must wait until the configuration is known to be recent.
+    /// Must not be called before the configuration is known to be recent.
     pub fn on_config(&mut self, now: Millis, replica: &Replica) -> Vec<Action> {
         let mut actions = Vec::new();
         for change in replica.entries() {
             match &change.setting {
                 Setting::DataCentre { name, .. } => {
-                    self.decide_data_centre(now, name, change, &mut actions);
+                    self.apply_data_centre_decision(now, name, change, &mut actions);
                 }
-                Setting::Vm { name, .. } => self.decide_vm(now, name, change, &mut actions),
+                Setting::Vm { name, .. } => self.apply_vm_decision(now, name, change, &mut actions),
                 Setting::Customer { .. } | Setting::Template { .. } => {}
             }
         }
@@ -211,14 +218,14 @@
         actions
     }
 
-    /// Takes the platform's list of VMs.
+    /// Applies the platform's list of VMs.
     ///
-    /// A VM that was listed and is missing now is out, as is one listed as
-    /// leaving. A reclaim notice outweighs a list that lags behind it.
+    /// A VM that is missing from the list or listed as leaving is out of service.
+    /// A reclaim notice takes precedence over the list, which lags behind it.
     pub fn on_list(&mut self, now: Millis, list: &[ListedVm]) -> Vec<Action> {
         let mut actions = Vec::new();
         for vm in self.vms.values_mut() {
-            vm.platform_out = true;
+            vm.is_platform_out = true;
         }
         for listed in list {
             let first_list = !self.has_list;
@@ -226,17 +233,17 @@
             let new = || Vm {
                 data_centre: listed.data_centre.clone(),
                 decision: decisions.get(&listed.vm).copied().unwrap_or_default(),
-                platform_out: false,
+                is_platform_out: false,
                 reclaimed_at: None,
-                standing: if first_list {
-                    Standing::Known
+                ramp: if first_list {
+                    RampState::NeverOut
                 } else {
-                    Standing::Back(now)
+                    RampState::RampingSince(now)
                 },
             };
             let vm = self.vms.entry(listed.vm.clone()).or_insert_with(new);
             vm.data_centre = listed.data_centre.clone();
-            vm.platform_out = listed.leaving;
+            vm.is_platform_out = listed.leaving;
             if vm.reclaimed_at.is_some() {
                 vm.reclaimed_at = Some(now);
             }
@@ -249,38 +256,38 @@
             {
                 vm.reclaimed_at = None;
             }
-            settle(now, name, vm, &mut actions);
+            update_vm(now, name, vm, &mut actions);
         }
-        self.forget();
+        self.remove_unlisted();
         actions
     }
 
-    /// Takes a VM's own notice that it will be reclaimed.
+    /// Applies a VM's notice that it will be reclaimed.
     pub fn on_reclaim(&mut self, now: Millis, name: &Name) -> Vec<Action> {
         let mut actions = Vec::new();
         if let Some(vm) = self.vms.get_mut(name) {
             vm.reclaimed_at = Some(now);
-            settle(now, name, vm, &mut actions);
+            update_vm(now, name, vm, &mut actions);
         }
         actions
     }
 
-    /// Returns how much new work a data centre may get.
+    /// Returns the share of new work that a data centre may get.
     pub fn data_centre_share(&self, now: Millis, data_centre: &Name) -> Share {
         let known = self.data_centres.get(data_centre).copied();
-        known.unwrap_or_default().standing.share(now)
+        known.unwrap_or_default().ramp.share(now)
     }
 
-    /// Returns how much new work a VM may get; an unknown VM gets none.
+    /// Returns the share of new work that a VM may get; an unknown VM gets none.
     pub fn vm_share(&self, now: Millis, name: &Name) -> Share {
         let Some(vm) = self.vms.get(name) else {
             return Share::NONE;
         };
         let data_centre = self.data_centre_share(now, &vm.data_centre);
-        data_centre.min(vm.standing.share(now))
+        data_centre.min(vm.ramp.share(now))
     }
 
-    fn decide_data_centre(
+    fn apply_data_centre_decision(
         &mut self,
         now: Millis,
         name: &Name,
@@ -290,7 +297,7 @@
         let known = self.data_centres.entry(name.clone()).or_default();
         known.decision = Decision::after(known.decision, change, self.has_config);
         let is_out = known.decision.is_out;
-        if !move_standing(now, &mut known.standing, is_out, &mut known.decision) {
+        if !update_ramp(now, &mut known.ramp, is_out, &mut known.decision) {
             return;
         }
         actions.push(if is_out {
@@ -300,26 +307,33 @@
         });
     }
 
-    fn decide_vm(&mut self, now: Millis, name: &Name, change: &Change, actions: &mut Vec<Action>) {
+    fn apply_vm_decision(
+        &mut self,
+        now: Millis,
+        name: &Name,
+        change: &Change,
+        actions: &mut Vec<Action>,
+    ) {
         let known = self.vm_decisions.entry(name.clone()).or_default();
         let decision = Decision::after(*known, change, self.has_config);
         *known = decision;
         if let Some(vm) = self.vms.get_mut(name) {
             vm.decision = decision;
-            settle(now, name, vm, actions);
+            update_vm(now, name, vm, actions);
         }
     }
 
-    /// Drops VMs that are no longer listed and whose reclaim is long past.
-    fn forget(&mut self) {
+    /// Removes VMs that are no longer listed, unless a reclaim notice is in effect
+    /// or operators have taken them out of service.
+    fn remove_unlisted(&mut self) {
         self.vms
-            .retain(|_, vm| !vm.platform_out || vm.reclaimed_at.is_some() || vm.decision.is_out);
+            .retain(|_, vm| !vm.is_platform_out || vm.reclaimed_at.is_some() || vm.decision.is_out);
     }
 }
 
-fn settle(now: Millis, name: &Name, vm: &mut Vm, actions: &mut Vec<Action>) {
+fn update_vm(now: Millis, name: &Name, vm: &mut Vm, actions: &mut Vec<Action>) {
     let is_out = vm.is_out();
-    if !move_standing(now, &mut vm.standing, is_out, &mut vm.decision) {
+    if !update_ramp(now, &mut vm.ramp, is_out, &mut vm.decision) {
         return;
     }
     actions.push(if is_out {
@@ -329,19 +343,15 @@
     });
 }
 
-/// Moves in or out, or starts the steps of what was out unseen.
-fn move_standing(
-    now: Millis,
-    standing: &mut Standing,
-    is_out: bool,
-    decision: &mut Decision,
-) -> bool {
-    let returned_unseen = mem::take(&mut decision.has_returned) && !is_out;
-    if standing.set(now, is_out) {
+/// Updates the service state; also starts a ramp-up after a return from an outage
+/// that this node did not see. Returns whether the availability changed.
+fn update_ramp(now: Millis, ramp: &mut RampState, is_out: bool, decision: &mut Decision) -> bool {
+    let returned_unseen = mem::take(&mut decision.has_unseen_return) && !is_out;
+    if ramp.set(now, is_out) {
         return true;
     }
     if returned_unseen {
-        *standing = Standing::Back(now);
+        *ramp = RampState::RampingSince(now);
     }
     returned_unseen
 }
--- a/filbertpaddle-core/tests/availability.rs
+++ b/filbertpaddle-core/tests/availability.rs
@@ -1,4 +1,4 @@
-//! What may get new work.
+//! Share of new work of data centres and VMs in and out of service.
 
 use filbertpaddle_core::availability::Action;
 use filbertpaddle_core::availability::Availability;
@@ -59,136 +59,136 @@
     }
 }
 
-fn share(registry: &Availability, now: Millis, vm: &str) -> u16 {
-    registry.vm_share(now, &vm.into()).per_mille()
+fn share(availability: &Availability, now: Millis, vm: &str) -> u16 {
+    availability.vm_share(now, &vm.into()).per_mille()
 }
 
-fn started() -> (Availability, Replica) {
+fn initial() -> (Availability, Replica) {
     let replica = Replica::default();
-    let mut registry = Availability::default();
-    registry.on_list(T0, &list());
-    (registry, replica)
+    let mut availability = Availability::default();
+    availability.on_list(T0, &list());
+    (availability, replica)
 }
 
 #[test]
-fn what_is_listed_at_the_start_gets_its_whole_share() {
-    let (registry, _) = started();
-    assert_eq!(share(&registry, T0, "vm-1"), 1_000);
-    assert_eq!(share(&registry, T0, "unknown"), 0);
+fn vms_in_the_first_list_get_the_full_share() {
+    let (availability, _) = initial();
+    assert_eq!(share(&availability, T0, "vm-1"), 1_000);
+    assert_eq!(share(&availability, T0, "unknown"), 0);
 }
 
 #[test]
-fn a_data_centre_that_is_out_gets_nothing_and_returns_by_steps() {
-    let (mut registry, mut replica) = started();
+fn a_data_centre_out_of_service_gets_no_work_and_ramps_up_after_its_return() {
+    let (mut availability, mut replica) = initial();
     apply(&mut replica, data_centre("north", ServiceState::Out));
-    let left = registry.on_config(T0, &replica);
+    let left = availability.on_config(T0, &replica);
     assert_eq!(left, [Action::DataCentreOutOfService("north".into())]);
-    assert_eq!(share(&registry, T0, "vm-1"), 0);
-    assert_eq!(share(&registry, T0, "vm-2"), 1_000);
+    assert_eq!(share(&availability, T0, "vm-1"), 0);
+    assert_eq!(share(&availability, T0, "vm-2"), 1_000);
 
     apply(&mut replica, data_centre("north", ServiceState::In));
-    let returned = registry.on_config(T0, &replica);
+    let returned = availability.on_config(T0, &replica);
     assert_eq!(returned, [Action::DataCentreBackInService("north".into())]);
-    assert_eq!(share(&registry, T0, "vm-1"), INITIAL_SHARE_PER_MILLE);
+    assert_eq!(share(&availability, T0, "vm-1"), INITIAL_SHARE_PER_MILLE);
     let next = T0 + RAMP_STEP_MS;
     assert_eq!(
-        share(&registry, next, "vm-1"),
+        share(&availability, next, "vm-1"),
         INITIAL_SHARE_PER_MILLE + RAMP_STEP_PER_MILLE
     );
     let later = T0 + Millis(RAMP_STEP_MS.0 * 100);
-    assert_eq!(share(&registry, later, "vm-1"), 1_000);
+    assert_eq!(share(&availability, later, "vm-1"), 1_000);
 }
 
 #[test]
-fn a_return_whose_leave_was_missed_still_goes_by_steps() {
-    let (mut registry, mut replica) = started();
-    registry.on_config(T0, &replica);
+fn a_return_ramps_up_even_if_the_outage_was_not_seen() {
+    let (mut availability, mut replica) = initial();
+    availability.on_config(T0, &replica);
     apply(&mut replica, data_centre("north", ServiceState::Out));
     apply(&mut replica, data_centre("north", ServiceState::In));
     apply(&mut replica, vm("vm-2", ServiceState::Out));
     apply(&mut replica, vm("vm-2", ServiceState::In));
-    registry.on_config(T0, &replica);
-    let listed_next = registry.on_list(T0 + Millis(1), &list());
+    availability.on_config(T0, &replica);
+    let listed_next = availability.on_list(T0 + Millis(1), &list());
     assert!(listed_next.is_empty());
-    assert_eq!(share(&registry, T0, "vm-1"), INITIAL_SHARE_PER_MILLE);
-    assert_eq!(share(&registry, T0, "vm-2"), INITIAL_SHARE_PER_MILLE);
-    // The same configuration again does not start the steps over.
+    assert_eq!(share(&availability, T0, "vm-1"), INITIAL_SHARE_PER_MILLE);
+    assert_eq!(share(&availability, T0, "vm-2"), INITIAL_SHARE_PER_MILLE);
+    // Applying the same configuration again does not restart the ramp-up.
     let next = T0 + RAMP_STEP_MS;
-    assert!(registry.on_config(next, &replica).is_empty());
-    // Nor does a new list.
-    assert!(registry.on_list(next, &list()).is_empty());
+    assert!(availability.on_config(next, &replica).is_empty());
+    // Neither does a new list.
+    assert!(availability.on_list(next, &list()).is_empty());
     assert_eq!(
-        share(&registry, next, "vm-1"),
+        share(&availability, next, "vm-1"),
         INITIAL_SHARE_PER_MILLE + RAMP_STEP_PER_MILLE
     );
 }
 
 #[test]
-fn a_start_after_a_return_takes_the_whole_share() {
-    let (mut registry, mut replica) = started();
+fn a_node_started_after_a_return_uses_the_full_share() {
+    let (mut availability, mut replica) = initial();
     apply(&mut replica, data_centre("north", ServiceState::Out));
     apply(&mut replica, data_centre("north", ServiceState::In));
-    registry.on_config(T0, &replica);
-    assert_eq!(share(&registry, T0, "vm-1"), 1_000);
+    availability.on_config(T0, &replica);
+    assert_eq!(share(&availability, T0, "vm-1"), 1_000);
 }
 
 #[test]
-fn out_wins_over_every_other_word() {
-    let (mut registry, mut replica) = started();
+fn out_of_service_takes_precedence_over_other_sources() {
+    let (mut availability, mut replica) = initial();
     apply(&mut replica, vm("vm-1", ServiceState::Out));
-    registry.on_config(T0, &replica);
-    registry.on_list(T0, &list());
-    assert_eq!(share(&registry, T0, "vm-1"), 0);
+    availability.on_config(T0, &replica);
+    availability.on_list(T0, &list());
+    assert_eq!(share(&availability, T0, "vm-1"), 0);
     apply(&mut replica, data_centre("north", ServiceState::In));
-    registry.on_config(T0, &replica);
-    assert_eq!(share(&registry, T0, "vm-1"), 0);
+    availability.on_config(T0, &replica);
+    assert_eq!(share(&availability, T0, "vm-1"), 0);
 }
 
 #[test]
-fn a_reclaim_outweighs_a_list_that_lags() {
-    let (mut registry, _) = started();
-    let left = registry.on_reclaim(T0, &"vm-1".into());
+fn a_reclaim_notice_takes_precedence_over_a_lagging_list() {
+    let (mut availability, _) = initial();
+    let left = availability.on_reclaim(T0, &"vm-1".into());
     assert_eq!(left, [Action::VmOutOfService("vm-1".into())]);
-    let listed_next = registry.on_list(T0 + Millis(1), &list());
+    let listed_next = availability.on_list(T0 + Millis(1), &list());
     assert!(listed_next.is_empty());
-    assert_eq!(share(&registry, T0 + Millis(1), "vm-1"), 0);
-    registry.on_list(T0 + Millis(2), &list()[1..]);
+    assert_eq!(share(&availability, T0 + Millis(1), "vm-1"), 0);
+    availability.on_list(T0 + Millis(2), &list()[1..]);
     let later = T0 + RECLAIM_NOTICE_TTL_MS + Millis(3);
-    registry.on_list(later, &list()[1..]);
-    // A new VM of the same name starts from the first step.
-    registry.on_list(later, &list());
-    assert_eq!(share(&registry, later, "vm-1"), INITIAL_SHARE_PER_MILLE);
+    availability.on_list(later, &list()[1..]);
+    // A new VM of the same name starts with the initial share.
+    availability.on_list(later, &list());
+    assert_eq!(share(&availability, later, "vm-1"), INITIAL_SHARE_PER_MILLE);
 }
 
 #[test]
-fn a_vm_that_the_platform_takes_away_is_out() {
-    let (mut registry, _) = started();
+fn a_vm_leaving_or_missing_from_the_list_is_out_of_service() {
+    let (mut availability, _) = initial();
     let mut leaving = list();
     leaving[0].leaving = true;
-    registry.on_list(T0, &leaving);
-    assert_eq!(share(&registry, T0, "vm-1"), 0);
-    registry.on_list(T0, &list()[..1]);
-    assert_eq!(share(&registry, T0, "vm-2"), 0);
+    availability.on_list(T0, &leaving);
+    assert_eq!(share(&availability, T0, "vm-1"), 0);
+    availability.on_list(T0, &list()[..1]);
+    assert_eq!(share(&availability, T0, "vm-2"), 0);
 }
 
 #[test]
-fn an_operators_out_outlives_an_absence_from_the_list() {
-    let (mut registry, mut replica) = started();
+fn an_operators_decision_persists_while_the_vm_is_unlisted() {
+    let (mut availability, mut replica) = initial();
     apply(&mut replica, vm("vm-1", ServiceState::Out));
-    registry.on_config(T0, &replica);
-    registry.on_list(T0, &[]);
-    registry.on_list(T0, &list());
-    assert_eq!(share(&registry, T0, "vm-1"), 0);
+    availability.on_config(T0, &replica);
+    availability.on_list(T0, &[]);
+    availability.on_list(T0, &list());
+    assert_eq!(share(&availability, T0, "vm-1"), 0);
 }
 
 #[test]
-fn a_share_scales_a_limit_without_closing_it() {
-    let (mut registry, mut replica) = started();
+fn a_nonzero_share_scales_a_limit_to_at_least_one() {
+    let (mut availability, mut replica) = initial();
     apply(&mut replica, vm("vm-1", ServiceState::Out));
-    registry.on_config(T0, &replica);
+    availability.on_config(T0, &replica);
     apply(&mut replica, vm("vm-1", ServiceState::In));
-    registry.on_config(T0, &replica);
-    let share = registry.vm_share(T0, &"vm-1".into());
+    availability.on_config(T0, &replica);
+    let share = availability.vm_share(T0, &"vm-1".into());
     assert_eq!(share.scale(100), 10);
     assert_eq!(share.scale(4), 1);
     assert_eq!(Share::NONE.scale(u32::MAX), 0);
@@ -196,9 +196,9 @@
 
 proptest! {
     #[test]
-    fn nothing_out_ever_gets_work(steps in prop::collection::vec((0_u8..7, any::<bool>()), 1..60)) {
+    fn only_a_vm_out_of_service_gets_no_work(steps in prop::collection::vec((0_u8..7, any::<bool>()), 1..60)) {
         let name: Name = "vm-1".into();
-        let (mut registry, mut replica) = started();
+        let (mut availability, mut replica) = initial();
         let mut now = T0;
         let (mut vm_out, mut dc_out, mut gone) = (false, false, false);
         for (step, out) in steps {
@@ -216,12 +216,12 @@
                 4 => {
                     gone = out;
                     let from = usize::from(out);
-                    registry.on_list(now, &list()[from..]);
+                    availability.on_list(now, &list()[from..]);
                 }
                 _ => now = now + RAMP_STEP_MS,
             }
-            registry.on_config(now, &replica);
-            let is_none = registry.vm_share(now, &name).is_none();
+            availability.on_config(now, &replica);
+            let is_none = availability.vm_share(now, &name).is_none();
             prop_assert!(is_none == (vm_out || dc_out || gone));
         }
     }
