--- a/filbertpaddle-core/benches/config.rs
+++ b/filbertpaddle-core/benches/config.rs
@@ -1,4 +1,4 @@
-//! Cost of applying, merging and paging configuration.
+//! Benchmarks of the configuration replica: changes, page transfers and pull requests.
 
 use std::hint::black_box;
 
@@ -20,11 +20,11 @@
 use filbertpaddle_core::revision::Revision;
 use filbertpaddle_core::template::Template;
 
-/// Templates in force.
+/// Number of templates in the replica.
 const TEMPLATES: u64 = 10_000;
-/// Members of a data centre.
+/// Number of members of the data centre.
 const MEMBERS: usize = 62;
-/// Changes in one run.
+/// Number of changes per iteration.
 const CHANGES: u64 = 100;
 
 fn template() -> Template {
@@ -58,7 +58,7 @@
     }
 }
 
-fn full() -> Replica {
+fn full_replica() -> Replica {
     let mut replica = Replica::default();
     (1..=TEMPLATES).for_each(|revision| {
         replica.apply(&change(revision));
@@ -78,7 +78,7 @@
 }
 
 fn changes(c: &mut Criterion) {
-    let replica = full();
+    let replica = full_replica();
     let next: Vec<_> = (1..=CHANGES)
         .map(|offset| change(TEMPLATES + offset))
         .collect();
@@ -110,20 +110,20 @@
 }
 
 fn transfer(c: &mut Criterion) {
-    let replica = full();
+    let replica = full_replica();
     let mut group = c.benchmark_group("transfer");
     group.throughput(Throughput::Elements(TEMPLATES));
     group.sample_size(10);
     group.bench_function("pages", |b| {
         b.iter(|| {
-            let mut copy = Replica::default();
+            let mut receiver = Replica::default();
             let mut progress = TransferProgress::default();
             let mut after = None;
             loop {
                 let page = replica.page(after.as_ref());
-                copy.apply_page(&mut progress, &page);
+                receiver.apply_page(&mut progress, &page);
                 if page.last {
-                    return copy.head();
+                    return receiver.head();
                 }
                 after = page.changes.last().map(|change| change.setting.key());
             }
@@ -132,7 +132,7 @@
     group.finish();
 }
 
-fn ask(c: &mut Criterion) {
+fn pull(c: &mut Criterion) {
     let mut replicator = replicator();
     (1..=TEMPLATES).for_each(|revision| {
         let event = Event::Accepted(change(revision));
@@ -151,5 +151,5 @@
     });
 }
 
-criterion_group!(benches, changes, transfer, ask);
+criterion_group!(benches, changes, transfer, pull);
 criterion_main!(benches);
--- a/filbertpaddle-core/src/gossip.rs
+++ b/filbertpaddle-core/src/gossip.rs
@@ -1,4 +1,4 @@
-//! What spreads configuration: messages between nodes, events and actions.
+//! Messages, events and actions of configuration replication between nodes.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,122 +11,124 @@
 use crate::replica::Page;
 use crate::revision::Revision;
 
-/// A message between nodes.
+/// A replication message between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Message {
-    /// A change that was new to the sender.
+    /// Forwards a change that was new to the sender.
     Push(Change),
-    /// Asks for what is newer.
+    /// Requests the changes after the requester's head.
     PullRequest {
-        /// Chosen by the asker, and returned.
+        /// Sequence number chosen by the requester; the response repeats it.
         seq: u64,
-        /// The asker's head.
+        /// Head of the requester's replica.
         head: Revision,
-        /// How long ago the asker was last known to miss nothing.
+        /// Time since the requester's replica was last known to be complete.
         age_ms: Option<Millis>,
     },
-    /// Answers [`Message::PullRequest`].
+    /// Response to [`Message::PullRequest`].
     PullResponse {
-        /// From the question.
+        /// Sequence number of the request.
         seq: u64,
-        /// The sender's head.
+        /// Head of the sender's replica.
         head: Revision,
-        /// How long ago the sender was last known to miss nothing.
+        /// Time since the sender's replica was last known to be complete.
         age_ms: Option<Millis>,
-        /// Changes after the asker's head; empty if they are no longer kept.
+        /// Changes after the requester's head; empty if they are no longer retained.
         changes: Vec<Change>,
     },
-    /// Asks for a page of the whole configuration.
+    /// Requests a page of the whole configuration.
     PageRequest {
-        /// Chosen by the asker, and returned.
+        /// Sequence number chosen by the requester; the response repeats it.
         seq: u64,
-        /// Last key of the page before.
+        /// Last key of the previous page.
         after: Option<Key>,
     },
-    /// Answers [`Message::PageRequest`].
+    /// Response to [`Message::PageRequest`].
     PageResponse {
-        /// From the question.
+        /// Sequence number of the request.
         seq: u64,
-        /// The page.
+        /// The requested page.
         page: Page,
     },
-    /// Asks a relay about the nodes of its data centre.
+    /// Requests the status of the nodes of a relay's data centre.
     StatusRequest {
-        /// Chosen by the asker, and returned.
+        /// Sequence number chosen by the requester; the response repeats it.
         seq: u64,
     },
-    /// Answers [`Message::StatusRequest`].
+    /// Response to [`Message::StatusRequest`].
     StatusResponse {
-        /// From the question.
+        /// Sequence number of the request.
         seq: u64,
-        /// What the sender knows of its data centre's nodes.
+        /// Status of the nodes of the sender's data centre.
         nodes: Vec<NodeStatus>,
     },
 }
 
-/// What one node says is in force there.
+/// Replication status of one node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// Name of the node.
     pub node: Name,
-    /// Every change up to here is in force there; `None` if it was not heard from.
+    /// Revision up to which the node has applied every change; `None` if the
+    /// node has not reported.
     pub head: Option<Revision>,
-    /// How long ago it was last known to miss nothing.
+    /// Time since the node's replica was last known to be complete.
     pub age_ms: Option<Millis>,
-    /// How long ago it was heard from.
+    /// Time since the node last reported.
     pub heard_ms: Option<Millis>,
 }
 
-/// What happened.
+/// Input to the replicator.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The live nodes, this one among them.
+    /// The live nodes, including this one.
     Members(Vec<Member>),
-    /// A change was accepted through this node.
+    /// A change was committed through this node.
     Accepted(Change),
-    /// A message came.
+    /// A message was received.
     Message {
         /// The sender.
         from: Name,
         /// The message.
         message: Message,
     },
-    /// The table's head was read.
+    /// The table's head revision was read.
     TableHead(Revision),
     /// Audit rows were read.
     TableLog(Vec<Change>),
     /// A page of entries was read.
     TablePage(Page),
-    /// The table did not answer the last read.
+    /// The last read of the table failed.
     TableFailed,
     /// [`TICK_INTERVAL_MS`](crate::replicator::TICK_INTERVAL_MS) have passed.
     Tick,
 }
 
-/// What to do.
+/// Output of the replicator, to be performed by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message.
+    /// Sends a message.
     Send {
         /// The receiver.
         to: Name,
         /// The message.
         message: Message,
     },
-    /// Read `config/head`.
+    /// Reads `config/head`.
     ReadHead,
-    /// Read audit rows after a revision, at most [`MAX_RECENT_CHANGES`](crate::replica::MAX_RECENT_CHANGES).
+    /// Reads audit rows after a revision, at most
+    /// [`MAX_RECENT_CHANGES`](crate::replica::MAX_RECENT_CHANGES).
     ReadLog {
-        /// The revision.
+        /// Revision after which rows are read.
         after: Revision,
     },
-    /// Read entries after a key; the page's head is this one.
+    /// Reads entries after a key; the page carries `head` as its head.
     ReadPage {
-        /// Head that was read before the first page.
+        /// Head revision that was read before the first page.
         head: Revision,
-        /// Last key of the page before.
+        /// Last key of the previous page.
         after: Option<Key>,
     },
-    /// A change came into force here.
+    /// Reports that a change was applied on this node.
     Applied(Key),
 }
--- a/filbertpaddle-core/src/relay.rs
+++ b/filbertpaddle-core/src/relay.rs
@@ -1,4 +1,5 @@
-//! Who relays within a data centre, and whom a node asks.
+//! Ranking of a data centre's nodes as relays, and the live nodes with their
+//! pending requests.
 
 use std::collections::BTreeMap;
 
@@ -7,19 +8,20 @@
 use crate::clock::Millis;
 use crate::name::Name;
 
-/// Most members to which one member forwards a push.
+/// Maximum number of members to which one member forwards a push.
 pub const FAN_OUT: usize = 4;
-/// Members by rank that relay or stand by to.
-pub const STAND_BYS: usize = 3;
-/// How long an answer may take before the one asked is taken for silent.
-pub const ANSWER_MS: Millis = Millis(1_000);
-/// How long a silent node is passed over.
-pub const SILENT_MS: Millis = Millis::from_secs(10);
-
-/// Orders the members of a data centre by who relays first.
+/// Number of highest-ranked members that are the relay or a standby relay.
+pub const RELAY_CANDIDATES: usize = 3;
+/// Time without a response after which a node counts as unresponsive.
+pub const RESPONSE_TIMEOUT_MS: Millis = Millis(1_000);
+/// How long an unresponsive node is excluded from the ranking.
+pub const EXCLUSION_MS: Millis = Millis::from_secs(10);
+
+/// Ranks the members of a data centre as relays; the first one is the relay.
 ///
-/// The order depends on the names alone, so members with the same roster
-/// agree, and one member's leaving changes no order among the rest.
+/// The ranking is a hash of the names alone (rendezvous hashing), so nodes with
+/// the same list of members agree, and a member that leaves does not change the
+/// order of the others.
 pub fn rank<'a, I>(data_centre: &Name, members: I) -> Vec<&'a Name>
 where
     I: IntoIterator<Item = &'a Name>,
@@ -32,7 +34,7 @@
 
 /// Returns the members to which one member forwards a push.
 ///
-/// The ranked members form a tree with the first as its root.
+/// The ranked members form a [`FAN_OUT`]-ary tree with the first as its root.
 pub fn children<'a>(ranked: &[&'a Name], member: &Name) -> Vec<&'a Name> {
     let Some(index) = ranked.iter().position(|name| *name == member) else {
         return Vec::new();
@@ -50,49 +52,49 @@
     pub data_centre: Name,
 }
 
-/// An unanswered question.
+/// A request without a response yet.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct PendingRequest {
     seq: u64,
-    at: Millis,
+    sent_at: Millis,
 }
 
-/// The live nodes, with who of them does not answer this one.
+/// The live nodes, with pending requests to them and the unresponsive ones.
 #[derive(Clone, Debug)]
 pub struct LiveNodes {
-    me: Member,
+    local: Member,
     members: Vec<Member>,
     seq: u64,
-    asked: BTreeMap<Name, Asked>,
-    silent_until: BTreeMap<Name, Millis>,
+    pending: BTreeMap<Name, PendingRequest>,
+    excluded_until: BTreeMap<Name, Millis>,
 }
 
 impl LiveNodes {
-    /// Starts with this node alone.
-    pub fn new(me: Member) -> Self {
+    /// Creates a list that contains only this node.
+    pub fn new(local: Member) -> Self {
         Self {
-            members: vec![me.clone()],
-            me,
+            members: vec![local.clone()],
+            local,
             seq: 0,
-            asked: BTreeMap::new(),
-            silent_until: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            excluded_until: BTreeMap::new(),
         }
     }
 
     /// Returns this node.
     pub fn local(&self) -> &Member {
-        &self.me
+        &self.local
     }
 
-    /// Replaces the live nodes; this one always stays.
-    pub fn set(&mut self, mut members: Vec<Member>) {
-        if !members.contains(&self.me) {
-            members.push(self.me.clone());
+    /// Replaces the live nodes; this node always remains in the list.
+    pub fn set_members(&mut self, mut members: Vec<Member>) {
+        if !members.contains(&self.local) {
+            members.push(self.local.clone());
         }
         self.members = members;
         let live: Vec<_> = self.members.iter().map(|member| &member.node).collect();
-        self.asked.retain(|node, _| live.contains(&node));
-        self.silent_until.retain(|node, _| live.contains(&node));
+        self.pending.retain(|node, _| live.contains(&node));
+        self.excluded_until.retain(|node, _| live.contains(&node));
     }
 
     /// Returns whether a node is live.
@@ -100,7 +102,7 @@
         self.members.iter().any(|member| member.node == *node)
     }
 
-    /// Returns the nodes of a data centre, silent ones among them.
+    /// Returns the nodes of a data centre, including unresponsive ones.
     pub fn nodes_of(&self, data_centre: &Name) -> impl Iterator<Item = &Name> {
         self.members
             .iter()
@@ -108,7 +110,7 @@
             .map(|member| &member.node)
     }
 
-    /// Returns the data centres of the live nodes, in order and without repeats.
+    /// Returns the data centres of the live nodes, sorted and without duplicates.
     pub fn data_centres(&self) -> Vec<Name> {
         let data_centre = |member: &Member| member.data_centre.clone();
         let mut names: Vec<_> = self.members.iter().map(data_centre).collect();
@@ -117,64 +119,74 @@
         names
     }
 
-    /// Returns the nodes of a data centre by rank, without the silent ones.
+    /// Returns the nodes of a data centre by rank, without unresponsive ones.
     pub fn ranked(&self, data_centre: &Name) -> Vec<&Name> {
-        let answers = |node: &&Name| !self.silent_until.contains_key(*node);
-        rank(data_centre, self.nodes_of(data_centre).filter(answers))
+        let is_responsive = |node: &&Name| !self.excluded_until.contains_key(*node);
+        rank(
+            data_centre,
+            self.nodes_of(data_centre).filter(is_responsive),
+        )
     }
 
-    /// Returns this node's place by rank in its data centre; 0 relays.
-    pub fn my_rank(&self) -> usize {
-        let ranked = self.ranked(&self.me.data_centre);
-        let place = ranked.iter().position(|node| **node == self.me.node);
-        place.unwrap_or(ranked.len())
+    /// Returns the rank of this node in its data centre; rank 0 is the relay.
+    pub fn local_rank(&self) -> usize {
+        let ranked = self.ranked(&self.local.data_centre);
+        let index = ranked.iter().position(|node| **node == self.local.node);
+        index.unwrap_or(ranked.len())
     }
 
-    /// Notes a question to a node and returns its number.
-    pub fn ask(&mut self, now: Millis, to: &Name) -> u64 {
+    /// Records a request to a node and returns its sequence number.
+    pub fn start_request(&mut self, now: Millis, to: &Name) -> u64 {
         self.seq += 1;
         let seq = self.seq;
-        self.asked.insert(to.clone(), Asked { seq, at: now });
+        self.pending
+            .insert(to.clone(), PendingRequest { seq, sent_at: now });
         seq
     }
 
-    /// Returns whether a node owes an answer.
-    pub fn owes(&self, node: &Name) -> bool {
-        self.asked.contains_key(node)
+    /// Returns whether a request to a node is pending.
+    pub fn is_pending(&self, node: &Name) -> bool {
+        self.pending.contains_key(node)
     }
 
-    /// Returns whether no answer is owed.
-    pub fn is_settled(&self) -> bool {
-        self.asked.is_empty()
+    /// Returns whether no request is pending.
+    pub fn none_pending(&self) -> bool {
+        self.pending.is_empty()
     }
 
-    /// Notes an answer and returns when its question was asked, if it was.
-    pub fn answered(&mut self, from: &Name, seq: u64) -> Option<Millis> {
-        let asked = self.asked.get(from).filter(|asked| asked.seq == seq)?;
-        let at = asked.at;
-        self.asked.remove(from);
-        Some(at)
+    /// Records a response and returns when its request was sent; `None` if no
+    /// such request is pending.
+    pub fn complete_request(&mut self, from: &Name, seq: u64) -> Option<Millis> {
+        let request = self
+            .pending
+            .get(from)
+            .filter(|request| request.seq == seq)?;
+        let sent_at = request.sent_at;
+        self.pending.remove(from);
+        Some(sent_at)
     }
 
-    /// Notes that a node was heard from.
-    pub fn hear(&mut self, from: &Name) {
-        self.silent_until.remove(from);
+    /// Records that a message from a node arrived, so it is ranked again.
+    pub fn mark_responsive(&mut self, from: &Name) {
+        self.excluded_until.remove(from);
     }
 
-    /// Passes over nodes that owe an answer for too long; returns whether any is new.
-    pub fn pass_over_silent(&mut self, now: Millis) -> bool {
-        self.silent_until.retain(|_, until| *until > now);
-        let is_late = |asked: &Asked| now.since(asked.at) >= ANSWER_MS;
-        let late: Vec<_> = self
-            .asked
+    /// Excludes nodes whose response is overdue; returns whether there are any
+    /// new ones.
+    pub fn exclude_unresponsive(&mut self, now: Millis) -> bool {
+        self.excluded_until.retain(|_, until| *until > now);
+        let is_overdue =
+            |request: &PendingRequest| now.since(request.sent_at) >= RESPONSE_TIMEOUT_MS;
+        let overdue: Vec<_> = self
+            .pending
             .iter()
-            .filter(|(_, asked)| is_late(asked))
+            .filter(|(_, request)| is_overdue(request))
             .map(|(node, _)| node.clone())
             .collect();
-        for node in &late {
-            self.asked.remove(node);
-            self.silent_until.insert(node.clone(), now + SILENT_MS);
+        for node in &overdue {
+            self.pending.remove(node);
+            self.excluded_until.insert(node.clone(), now + EXCLUSION_MS);
         }
-        !late.is_empty()
+        !overdue.is_empty()
     }
 }
--- a/filbertpaddle-core/src/replica.rs
+++ b/filbertpaddle-core/src/replica.rs
@@ -1,4 +1,4 @@
-//! A node's copy of the configuration.
+//! A node's replica of the configuration.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -10,82 +10,86 @@
 use crate::config::Setting;
 use crate::revision::Revision;
 
-/// Most changes kept for peers that are a little behind.
+/// Maximum number of recent changes retained for peers that are slightly behind.
 pub const MAX_RECENT_CHANGES: usize = 256;
-/// Most bytes of changes kept for peers that are a little behind.
+/// Maximum size of the recent changes retained for such peers, in bytes.
 pub const MAX_RECENT_BYTES: usize = 1 << 20;
-/// Most changes kept beyond a gap in the order.
+/// Maximum number of changes held after a gap in the revisions.
 pub const MAX_OUT_OF_ORDER_CHANGES: usize = 256;
-/// Most bytes of all entries together, beyond which no entry may be added or grow.
+/// Maximum size of all entries together, in bytes; beyond it no entry may be
+/// added or grow.
 pub const MAX_ENTRIES_BYTES: usize = 48 << 20;
-/// Most bytes of changes in one message.
+/// Maximum size of the changes in one message, in bytes.
 pub const MAX_BATCH_BYTES: usize = 64 * 1024;
-/// How long an unmet claim of a higher head blocks a later one.
-const CLAIM_MS: Millis = Millis::from_secs(5);
+/// How long a report of a head that is not reached yet blocks reports of higher
+/// heads; replacing it each time would never confirm any during frequent changes.
+const HEAD_REPORT_TTL_MS: Millis = Millis::from_secs(5);
 
-/// A report that the table's head was `head` at some time not before `at`.
+/// A report that the table's head was `head` at some time not earlier than `at`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Claim {
+struct HeadReport {
     head: Revision,
     at: Millis,
 }
 
-/// A part of the configuration, in the order of keys.
+/// One page of the configuration, ordered by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Page {
-    /// Everything up to here is in the sender's copy.
+    /// Revision up to which the sender's replica has every change.
     pub head: Revision,
-    /// The last change of each key.
+    /// The latest change of each key.
     pub changes: Vec<Change>,
-    /// Whether no keys follow.
+    /// Whether this is the last page.
     pub last: bool,
 }
 
-/// A transfer of the whole configuration in pages.
+/// Progress of a transfer of the whole configuration in pages.
 ///
-/// The pages may come from a copy that changes, or even restarts, meanwhile:
-/// what they prove together is the lowest of their heads.
+/// The sender's replica may change or even restart between pages, so together
+/// the pages prove only the lowest of their heads.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TransferProgress {
     head: Option<Revision>,
 }
 
-/// A node's copy of the configuration.
+/// A node's replica of the configuration.
 ///
-/// Nothing that arrives can take an entry or the head to a lower revision.
+/// No update can move an entry or the head back to a lower revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Replica {
     entries: BTreeMap<Key, Change>,
     head: Revision,
-    ahead: BTreeMap<Revision, Change>,
+    out_of_order: BTreeMap<Revision, Change>,
     recent: VecDeque<Change>,
     recent_bytes: usize,
-    claim: Option<Claim>,
+    head_report: Option<HeadReport>,
     current_at: Option<Millis>,
 }
 
 impl Replica {
-    /// Returns the revision up to which every change is in force here.
+    /// Returns the revision up to which every change is applied.
     pub fn head(&self) -> Revision {
         self.head
     }
 
-    /// Returns a time, by the caller's clock, at which no accepted change was missing.
+    /// Returns the latest time, by the caller's clock, at which the replica is known
+    /// to have had every accepted change.
     pub fn current_at(&self) -> Option<Millis> {
         self.current_at
     }
 
-    /// Returns the last change of a key.
+    /// Returns the latest change of a key.
     pub fn get(&self, key: &Key) -> Option<&Change> {
         self.entries.get(key)
     }
 
-    /// Returns the last change of each key, in the order of keys.
+    /// Returns the latest change of each key, ordered by key.
     pub fn entries(&self) -> impl Iterator<Item = &Change> {
         self.entries.values()
     }
 
-    /// Returns whether a setting fits beside all other entries.
+    /// Returns whether a setting can be added without exceeding the size limit of
+    /// all entries.
     pub fn has_room(&self, setting: &Setting) -> bool {
         let before = self.get(&setting.key()).map(|change| &change.setting);
         let before_bytes = before.map_or(0, Setting::size_bytes);
@@ -93,27 +97,29 @@
         !grows || self.size_bytes() - before_bytes + setting.size_bytes() <= MAX_ENTRIES_BYTES
     }
 
-    /// Returns about how many bytes all entries take.
+    /// Returns the approximate size of all entries, in bytes.
     pub fn size_bytes(&self) -> usize {
         let sizes = self.entries().map(|change| change.setting.size_bytes());
         sizes.sum()
     }
 
-    /// Takes one change; returns whether it was new here.
+    /// Applies one change; returns whether it was new to the replica.
     pub fn apply(&mut self, change: &Change) -> bool {
-        if change.revision <= self.head || self.ahead.contains_key(&change.revision) {
+        if change.revision <= self.head || self.out_of_order.contains_key(&change.revision) {
             return false;
         }
         let merged = self.merge(change);
-        if change.revision != self.head.next() && self.ahead.len() >= MAX_OUT_OF_ORDER_CHANGES {
+        if change.revision != self.head.next()
+            && self.out_of_order.len() >= MAX_OUT_OF_ORDER_CHANGES
+        {
             return merged;
         }
-        self.ahead.insert(change.revision, change.clone());
+        self.out_of_order.insert(change.revision, change.clone());
         self.advance();
         true
     }
 
-    /// Takes a page of a whole transfer; returns whether anything in it was new.
+    /// Applies a page of a transfer; returns whether it contained anything new.
     pub fn apply_page(&mut self, progress: &mut TransferProgress, page: &Page) -> bool {
         let merged = page
             .changes
@@ -129,21 +135,22 @@
         merged > 0
     }
 
-    /// Takes a report that the table's head was `head` at some time not before `at`.
+    /// Records that the table's head was `head` at some time not earlier than `at`.
     ///
-    /// `at` must not be later than the moment the report was asked for.
-    pub fn confirm(&mut self, head: Revision, at: Millis) {
-        let replaces = |claim: Claim| head <= claim.head || at > claim.at + CLAIM_MS;
+    /// `at` must not be later than the time at which the head was requested.
+    pub fn confirm_head(&mut self, head: Revision, at: Millis) {
+        let replaces =
+            |report: HeadReport| head <= report.head || at > report.at + HEAD_REPORT_TTL_MS;
         if self.head >= head {
             self.current_at = self.current_at.max(Some(at));
-        } else if self.claim.is_none_or(replaces) {
-            self.claim = Some(Claim { head, at });
+        } else if self.head_report.is_none_or(replaces) {
+            self.head_report = Some(HeadReport { head, at });
         }
     }
 
-    /// Returns the changes after `head`, or `None` if some are no longer kept.
+    /// Returns the changes after `head`, or `None` if some are no longer retained.
     ///
-    /// The batch ends early at [`MAX_BATCH_BYTES`].
+    /// The batch is cut off at [`MAX_BATCH_BYTES`].
     pub fn changes_after(&self, head: Revision) -> Option<Vec<Change>> {
         if head >= self.head {
             return Some(Vec::new());
@@ -153,17 +160,17 @@
             return None;
         }
         let newer = self.recent.iter().filter(|change| change.revision > head);
-        Some(batch(newer).0)
+        Some(take_batch(newer).0)
     }
 
-    /// Returns the entries after a key.
+    /// Returns the page of entries after a key.
     pub fn page(&self, after: Option<&Key>) -> Page {
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         let newer = self
             .entries
             .range::<Key, _>((start, Bound::Unbounded))
             .map(|(_, change)| change);
-        let (changes, last) = batch(newer);
+        let (changes, last) = take_batch(newer);
         Page {
             head: self.head,
             changes,
@@ -182,11 +189,11 @@
     }
 
     fn advance(&mut self) {
-        while let Some(change) = self.ahead.remove(&self.head.next()) {
+        while let Some(change) = self.out_of_order.remove(&self.head.next()) {
             self.head = change.revision;
-            self.keep(change);
+            self.retain_recent(change);
         }
-        self.check_claim();
+        self.check_head_report();
     }
 
     fn raise_head(&mut self, head: Revision) {
@@ -194,13 +201,13 @@
             return;
         }
         self.head = head;
-        self.ahead = self.ahead.split_off(&head.next());
+        self.out_of_order = self.out_of_order.split_off(&head.next());
         self.recent.clear();
         self.recent_bytes = 0;
         self.advance();
     }
 
-    fn keep(&mut self, change: Change) {
+    fn retain_recent(&mut self, change: Change) {
         self.recent_bytes += change.setting.size_bytes();
         self.recent.push_back(change);
         while self.recent.len() > MAX_RECENT_CHANGES || self.recent_bytes > MAX_RECENT_BYTES {
@@ -211,18 +218,18 @@
         }
     }
 
-    fn check_claim(&mut self) {
-        if let Some(claim) = self.claim
-            && self.head >= claim.head
+    fn check_head_report(&mut self) {
+        if let Some(report) = self.head_report
+            && self.head >= report.head
         {
-            self.claim = None;
-            self.current_at = self.current_at.max(Some(claim.at));
+            self.head_report = None;
+            self.current_at = self.current_at.max(Some(report.at));
         }
     }
 }
 
-/// Takes changes up to [`MAX_BATCH_BYTES`] and returns whether those were all.
-fn batch<'a, I>(changes: I) -> (Vec<Change>, bool)
+/// Collects changes up to [`MAX_BATCH_BYTES`] and returns whether those were all.
+fn take_batch<'a, I>(changes: I) -> (Vec<Change>, bool)
 where
     I: Iterator<Item = &'a Change>,
 {
--- a/filbertpaddle-core/src/replicator.rs
+++ b/filbertpaddle-core/src/replicator.rs
@@ -1,8 +1,8 @@
-//! Spreading configuration between nodes, and from the table.
+//! Replication of the configuration between nodes and from the platform's table.
 //!
-//! A change is pushed to the relay of each data centre and down a tree of
-//! its members. What a push misses is found by asking: members ask their
-//! relay, relays ask the table and each other.
+//! A change is pushed to the relay of each data centre, which forwards it down
+//! a tree of its members. Periodic pulls recover lost pushes: members pull from
+//! their relay, and relays read the table and pull from each other.
 
 use std::collections::BTreeMap;
 
@@ -24,88 +24,89 @@
 use crate::transfer::Source;
 use crate::transfer::Transfer;
 
-/// How often a node asks its relay, and a relay asks the table.
-pub const ASK_MS: Millis = Millis(1_500);
-/// Age beyond which a node looks for news elsewhere than at its relay.
-pub const STALE_MS: Millis = Millis::from_secs(4);
-/// How recent a configuration must be known to be for a node to start serving.
-pub const RECENT_MS: Millis = Millis::from_secs(10);
-/// Relays of other data centres that a relay asks at once when it looks for news.
-const FAR_ASKS: usize = 4;
-/// Time between two ticks.
+/// Interval at which a node pulls from its relay and a relay reads the table.
+pub const POLL_INTERVAL_MS: Millis = Millis(1_500);
+/// Age of the replica beyond which a node also pulls from other nodes than its relay.
+pub const STALE_AFTER_MS: Millis = Millis::from_secs(4);
+/// Maximum confirmed age of the configuration at which a node starts serving.
+pub const READY_MAX_AGE_MS: Millis = Millis::from_secs(10);
+/// Number of remote relays that a relay pulls from at once when its replica is
+/// stale or the table is unavailable.
+const REMOTE_RELAYS_PER_POLL: usize = 4;
+/// Interval between two [`Event::Tick`]s.
 pub const TICK_INTERVAL_MS: Millis = Millis(250);
 
-/// What a node last said of itself.
+/// State that a node last reported.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
-    at: Millis,
+struct PeerState {
+    received_at: Millis,
     head: Revision,
     current_at: Option<Millis>,
 }
 
-/// The state of the table's reads.
+/// State of the reads of the table.
 #[derive(Clone, Copy, Debug, Default)]
-struct Table {
-    reading_since: Option<Millis>,
-    next_at: Millis,
-    failed: bool,
+struct TableState {
+    read_started_at: Option<Millis>,
+    next_read_at: Millis,
+    last_read_failed: bool,
     head: Revision,
 }
 
-/// One node's part in spreading configuration.
+/// Replicates the configuration on one node.
 #[derive(Clone, Debug)]
 pub struct Replicator {
     live_nodes: LiveNodes,
     replica: Replica,
-    next_ask_at: Millis,
-    stand_by: usize,
-    far_index: usize,
-    heard: BTreeMap<Name, Heard>,
+    next_poll_at: Millis,
+    standby_rank: usize,
+    remote_offset: usize,
+    peer_states: BTreeMap<Name, PeerState>,
     transfer: Option<Transfer>,
-    table: Table,
-    ready: bool,
+    table: TableState,
+    is_ready: bool,
 }
 
 impl Replicator {
-    /// Starts with nothing known.
-    pub fn new(me: Member) -> Self {
+    /// Creates a replicator with an empty replica.
+    pub fn new(local: Member) -> Self {
         Self {
-            live_nodes: LiveNodes::new(me),
+            live_nodes: LiveNodes::new(local),
             replica: Replica::default(),
-            next_ask_at: Millis::ZERO,
-            stand_by: 0,
-            far_index: 0,
-            heard: BTreeMap::new(),
+            next_poll_at: Millis::ZERO,
+            standby_rank: 0,
+            remote_offset: 0,
+            peer_states: BTreeMap::new(),
             transfer: None,
-            table: Table::default(),
-            ready: false,
+            table: TableState::default(),
+            is_ready: false,
         }
     }
 
-    /// Returns this node's copy.
+    /// Returns this node's replica.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
     /// Returns whether the configuration here is recent enough to start serving.
     ///
-    /// Once true it stays true: a node that is cut off later goes on with what
-    /// it has.
+    /// Once true it stays true: a node that is cut off later keeps serving with
+    /// its last configuration.
     pub fn is_ready(&self) -> bool {
-        self.ready
+        self.is_ready
     }
 
-    /// Returns whether the table failed to answer the last read.
+    /// Returns whether the last read of the table failed.
     pub fn is_table_unavailable(&self) -> bool {
-        self.table.failed
+        self.table.last_read_failed
     }
 
-    /// Returns the live nodes as this node sees them.
+    /// Returns the live nodes known to this node.
     pub fn live_nodes(&self) -> &LiveNodes {
         &self.live_nodes
     }
 
-    /// Returns what is known of the nodes of this data centre.
+    /// Returns the status of the nodes of this data centre.
     pub fn status(&self, now: Millis) -> Vec<NodeStatus> {
         let nodes = self
             .live_nodes
@@ -114,24 +115,24 @@
     }
 
     fn status_of(&self, now: Millis, node: &Name) -> NodeStatus {
-        let heard = if *node == self.live_nodes.local().node {
-            Some(Heard {
-                at: now,
+        let state = if *node == self.live_nodes.local().node {
+            Some(PeerState {
+                received_at: now,
                 head: self.replica.head(),
                 current_at: self.replica.current_at(),
             })
         } else {
-            self.heard.get(node).copied()
+            self.peer_states.get(node).copied()
         };
         NodeStatus {
             node: node.clone(),
-            head: heard.map(|heard| heard.head),
-            age_ms: heard.and_then(|heard| heard.current_at.map(|at| now.since(at))),
-            heard_ms: heard.map(|heard| now.since(heard.at)),
+            head: state.map(|state| state.head),
+            age_ms: state.and_then(|state| state.current_at.map(|at| now.since(at))),
+            heard_ms: state.map(|state| now.since(state.received_at)),
         }
     }
 
-    /// Takes an event and returns what to do.
+    /// Handles an event and returns the resulting actions.
     pub fn on(&mut self, now: Millis, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -149,8 +150,9 @@
     }
 
     fn on_members(&mut self, members: Vec<Member>) {
-        self.live_nodes.set(members);
-        self.heard.retain(|node, _| self.live_nodes.contains(node));
+        self.live_nodes.set_members(members);
+        self.peer_states
+            .retain(|node, _| self.live_nodes.contains(node));
     }
 
     fn on_accepted(&mut self, change: &Change, actions: &mut Vec<Action>) {
@@ -169,12 +171,12 @@
     }
 
     fn on_message(&mut self, now: Millis, from: Name, message: Message, actions: &mut Vec<Action>) {
-        self.live_nodes.hear(&from);
+        self.live_nodes.mark_responsive(&from);
         match message {
             Message::Push(change) => self.on_push(&from, &change, actions),
             Message::PullRequest { seq, head, age_ms } => {
-                self.hear(now, &from, head, age_ms);
-                let message = self.answer(now, seq, head);
+                self.record_peer_state(now, &from, head, age_ms);
+                let message = self.pull_response(now, seq, head);
                 actions.push(Action::Send { to: from, message });
             }
             Message::PullResponse {
@@ -183,14 +185,14 @@
                 age_ms,
                 changes,
             } => {
-                let Some(asked_at) = self.live_nodes.answered(&from, seq) else {
+                let Some(requested_at) = self.live_nodes.complete_request(&from, seq) else {
                     return;
                 };
-                self.hear(now, &from, head, age_ms);
-                self.take_changes(&changes, actions);
+                self.record_peer_state(now, &from, head, age_ms);
+                self.apply_changes(&changes, actions);
                 if let Some(age_ms) = age_ms {
-                    let at = Millis(asked_at.0.saturating_sub(age_ms.0));
-                    self.replica.confirm(head, at);
+                    let at = Millis(requested_at.0.saturating_sub(age_ms.0));
+                    self.replica.confirm_head(head, at);
                 }
                 self.catch_up(now, from, head, !changes.is_empty(), actions);
             }
@@ -200,8 +202,8 @@
                 actions.push(Action::Send { to: from, message });
             }
             Message::PageResponse { seq, page } => {
-                let is_answer = self.live_nodes.answered(&from, seq).is_some();
-                if is_answer && self.transfers_from(&Source::Node(from)) {
+                let is_expected = self.live_nodes.complete_request(&from, seq).is_some();
+                if is_expected && self.transfers_from(&Source::Node(from)) {
                     self.on_page(now, &page, actions);
                 }
             }
@@ -210,7 +212,7 @@
                 let message = Message::StatusResponse { seq, nodes };
                 actions.push(Action::Send { to: from, message });
             }
-            // The daemon gives these to whoever waits for them.
+            // The daemon takes the status directly from the message.
             Message::StatusResponse { .. } => {}
         }
     }
@@ -222,7 +224,8 @@
         }
     }
 
-    /// Asks on for what is still missing below a peer's head.
+    /// Continues until the replica reaches a peer's head: pulls again after
+    /// progress, otherwise transfers the whole configuration.
     fn catch_up(
         &mut self,
         now: Millis,
@@ -235,7 +238,7 @@
             return;
         }
         if progressed {
-            self.ask(now, from, actions);
+            self.send_pull(now, from, actions);
         } else {
             self.start_transfer(now, Source::Node(from), actions);
         }
@@ -243,27 +246,30 @@
 
     fn transfers_from(&self, source: &Source) -> bool {
         let transfer = self.transfer.as_ref();
-        transfer.is_some_and(|transfer| transfer.from == *source)
+        transfer.is_some_and(|transfer| transfer.source == *source)
     }
 
     fn on_table_head(&mut self, now: Millis, head: Revision, actions: &mut Vec<Action>) {
-        let Some(asked_at) = self.table.reading_since.take() else {
+        let Some(requested_at) = self.table.read_started_at.take() else {
             return;
         };
-        self.table.failed = false;
-        self.replica.confirm(head, asked_at);
+        self.table.last_read_failed = false;
+        self.replica.confirm_head(head, requested_at);
         self.table.head = head;
         self.catch_up_with_table(now, true, actions);
     }
 
     fn on_table_log(&mut self, now: Millis, changes: &[Change], actions: &mut Vec<Action>) {
         let before = self.replica.head();
-        self.take_changes(changes, actions);
+        self.apply_changes(changes, actions);
         let progressed = self.replica.head() > before;
         self.catch_up_with_table(now, progressed, actions);
     }
 
-    /// Reads on; without progress the log has a gap and only entries help.
+    /// Continues until the replica reaches the table's head.
+    ///
+    /// A replica that is too far behind, or that makes no progress because of a gap
+    /// in the log, takes a transfer of the entries instead.
     fn catch_up_with_table(&mut self, now: Millis, progressed: bool, actions: &mut Vec<Action>) {
         let head = self.table.head;
         let known = self.replica.head();
@@ -278,9 +284,9 @@
     }
 
     fn on_table_failed(&mut self, now: Millis) {
-        self.table.failed = true;
-        self.table.reading_since = None;
-        self.table.next_at = now + ASK_MS;
+        self.table.last_read_failed = true;
+        self.table.read_started_at = None;
+        self.table.next_read_at = now + POLL_INTERVAL_MS;
         self.transfer.take_if(|transfer| transfer.is_from_table());
     }
 
@@ -292,8 +298,8 @@
             let known = self.replica.get(&change.setting.key());
             known.map(|known| known.revision) < Some(change.revision)
         };
-        let in_force = page.changes.iter().filter(newer);
-        actions.extend(in_force.map(|change| Action::Applied(change.setting.key())));
+        let applied = page.changes.iter().filter(newer);
+        actions.extend(applied.map(|change| Action::Applied(change.setting.key())));
         self.replica.apply_page(&mut transfer.progress, page);
         if page.last {
             return;
@@ -301,124 +307,142 @@
         let Some(after) = page.changes.last().map(|change| change.setting.key()) else {
             return;
         };
-        transfer.at = now;
-        self.ask_page(now, &transfer.from, Some(after), actions);
+        transfer.requested_at = now;
+        self.request_page(now, &transfer.source, Some(after), actions);
         self.transfer = Some(transfer);
     }
 
     fn on_tick(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        if self.live_nodes.pass_over_silent(now) {
-            // Whoever is next in rank is asked at once.
-            self.next_ask_at = now;
+        if self.live_nodes.exclude_unresponsive(now) {
+            // Pulls from the node that is next in rank without waiting.
+            self.next_poll_at = now;
         }
-        self.transfer.take_if(|transfer| transfer.is_late(now));
+        self.transfer.take_if(|transfer| transfer.is_overdue(now));
         self.read_table(now, actions);
-        if now < self.next_ask_at {
+        if now < self.next_poll_at {
             return;
         }
-        self.next_ask_at = now + ASK_MS;
-        for to in self.whom_to_ask(now) {
-            self.ask(now, to, actions);
+        self.next_poll_at = now + POLL_INTERVAL_MS;
+        for to in self.nodes_to_poll(now) {
+            self.send_pull(now, to, actions);
         }
     }
 
     fn read_table(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let stands_by = self.is_stale(now) && self.live_nodes.my_rank() < relay::STAND_BYS;
-        let reads = self.is_relay() || stands_by || !self.ready;
-        if !reads || now < self.table.next_at || self.table.reading_since.is_some() {
+        let is_standby =
+            self.is_stale(now) && self.live_nodes.local_rank() < relay::RELAY_CANDIDATES;
+        let reads_table = self.is_relay() || is_standby || !self.is_ready;
+        if !reads_table || now < self.table.next_read_at || self.table.read_started_at.is_some() {
             return;
         }
-        self.table.reading_since = Some(now);
-        self.table.next_at = now + ASK_MS;
+        self.table.read_started_at = Some(now);
+        self.table.next_read_at = now + POLL_INTERVAL_MS;
         actions.push(Action::ReadHead);
     }
 
-    fn whom_to_ask(&mut self, now: Millis) -> Vec<Name> {
-        let mut nodes = self.near(now);
-        if self.is_relay() || !self.ready {
-            nodes.extend(self.far_relays(now));
+    fn nodes_to_poll(&mut self, now: Millis) -> Vec<Name> {
+        let mut nodes = self.local_relays(now);
+        if self.is_relay() || !self.is_ready {
+            nodes.extend(self.remote_relays(now));
         }
-        nodes.retain(|node| *node != self.live_nodes.local().node && !self.live_nodes.owes(node));
+        nodes.retain(|node| {
+            *node != self.live_nodes.local().node && !self.live_nodes.is_pending(node)
+        });
         nodes
     }
 
-    /// Returns the relay, and a stand-by if the relay leaves this node stale.
-    fn near(&mut self, now: Millis) -> Vec<Name> {
+    /// Returns the relay, and one standby relay in turn if the replica is stale.
+    ///
+    /// Until this node is ready, all relay candidates are returned.
+    fn local_relays(&mut self, now: Millis) -> Vec<Name> {
         let stale = self.is_stale(now);
         let ranked = self.live_nodes.ranked(&self.live_nodes.local().data_centre);
-        let nodes = ranked.into_iter().take(relay::STAND_BYS).cloned();
-        if !self.ready {
+        let nodes = ranked.into_iter().take(relay::RELAY_CANDIDATES).cloned();
+        if !self.is_ready {
             return nodes.collect();
         }
         if !stale {
             return nodes.take(1).collect();
         }
-        self.stand_by = self.stand_by % (relay::STAND_BYS - 1) + 1;
-        let stand_by = self.stand_by;
-        let is_asked = |index: usize| index == 0 || index == stand_by;
+        self.standby_rank = self.standby_rank % (relay::RELAY_CANDIDATES - 1) + 1;
+        let standby_rank = self.standby_rank;
+        let is_polled = |index: usize| index == 0 || index == standby_rank;
         nodes
             .enumerate()
-            .filter_map(|(index, node)| is_asked(index).then_some(node))
+            .filter_map(|(index, node)| is_polled(index).then_some(node))
             .collect()
     }
 
-    fn far_relays(&mut self, now: Millis) -> Vec<Name> {
-        let mut far = self.live_nodes.data_centres();
-        far.retain(|data_centre| *data_centre != self.live_nodes.local().data_centre);
-        if far.is_empty() {
+    fn remote_relays(&mut self, now: Millis) -> Vec<Name> {
+        let mut remote = self.live_nodes.data_centres();
+        remote.retain(|data_centre| *data_centre != self.live_nodes.local().data_centre);
+        if remote.is_empty() {
             return Vec::new();
         }
-        let looks = self.table.failed || self.is_stale(now);
-        let count = if looks { FAR_ASKS } else { 1 };
-        let first = self.far_index % far.len();
-        self.far_index = first + count;
-        far.rotate_left(first);
-        far.iter()
+        let uses_more_relays = self.table.last_read_failed || self.is_stale(now);
+        let count = if uses_more_relays {
+            REMOTE_RELAYS_PER_POLL
+        } else {
+            1
+        };
+        let first = self.remote_offset % remote.len();
+        self.remote_offset = first + count;
+        remote.rotate_left(first);
+        remote
+            .iter()
             .take(count)
             .filter_map(|data_centre| self.relay_of(data_centre))
             .collect()
     }
 
     fn is_stale(&self, now: Millis) -> bool {
-        self.age_ms(now).is_none_or(|age_ms| age_ms > STALE_MS)
+        self.age_ms(now)
+            .is_none_or(|age_ms| age_ms > STALE_AFTER_MS)
     }
 
     fn check_ready(&mut self, now: Millis) {
-        if self.ready {
+        if self.is_ready {
             return;
         }
-        let is_recent = |at: Millis| now.since(at) <= RECENT_MS;
-        let proved = self.replica.current_at().is_some_and(is_recent);
-        self.ready = proved || self.is_as_recent_as_peers();
+        let is_recent = |at: Millis| now.since(at) <= READY_MAX_AGE_MS;
+        let is_confirmed = self.replica.current_at().is_some_and(is_recent);
+        self.is_ready = is_confirmed || self.is_as_recent_as_peers();
     }
 
-    /// Returns whether, with the table silent, nothing newer can be learned.
+    /// Returns whether, with the table unavailable, no reachable peer has a newer
+    /// configuration.
     ///
-    /// Every peer that could be asked has answered or is silent, and none has
-    /// more than is here.
+    /// Every polled peer has responded or is unresponsive, and none has a higher
+    /// head than this node.
     fn is_as_recent_as_peers(&self) -> bool {
-        let Some(heard) = self.heard.values().map(|heard| heard.head).max() else {
+        let Some(highest) = self.peer_states.values().map(|state| state.head).max() else {
             return false;
         };
-        let is_settled = self.live_nodes.is_settled() && self.transfer.is_none();
-        let has_all = heard <= self.replica.head() && self.replica.current_at().is_some();
-        self.table.failed && is_settled && has_all
+        let has_no_pending_work = self.live_nodes.none_pending() && self.transfer.is_none();
+        let has_all = highest <= self.replica.head() && self.replica.current_at().is_some();
+        self.table.last_read_failed && has_no_pending_work && has_all
     }
 
-    fn hear(&mut self, now: Millis, node: &Name, head: Revision, age_ms: Option<Millis>) {
+    fn record_peer_state(
+        &mut self,
+        now: Millis,
+        node: &Name,
+        head: Revision,
+        age_ms: Option<Millis>,
+    ) {
         if !self.live_nodes.contains(node) {
             return;
         }
         let current_at = age_ms.map(|age_ms| Millis(now.0.saturating_sub(age_ms.0)));
-        let heard = Heard {
-            at: now,
+        let state = PeerState {
+            received_at: now,
             head,
             current_at,
         };
-        self.heard.insert(node.clone(), heard);
+        self.peer_states.insert(node.clone(), state);
     }
 
-    fn answer(&self, now: Millis, seq: u64, head: Revision) -> Message {
+    fn pull_response(&self, now: Millis, seq: u64, head: Revision) -> Message {
         Message::PullResponse {
             seq,
             head: self.replica.head(),
@@ -431,8 +455,8 @@
         self.replica.current_at().map(|at| now.since(at))
     }
 
-    fn ask(&mut self, now: Millis, to: Name, actions: &mut Vec<Action>) {
-        let seq = self.live_nodes.ask(now, &to);
+    fn send_pull(&mut self, now: Millis, to: Name, actions: &mut Vec<Action>) {
+        let seq = self.live_nodes.start_request(now, &to);
         let message = Message::PullRequest {
             seq,
             head: self.replica.head(),
@@ -441,25 +465,25 @@
         actions.push(Action::Send { to, message });
     }
 
-    fn start_transfer(&mut self, now: Millis, from: Source, actions: &mut Vec<Action>) {
+    fn start_transfer(&mut self, now: Millis, source: Source, actions: &mut Vec<Action>) {
         if self.transfer.is_some() {
             return;
         }
-        self.ask_page(now, &from, None, actions);
-        self.transfer = Some(Transfer::new(now, from));
+        self.request_page(now, &source, None, actions);
+        self.transfer = Some(Transfer::new(now, source));
     }
 
-    fn ask_page(
+    fn request_page(
         &mut self,
         now: Millis,
-        from: &Source,
+        source: &Source,
         after: Option<Key>,
         actions: &mut Vec<Action>,
     ) {
-        match from {
+        match source {
             Source::Table(head) => actions.push(Action::ReadPage { head: *head, after }),
             Source::Node(node) => {
-                let seq = self.live_nodes.ask(now, node);
+                let seq = self.live_nodes.start_request(now, node);
                 let message = Message::PageRequest { seq, after };
                 let to = node.clone();
                 actions.push(Action::Send { to, message });
@@ -467,13 +491,13 @@
         }
     }
 
-    fn take_changes(&mut self, changes: &[Change], actions: &mut Vec<Action>) {
+    fn apply_changes(&mut self, changes: &[Change], actions: &mut Vec<Action>) {
         for change in changes {
             if !self.replica.apply(change) {
                 continue;
             }
             actions.push(Action::Applied(change.setting.key()));
-            if self.ready && self.is_relay() {
+            if self.is_ready && self.is_relay() {
                 self.forward(None, change, actions);
             }
         }
@@ -495,7 +519,7 @@
     }
 
     fn is_relay(&self) -> bool {
-        self.live_nodes.my_rank() == 0
+        self.live_nodes.local_rank() == 0
     }
 }
 
--- a/filbertpaddle-core/src/transfer.rs
+++ b/filbertpaddle-core/src/transfer.rs
@@ -1,50 +1,50 @@
-//! A running transfer of the whole configuration to this node.
+//! An ongoing transfer of the whole configuration to this node, page by page.
 
 use crate::clock::Millis;
 use crate::name::Name;
 use crate::replica::TransferProgress;
 use crate::revision::Revision;
 
-/// How long a transfer may wait for its next page.
-pub const PAGE_MS: Millis = Millis::from_secs(10);
+/// Maximum time that a transfer waits for its next page.
+pub const PAGE_TIMEOUT_MS: Millis = Millis::from_secs(10);
 
-/// Where the pages come from.
+/// Source of the pages of a transfer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The platform's table, whose head was read before the first page.
+    /// The platform's table, with the head revision read before the first page.
     Table(Revision),
     /// Another node.
     Node(Name),
 }
 
-/// A transfer of the whole configuration.
+/// State of a transfer of the whole configuration.
 #[derive(Clone, Debug)]
 pub struct Transfer {
-    /// Where the pages come from.
-    pub from: Source,
-    /// What the pages so far prove.
+    /// Source of the pages.
+    pub source: Source,
+    /// Lowest head of the pages received so far.
     pub progress: TransferProgress,
-    /// When the last page was asked for.
-    pub at: Millis,
+    /// Time at which the last page was requested.
+    pub requested_at: Millis,
 }
 
 impl Transfer {
-    /// Starts a transfer whose first page was asked for now.
-    pub fn new(now: Millis, from: Source) -> Self {
+    /// Creates a transfer whose first page was requested at `now`.
+    pub fn new(now: Millis, source: Source) -> Self {
         Self {
-            from,
+            source,
             progress: TransferProgress::default(),
-            at: now,
+            requested_at: now,
         }
     }
 
     /// Returns whether the next page is overdue.
-    pub fn is_late(&self, now: Millis) -> bool {
-        now.since(self.at) > PAGE_MS
+    pub fn is_overdue(&self, now: Millis) -> bool {
+        now.since(self.requested_at) > PAGE_TIMEOUT_MS
     }
 
     /// Returns whether the pages come from the platform's table.
     pub fn is_from_table(&self) -> bool {
-        matches!(self.from, Source::Table(_))
+        matches!(self.source, Source::Table(_))
     }
 }
--- a/filbertpaddle-core/tests/config_model.rs
+++ b/filbertpaddle-core/tests/config_model.rs
@@ -1,4 +1,8 @@
-//! Exhaustive checks of edits and replicas against a small model of the table.
+//! Exhaustive state-space checks of edits and replicas against a model of the table.
+//!
+//! Guards against a change that takes effect twice or is reported wrongly after
+//! lost, delayed or refused answers, and against replicas that move back to an
+//! older revision or claim to be more recent than they are.
 
 use std::collections::BTreeSet;
 use std::fmt::Debug;
@@ -26,7 +30,7 @@
 use pathfinding::prelude::bfs;
 use pathfinding::prelude::dijkstra_reach;
 
-/// The platform's table: the audit rows, from which the other rows follow.
+/// Model of the platform's table: holds the audit rows and derives the other rows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Table {
     log: Vec<Record>,
@@ -58,7 +62,7 @@
         }
     }
 
-    /// Runs a transaction; `checked` says whether the entry's condition counts.
+    /// Runs a transaction; the entry's condition applies only if `checked`.
     fn transact(&mut self, commit: &Commit, checked: bool) -> bool {
         let head = (self.head() > Revision::ZERO).then_some(self.head().0);
         let key = commit.record.change.setting.key();
@@ -82,7 +86,7 @@
     Key::Vm(name.into())
 }
 
-/// Visits every state; returns how many there are and the greatest depth.
+/// Visits every reachable state; returns the number of states and the maximum depth.
 fn explore<S, F, V>(start: S, successors: F, violation: V) -> (usize, usize)
 where
     S: Clone + Hash + Eq + Debug,
@@ -105,26 +109,26 @@
     (states, depth)
 }
 
-/// What one operator wants.
+/// Change that one operator requests.
 #[derive(Clone, Copy, Debug)]
-struct Wish {
+struct EditSpec {
     name: &'static str,
     expected: Option<Revision>,
     service: ServiceState,
 }
 
-/// Wants a new entry.
-const fn new(name: &'static str) -> Wish {
-    Wish {
+/// Creates a new entry.
+const fn create(name: &'static str) -> EditSpec {
+    EditSpec {
         name,
         expected: None,
         service: ServiceState::Out,
     }
 }
 
-/// Wants to change the first change.
-const fn undo(name: &'static str) -> Wish {
-    Wish {
+/// Reverts the change at revision 1.
+const fn revert(name: &'static str) -> EditSpec {
+    EditSpec {
         name,
         expected: Some(Revision(1)),
         service: ServiceState::In,
@@ -134,36 +138,36 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Act(Action),
-    Answered(Snapshot),
-    /// Only in the broken variant: the operator has not repeated yet.
-    Repeat,
+    RowsReady(Snapshot),
+    /// Only in the faulty variant: the answer was lost and the edit is not restarted yet.
+    Restart,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Editor {
+struct Client {
     request: Request,
     edit: Edit,
     step: Step,
-    /// Transactions still on their way after their sender gave them up.
-    late: Vec<Commit>,
+    /// Transactions that may still reach the table after the sender stopped waiting.
+    delayed: Vec<Commit>,
     faults_left: u8,
 }
 
-impl Editor {
-    fn start(id: u64, wish: Wish, faults_left: u8) -> Self {
+impl Client {
+    fn start(id: u64, spec: EditSpec, faults_left: u8) -> Self {
         let request = Request {
             id: ChangeId(id),
             by: format!("operator-{id}").into(),
             at_ms: Millis(id),
-            expected: wish.expected,
-            setting: setting(wish.name, wish.service),
+            expected: spec.expected,
+            setting: setting(spec.name, spec.service),
         };
         let (edit, action) = Edit::start(request.clone());
         Self {
             request,
             edit,
             step: Step::Act(action),
-            late: Vec::new(),
+            delayed: Vec::new(),
             faults_left,
         }
     }
@@ -179,29 +183,30 @@
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum EditVariant {
-    Real,
-    /// Starts over with a new id and new conditions after a lost answer.
-    BlindRepeat,
+    Correct,
+    /// Restarts with a new id and new conditions after a lost answer.
+    NewIdAfterNoAnswer,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Edits {
     table: Table,
-    editors: Vec<Editor>,
+    clients: Vec<Client>,
 }
 
 impl Edits {
-    fn start(wishes: &[Wish], faults_left: u8) -> Self {
-        let editor = |(id, wish): (usize, &Wish)| Editor::start(id as u64 + 1, *wish, faults_left);
+    fn start(specs: &[EditSpec], faults_left: u8) -> Self {
+        let client =
+            |(id, spec): (usize, &EditSpec)| Client::start(id as u64 + 1, *spec, faults_left);
         Self {
             table: Table::default(),
-            editors: wishes.iter().enumerate().map(editor).collect(),
+            clients: specs.iter().enumerate().map(client).collect(),
         }
     }
 
     fn successors(&self, variant: EditVariant) -> Vec<Self> {
         let each = |index| self.successors_of(index, variant);
-        (0..self.editors.len()).flat_map(each).collect()
+        (0..self.clients.len()).flat_map(each).collect()
     }
 
     fn successors_of(&self, index: usize, variant: EditVariant) -> Vec<Self> {
@@ -211,20 +216,20 @@
             change(&mut state);
             next.push(state);
         };
-        let editor = &self.editors[index];
-        for late in 0..editor.late.len() {
+        let client = &self.clients[index];
+        for delayed in 0..client.delayed.len() {
             with(&|state| {
-                let commit = state.editors[index].late.remove(late);
+                let commit = state.clients[index].delayed.remove(delayed);
                 state.table.transact(&commit, true);
             });
         }
-        match &editor.step {
-            Step::Answered(seen) => with(&|state| {
-                state.editors[index].deliver(Event::RowsRead(seen.clone()));
+        match &client.step {
+            Step::RowsReady(snapshot) => with(&|state| {
+                state.clients[index].deliver(Event::RowsRead(snapshot.clone()));
             }),
             Step::Act(Action::Read { key, audit }) => with(&|state| {
-                let seen = state.table.read(key, *audit);
-                state.editors[index].step = Step::Answered(seen);
+                let snapshot = state.table.read(key, *audit);
+                state.clients[index].step = Step::RowsReady(snapshot);
             }),
             Step::Act(Action::Commit(commit)) => with(&|state| {
                 let event = if state.table.transact(commit, true) {
@@ -232,29 +237,29 @@
                 } else {
                     Event::Conflict
                 };
-                state.editors[index].deliver(event);
+                state.clients[index].deliver(event);
             }),
-            Step::Repeat => with(&|state| state.repeat(index)),
+            Step::Restart => with(&|state| state.restart(index)),
             Step::Act(Action::Finish(_)) => {}
         }
-        if editor.faults_left == 0 || editor.is_finished() {
+        if client.faults_left == 0 || client.is_finished() {
             return next;
         }
-        if let Step::Act(Action::Commit(commit)) = &editor.step {
+        if let Step::Act(Action::Commit(commit)) = &client.step {
             with(&|state| {
                 state.table.transact(commit, true);
-                state.lose(index, variant);
+                state.lose_answer(index, variant);
             });
             with(&|state| {
-                state.editors[index].late.push((**commit).clone());
-                state.lose(index, variant);
+                state.clients[index].delayed.push((**commit).clone());
+                state.lose_answer(index, variant);
             });
             with(&|state| {
-                state.editors[index].late.push((**commit).clone());
+                state.clients[index].delayed.push((**commit).clone());
                 state.fail(index, Event::Expired);
             });
         }
-        if matches!(&editor.step, Step::Act(_)) {
+        if matches!(&client.step, Step::Act(_)) {
             with(&|state| state.fail(index, Event::Refused));
             with(&|state| state.fail(index, Event::Expired));
         }
@@ -262,34 +267,34 @@
     }
 
     fn fail(&mut self, index: usize, event: Event) {
-        let editor = &mut self.editors[index];
-        editor.faults_left -= 1;
-        editor.deliver(event);
+        let client = &mut self.clients[index];
+        client.faults_left -= 1;
+        client.deliver(event);
     }
 
-    fn lose(&mut self, index: usize, variant: EditVariant) {
-        if variant == EditVariant::Real {
+    fn lose_answer(&mut self, index: usize, variant: EditVariant) {
+        if variant == EditVariant::Correct {
             self.fail(index, Event::NoAnswer);
             return;
         }
-        self.editors[index].faults_left -= 1;
-        self.editors[index].step = Step::Repeat;
+        self.clients[index].faults_left -= 1;
+        self.clients[index].step = Step::Restart;
     }
 
-    fn repeat(&mut self, index: usize) {
-        let editor = &mut self.editors[index];
-        editor.request.id = ChangeId(editor.request.id.0 + 100);
-        let entry = self.table.entry(&editor.request.setting.key());
-        editor.request.expected = entry.map(|change| change.revision);
-        let (edit, action) = Edit::start(editor.request.clone());
-        editor.edit = edit;
-        editor.step = Step::Act(action);
+    fn restart(&mut self, index: usize) {
+        let client = &mut self.clients[index];
+        client.request.id = ChangeId(client.request.id.0 + 100);
+        let entry = self.table.entry(&client.request.setting.key());
+        client.request.expected = entry.map(|change| change.revision);
+        let (edit, action) = Edit::start(client.request.clone());
+        client.edit = edit;
+        client.step = Step::Act(action);
     }
 
-    /// Whether what may still arrive at the table can take effect.
-    fn may_land(&self, editor: &Editor) -> bool {
-        let lands = |commit: &Commit| self.table.clone().transact(commit, true);
-        editor.late.iter().any(lands)
+    /// Returns whether a delayed transaction can still take effect.
+    fn may_take_effect(&self, client: &Client) -> bool {
+        let takes_effect = |commit: &Commit| self.table.clone().transact(commit, true);
+        client.delayed.iter().any(takes_effect)
     }
 
     fn violation(&self) -> Option<&'static str> {
@@ -299,74 +304,75 @@
             return Some("a change was applied twice");
         }
         let mut taken = BTreeSet::new();
-        self.editors.iter().find_map(|editor| {
-            let Step::Act(Action::Finish(answer)) = &editor.step else {
+        self.clients.iter().find_map(|client| {
+            let Step::Act(Action::Finish(answer)) = &client.step else {
                 return None;
             };
             if let Answer::Accepted(revision) = answer
                 && !taken.insert(*revision)
             {
-                return Some("two winners of one revision");
+                return Some("two edits were accepted at one revision");
             }
-            self.untruth(editor, answer)
+            self.false_answer(client, answer)
         })
     }
 
-    fn untruth(&self, editor: &Editor, answer: &Answer) -> Option<&'static str> {
+    fn false_answer(&self, client: &Client, answer: &Answer) -> Option<&'static str> {
         let mut changes = self.table.log.iter().map(|record| &record.change);
-        let landed = changes
-            .find(|change| change.id == editor.request.id)
+        let committed = changes
+            .find(|change| change.id == client.request.id)
             .map(|change| change.revision);
         match answer {
-            Answer::Accepted(revision) => {
-                (landed != Some(*revision)).then_some("an answer says accepted and it is not")
+            Answer::Accepted(revision) => (committed != Some(*revision))
+                .then_some("an edit was answered as accepted at a revision that it does not have"),
+            Answer::Conflict { current: None } if client.request.expected.is_none() => {
+                Some("a conflict was answered without the conflicting change")
             }
-            Answer::Conflict { current: None } if editor.request.expected.is_none() => {
-                Some("a conflict does not show the other change")
+            Answer::Conflict { .. } | Answer::Unavailable => (committed.is_some()
+                || self.may_take_effect(client))
+            .then_some("an edit was answered as not applied although it was or may be applied"),
+            Answer::Unchanged { .. } => {
+                Some("an edit was answered as unchanged although every edit changes its entry")
             }
-            Answer::Conflict { .. } | Answer::Unavailable => (landed.is_some()
-                || self.may_land(editor))
-            .then_some("an answer says unchanged and it is not"),
-            Answer::Unchanged { .. } => Some("no edit asks for what is so already"),
-            Answer::Unknown(revision) => landed
-                .is_some_and(|landed| landed != *revision)
-                .then_some("an unknown change landed at another revision"),
+            Answer::Unknown(revision) => committed
+                .is_some_and(|committed| committed != *revision)
+                .then_some("an edit answered as unknown was committed at another revision"),
         }
     }
 }
 
-fn explore_edits(wishes: &[Wish], faults_left: u8) {
+fn explore_edits(specs: &[EditSpec], faults_left: u8) {
     let (states, depth) = explore(
-        Edits::start(wishes, faults_left),
-        |state| state.successors(EditVariant::Real),
+        Edits::start(specs, faults_left),
+        |state| state.successors(EditVariant::Correct),
         Edits::violation,
     );
-    let names: Vec<_> = wishes.iter().map(|wish| wish.name).collect();
+    let names: Vec<_> = specs.iter().map(|spec| spec.name).collect();
     println!("edits of {names:?}, {faults_left} faults each: {states} states, depth {depth}");
     assert!(states > 1_000);
 }
 
 #[test]
-fn racing_edits_have_one_winner_and_truthful_answers() {
-    explore_edits(&[new("a"), new("a")], 3);
+fn concurrent_edits_of_one_entry_have_one_winner_and_correct_answers() {
+    explore_edits(&[create("a"), create("a")], 3);
 }
 
 #[test]
-fn edits_of_different_entries_share_one_order() {
-    explore_edits(&[new("a"), new("b")], 2);
-    explore_edits(&[new("a"), new("a"), new("b")], 1);
+fn edits_of_different_entries_are_totally_ordered() {
+    explore_edits(&[create("a"), create("b")], 2);
+    explore_edits(&[create("a"), create("a"), create("b")], 1);
 }
 
 #[test]
-fn an_edit_on_top_of_a_lost_one_is_kept() {
-    explore_edits(&[new("a"), undo("a")], 3);
+fn a_later_edit_is_not_overwritten_by_an_unresolved_one() {
+    explore_edits(&[create("a"), revert("a")], 3);
 }
 
 #[test]
-fn a_blind_repeat_after_a_lost_answer_is_caught() {
+fn the_model_detects_a_restart_with_a_new_id_after_a_lost_answer() {
     let path = bfs(
-        &Edits::start(&[new("a"), undo("a")], 1),
-        |state| state.successors(EditVariant::BlindRepeat),
+        &Edits::start(&[create("a"), revert("a")], 1),
+        |state| state.successors(EditVariant::NewIdAfterNoAnswer),
         |state| state.violation() == Some("a change was applied twice"),
     );
     assert!(path.is_some());
@@ -381,16 +387,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Node {
     replica: Replica,
-    /// A read of the head that has not been answered.
+    /// Head that a pending read of the table will return.
     head_read: Option<Revision>,
     transfer: Option<(TransferProgress, Source)>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum NodeVariant {
-    Real,
-    /// Applies whatever arrives last.
-    LastWins,
+    Correct,
+    /// Applies changes in the order of arrival, whatever their revision.
+    LastWriteWins,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -401,12 +407,13 @@
     reverted: bool,
 }
 
-/// The node that reads and transfers; the other one is pushed to and restarts.
-const CHECKED: usize = 0;
-/// The entries, in the order of keys.
+/// Index of the node that also reads the head and transfers pages; the other node
+/// only receives pushes and restarts.
+const TESTED_NODE: usize = 0;
+/// Names of the entries, ordered by key.
 const NAMES: [&str; 2] = ["a", "b"];
-/// The entries that are changed, in the order of revisions.
-const SCRIPT: [&str; 3] = ["a", "b", "a"];
+/// Names of the changed entries, ordered by revision.
+const CHANGED_NAMES: [&str; 3] = ["a", "b", "a"];
 
 impl Nodes {
     fn start() -> Self {
@@ -420,7 +427,7 @@
 
     fn accept(&mut self) {
         let revision = self.table.head().next();
-        let name = SCRIPT[self.table.log.len()];
+        let name = CHANGED_NAMES[self.table.log.len()];
         let change = Change {
             revision,
             id: ChangeId(revision.0),
@@ -434,7 +441,7 @@
 
     fn successors(&self, variant: NodeVariant) -> Vec<Self> {
         let mut next = Vec::new();
-        if self.table.log.len() < SCRIPT.len() {
+        if self.table.log.len() < CHANGED_NAMES.len() {
             let mut state = self.clone();
             state.accept();
             next.push(state);
@@ -456,23 +463,23 @@
         let mut with = |change: &dyn Fn(&mut Node)| {
             let mut state = self.clone();
             change(&mut state.nodes[index]);
-            state.reverted |= is_lower(&node.replica, &state.nodes[index].replica);
+            state.reverted |= is_reverted(&node.replica, &state.nodes[index].replica);
             next.push(state);
         };
-        // Pushes arrive late, twice, out of order or not at all.
+        // Pushes may arrive delayed, duplicated, out of order or not at all.
         for record in &self.table.log {
             with(&|node| push(node, &record.change, variant));
         }
-        // The second node is there to be a peer of the first, which may be
-        // behind, ahead of the table's reader, or restarted.
-        if index != CHECKED {
+        // The second node only serves as a peer of the first: it may be behind,
+        // ahead of the head that the first node read, or restarted.
+        if index != TESTED_NODE {
             return;
         }
         match node.head_read {
             None => with(&|node| node.head_read = Some(self.table.head())),
             Some(head) => with(&|node| {
                 node.head_read = None;
-                node.replica.confirm(head, Millis(head.0));
+                node.replica.confirm_head(head, Millis(head.0));
             }),
         }
         match node.transfer {
@@ -495,7 +502,7 @@
         }
     }
 
-    /// One of the two pages of a transfer, each with one key.
+    /// Returns one of the two pages of a transfer, each with one key.
     fn page(&self, source: Source, part: usize) -> Page {
         let key = key(NAMES[part]);
         let (head, change) = match source {
@@ -524,17 +531,18 @@
         if replica.head() > self.table.head() {
             return Some("a node is ahead of the table");
         }
-        // Times are heads here, so this says that a node is as recent as it claims.
+        // In this model the time of a read is the head that it returned, so a
+        // replica must not be current at a time later than its head.
         if replica.current_at() > Some(Millis(replica.head().0)) {
             return Some("a node claims to be more recent than it is");
         }
-        let lacks = |record: &Record| {
+        let is_missing = |record: &Record| {
             let change = &record.change;
             let held = replica.get(&change.setting.key());
             change.revision <= replica.head()
                 && held.map(|held| held.revision) < Some(change.revision)
         };
-        if self.table.log.iter().any(lacks) {
+        if self.table.log.iter().any(is_missing) {
             return Some("a node lacks a change below its head");
         }
         let is_wrong = |held: &Change| {
@@ -548,22 +556,23 @@
     }
 }
 
-fn is_lower(before: &Replica, after: &Replica) -> bool {
-    let entry_is_lower = |name: &&str| {
+fn is_reverted(before: &Replica, after: &Replica) -> bool {
+    let entry_is_reverted = |name: &&str| {
         let revision = |replica: &Replica| replica.get(&key(name)).map(|held| held.revision);
         revision(after) < revision(before)
     };
     after.head() < before.head()
         || after.current_at() < before.current_at()
-        || NAMES.iter().any(entry_is_lower)
+        || NAMES.iter().any(entry_is_reverted)
 }
 
 fn push(node: &mut Node, change: &Change, variant: NodeVariant) {
-    if variant == NodeVariant::Real {
+    if variant == NodeVariant::Correct {
         node.replica.apply(change);
         return;
     }
-    // A copy without memory of revisions: an entry becomes what came last.
+    // Rebuilds the replica so that the entry takes the last change that arrived,
+    // without comparing revisions.
     let mut replica = Replica::default();
     for held in node.replica.entries() {
         if held.setting.key() != change.setting.key() {
@@ -575,10 +584,10 @@
 }
 
 #[test]
-fn replicas_never_revert_and_are_as_recent_as_they_claim() {
+fn replicas_never_revert_or_overstate_how_recent_they_are() {
     let (states, depth) = explore(
         Nodes::start(),
-        |state| state.successors(NodeVariant::Real),
+        |state| state.successors(NodeVariant::Correct),
         Nodes::violation,
     );
     println!("replicas: {states} states, depth {depth}");
@@ -586,10 +595,10 @@
 }
 
 #[test]
-fn applying_whatever_arrives_last_is_caught() {
+fn the_model_detects_changes_applied_in_order_of_arrival() {
     let path = bfs(
         &Nodes::start(),
-        |state| state.successors(NodeVariant::LastWins),
+        |state| state.successors(NodeVariant::LastWriteWins),
         |state| state.violation() == Some("a node reverted"),
     );
     assert!(path.is_some());
--- a/filbertpaddle-core/tests/replica.rs
+++ b/filbertpaddle-core/tests/replica.rs
@@ -1,4 +1,4 @@
-//! Bounds of a node's copy.
+//! Size and retention limits of a configuration replica.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::config::Change;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_full_configuration_takes_nothing_more_but_may_shrink() {
+fn a_full_replica_has_no_room_for_growth_but_accepts_smaller_entries() {
     let mut replica = Replica::default();
     let mut count = 0;
     while replica.has_room(&template(count, MAX_PROMPT_BYTES)) {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn changes_beyond_a_gap_are_bounded_and_in_force() {
+fn changes_after_a_gap_are_applied_and_their_backlog_is_bounded() {
     let mut replica = Replica::default();
     let last = MAX_OUT_OF_ORDER_CHANGES as u64 + 100;
     for revision in 2..=last {
@@ -66,7 +66,7 @@
     }
     assert_eq!(replica.head(), Revision::ZERO);
     assert!(replica.get(&template(last, 1).key()).is_some());
-    // What did not fit beyond the gap comes again with the next answer.
+    // Changes that exceeded the limit after the gap arrive again with the next response.
     for revision in 1..=last {
         replica.apply(&change(revision, template(revision, 1)));
     }
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_peer_far_behind_is_sent_to_the_pages() {
+fn a_peer_behind_the_retained_changes_needs_a_page_transfer() {
     let mut replica = Replica::default();
     let last = MAX_RECENT_CHANGES as u64 + 10;
     (1..=last).for_each(|revision| {
--- a/filbertpaddle-core/tests/replicator.rs
+++ b/filbertpaddle-core/tests/replicator.rs
@@ -1,4 +1,4 @@
-//! Spreading of changes between nodes that exchange messages in memory.
+//! Replication of configuration changes between nodes of a simulated network.
 
 use std::collections::BTreeMap;
 
@@ -18,10 +18,11 @@
 use filbertpaddle_core::replicator::TICK_INTERVAL_MS;
 use filbertpaddle_core::revision::Revision;
 
-/// The bound from acceptance to every reachable node.
-const BOUND_MS: u64 = 6_000;
+/// Maximum time from the acceptance of a change to its application on every
+/// reachable node.
+const CONVERGENCE_BOUND_MS: u64 = 6_000;
 
-struct Net {
+struct Network {
     nodes: BTreeMap<Name, Replicator>,
     members: Vec<Member>,
     log: Vec<Change>,
@@ -29,12 +30,12 @@
     pushes: usize,
     drop_pushes: bool,
     dead: Vec<Name>,
-    /// Data centres that the table does not answer.
-    table_cut: Vec<Name>,
-    /// Data centres that no other one reaches.
-    peers_cut: Vec<Name>,
-    /// Audit rows up to here are no longer in the table.
-    trimmed: Revision,
+    /// Data centres that cannot reach the table.
+    cut_from_table: Vec<Name>,
+    /// Data centres that are cut off from the others.
+    cut_from_peers: Vec<Name>,
+    /// Audit rows up to this revision are no longer in the table.
+    trimmed_up_to: Revision,
 }
 
 fn member(node: &str, data_centre: &str) -> Member {
@@ -57,14 +58,14 @@
     }
 }
 
-impl Net {
+impl Network {
     fn new(data_centres: usize, nodes_each: usize) -> Self {
         let each = |index: usize| {
             let data_centre = format!("dc-{}", index % data_centres);
             member(&format!("node-{index}"), &data_centre)
         };
         let members: Vec<_> = (0..data_centres * nodes_each).map(each).collect();
-        let mut net = Self {
+        let mut network = Self {
             nodes: BTreeMap::new(),
             members: members.clone(),
             log: Vec::new(),
@@ -72,12 +73,12 @@
             pushes: 0,
             drop_pushes: false,
             dead: Vec::new(),
-            table_cut: Vec::new(),
-            peers_cut: Vec::new(),
-            trimmed: Revision::ZERO,
+            cut_from_table: Vec::new(),
+            cut_from_peers: Vec::new(),
+            trimmed_up_to: Revision::ZERO,
         };
-        members.into_iter().for_each(|member| net.add(member));
-        net
+        members.into_iter().for_each(|member| network.add(member));
+        network
     }
 
     fn add(&mut self, member: Member) {
@@ -92,7 +93,7 @@
 
     fn is_reachable(&self, from: &Name, to: &Name) -> bool {
         let (here, there) = (self.data_centre(from), self.data_centre(to));
-        let is_cut = |data_centre| self.peers_cut.contains(data_centre);
+        let is_cut = |data_centre| self.cut_from_peers.contains(data_centre);
         !self.dead.contains(to) && (here == there || !(is_cut(&here) || is_cut(&there)))
     }
 
@@ -117,7 +118,7 @@
             Action::Send { to, message } => self.send(node, &to, message),
             Action::Applied(_) => {}
             read => {
-                let is_cut = self.table_cut.contains(&self.data_centre(node));
+                let is_cut = self.cut_from_table.contains(&self.data_centre(node));
                 let event = if is_cut {
                     Event::TableFailed
                 } else {
@@ -141,7 +142,7 @@
     fn read(&self, read: Action) -> Event {
         match read {
             Action::ReadLog { after } => {
-                let after = after.max(self.trimmed);
+                let after = after.max(self.trimmed_up_to);
                 let newer = self.log.iter().filter(|change| change.revision > after);
                 Event::TableLog(newer.cloned().collect())
             }
@@ -151,7 +152,7 @@
     }
 
     fn read_page(&self, head: Revision, after: Option<Key>) -> Event {
-        const PAGE: usize = 100;
+        const PAGE_ROWS: usize = 100;
         let entries: BTreeMap<_, _> = self
             .log
             .iter()
@@ -161,8 +162,8 @@
             .into_iter()
             .filter(|(key, _)| Some(key) > after.as_ref());
         let mut changes: Vec<_> = newer.map(|(_, change)| change).collect();
-        let last = changes.len() <= PAGE;
-        changes.truncate(PAGE);
+        let last = changes.len() <= PAGE_ROWS;
+        changes.truncate(PAGE_ROWS);
         Event::TablePage(Page {
             head,
             changes,
@@ -170,9 +171,9 @@
         })
     }
 
-    fn pass(&mut self, span_ms: u64) {
+    fn advance(&mut self, duration_ms: u64) {
         let nodes: Vec<_> = self.nodes.keys().cloned().collect();
-        for _ in 0..span_ms / TICK_INTERVAL_MS.0 {
+        for _ in 0..duration_ms / TICK_INTERVAL_MS.0 {
             self.now = self.now + TICK_INTERVAL_MS;
             for node in nodes
                 .iter()
@@ -185,7 +186,7 @@
         }
     }
 
-    fn behind(&self) -> Vec<&Name> {
+    fn nodes_behind(&self) -> Vec<&Name> {
         let head = Revision(self.log.len() as u64);
         self.nodes
             .iter()
@@ -202,118 +203,134 @@
 }
 
 #[test]
-fn a_push_reaches_each_node_about_once() {
-    let mut net = Net::new(12, 62);
-    net.pass(2_000);
-    net.pushes = 0;
-    net.accept("node-5");
-    assert!(net.behind().is_empty());
-    println!("pushes to {} nodes: {}", net.nodes.len(), net.pushes);
-    assert!(net.pushes <= net.nodes.len() + 2);
+fn a_push_reaches_every_node_with_few_duplicates() {
+    let mut network = Network::new(12, 62);
+    network.advance(2_000);
+    network.pushes = 0;
+    network.accept("node-5");
+    assert!(network.nodes_behind().is_empty());
+    println!(
+        "pushes to {} nodes: {}",
+        network.nodes.len(),
+        network.pushes
+    );
+    assert!(network.pushes <= network.nodes.len() + 2);
 }
 
 #[test]
-fn lost_pushes_are_made_good_within_the_bound() {
-    let mut net = Net::new(3, 20);
-    net.pass(2_000);
-    net.drop_pushes = true;
-    net.accept("node-5");
-    net.pass(BOUND_MS);
-    assert!(net.behind().is_empty());
+fn lost_pushes_are_recovered_within_the_bound() {
+    let mut network = Network::new(3, 20);
+    network.advance(2_000);
+    network.drop_pushes = true;
+    network.accept("node-5");
+    network.advance(CONVERGENCE_BOUND_MS);
+    assert!(network.nodes_behind().is_empty());
 }
 
 #[test]
-fn a_dead_relay_is_passed_over_within_the_bound() {
-    let mut net = Net::new(3, 20);
-    net.pass(2_000);
-    net.dead.push(net.relay_of("dc-1"));
-    net.accept("node-0");
-    net.pass(BOUND_MS);
-    assert!(net.behind().is_empty(), "{:?}", net.behind());
+fn a_dead_relay_is_bypassed_within_the_bound() {
+    let mut network = Network::new(3, 20);
+    network.advance(2_000);
+    network.dead.push(network.relay_of("dc-1"));
+    network.accept("node-0");
+    network.advance(CONVERGENCE_BOUND_MS);
+    assert!(
+        network.nodes_behind().is_empty(),
+        "{:?}",
+        network.nodes_behind()
+    );
 }
 
 #[test]
-fn a_data_centre_without_the_table_learns_from_its_peers() {
-    let mut net = Net::new(3, 20);
-    net.pass(2_000);
-    net.table_cut.push("dc-1".into());
-    net.drop_pushes = true;
-    net.accept("node-0");
-    net.pass(BOUND_MS);
-    assert!(net.behind().is_empty(), "{:?}", net.behind());
+fn a_data_centre_cut_off_from_the_table_pulls_from_its_peers() {
+    let mut network = Network::new(3, 20);
+    network.advance(2_000);
+    network.cut_from_table.push("dc-1".into());
+    network.drop_pushes = true;
+    network.accept("node-0");
+    network.advance(CONVERGENCE_BOUND_MS);
+    assert!(
+        network.nodes_behind().is_empty(),
+        "{:?}",
+        network.nodes_behind()
+    );
 }
 
 #[test]
 fn a_cut_off_data_centre_catches_up_when_it_rejoins() {
-    let mut net = Net::new(3, 5);
-    net.pass(2_000);
-    net.table_cut.push("dc-1".into());
-    net.peers_cut.push("dc-1".into());
-    (0..1_000).for_each(|_| net.accept("node-0"));
-    net.pass(20_000);
-    assert_eq!(net.behind().len(), 5);
-    let cut_off = &net.nodes[&net.relay_of("dc-1")];
-    assert!(cut_off.replica().current_at() < Some(Millis(net.now.0 - 15_000)));
+    let mut network = Network::new(3, 5);
+    network.advance(2_000);
+    network.cut_from_table.push("dc-1".into());
+    network.cut_from_peers.push("dc-1".into());
+    (0..1_000).for_each(|_| network.accept("node-0"));
+    network.advance(20_000);
+    assert_eq!(network.nodes_behind().len(), 5);
+    let cut_off = &network.nodes[&network.relay_of("dc-1")];
+    assert!(cut_off.replica().current_at() < Some(Millis(network.now.0 - 15_000)));
     assert!(cut_off.is_ready());
-    net.peers_cut.clear();
-    net.pass(15_000);
-    assert!(net.behind().is_empty(), "{:?}", net.behind());
+    network.cut_from_peers.clear();
+    network.advance(15_000);
+    assert!(
+        network.nodes_behind().is_empty(),
+        "{:?}",
+        network.nodes_behind()
+    );
 }
 
 #[test]
-fn a_restarted_node_starts_from_its_peers_while_the_table_is_out() {
-    let mut net = Net::new(3, 5);
-    net.pass(2_000);
-    (0..1_000).for_each(|_| net.accept("node-0"));
-    net.pass(3_000);
-    net.table_cut = vec!["dc-0".into(), "dc-1".into(), "dc-2".into()];
-    net.pass(60_000);
-    net.add(member("node-4", "dc-1"));
-    assert!(!net.nodes["node-4"].is_ready());
-    net.pass(BOUND_MS);
-    let restarted = &net.nodes["node-4"];
+fn a_restarted_node_loads_from_its_peers_while_the_table_is_unavailable() {
+    let mut network = Network::new(3, 5);
+    network.advance(2_000);
+    (0..1_000).for_each(|_| network.accept("node-0"));
+    network.advance(3_000);
+    network.cut_from_table = vec!["dc-0".into(), "dc-1".into(), "dc-2".into()];
+    network.advance(60_000);
+    network.add(member("node-4", "dc-1"));
+    assert!(!network.nodes["node-4"].is_ready());
+    network.advance(CONVERGENCE_BOUND_MS);
+    let restarted = &network.nodes["node-4"];
     assert!(restarted.is_ready());
     assert_eq!(restarted.replica().head(), Revision(1_000));
-    // It knows that what it has may be old.
-    assert!(restarted.replica().current_at() < Some(Millis(net.now.0 - 50_000)));
+    // It reports that its configuration may be outdated.
+    assert!(restarted.replica().current_at() < Some(Millis(network.now.0 - 50_000)));
 }
 
 #[test]
-fn a_trimmed_log_is_made_good_by_entries() {
-    let mut net = Net::new(1, 1);
-    net.log = (1..=5).map(change).collect();
-    net.trimmed = Revision(3);
-    net.pass(BOUND_MS);
-    assert!(net.nodes["node-0"].is_ready());
-    assert!(net.behind().is_empty());
+fn a_trimmed_log_is_replaced_by_a_transfer_of_entries() {
+    let mut network = Network::new(1, 1);
+    network.log = (1..=5).map(change).collect();
+    network.trimmed_up_to = Revision(3);
+    network.advance(CONVERGENCE_BOUND_MS);
+    assert!(network.nodes["node-0"].is_ready());
+    assert!(network.nodes_behind().is_empty());
 }
 
 #[test]
-fn a_node_with_nothing_to_learn_from_is_not_ready() {
-    let mut net = Net::new(1, 1);
-    net.table_cut.push("dc-0".into());
-    net.pass(60_000);
-    assert!(!net.nodes["node-0"].is_ready());
+fn a_node_without_table_and_peers_is_not_ready() {
+    let mut network = Network::new(1, 1);
+    network.cut_from_table.push("dc-0".into());
+    network.advance(60_000);
+    assert!(!network.nodes["node-0"].is_ready());
 }
 
 #[test]
-fn a_node_is_not_ready_from_a_push_alone() {
-    let mut net = Net::new(1, 1);
-    net.table_cut.push("dc-0".into());
+fn a_push_alone_does_not_make_a_node_ready() {
+    let mut network = Network::new(1, 1);
+    network.cut_from_table.push("dc-0".into());
     let message = Message::Push(change(1));
     let from = "elsewhere".into();
-    net.deliver(&"node-0".into(), Event::Message { from, message });
-    assert!(!net.nodes["node-0"].is_ready());
+    network.deliver(&"node-0".into(), Event::Message { from, message });
+    assert!(!network.nodes["node-0"].is_ready());
 }
 
 #[test]
-fn the_relay_reports_its_data_centre() {
-    let mut net = Net::new(2, 3);
-    net.pass(4_000);
-    net.accept("node-0");
-    net.pass(4_000);
-    let relay = net.relay_of("dc-1");
-    let nodes = net.nodes[&relay].status(net.now);
+fn a_relay_reports_the_status_of_its_data_centre() {
+    let mut network = Network::new(2, 3);
+    network.advance(4_000);
+    network.accept("node-0");
+    network.advance(4_000);
+    let relay = network.relay_of("dc-1");
+    let nodes = network.nodes[&relay].status(network.now);
     assert_eq!(nodes.len(), 3);
     assert!(nodes.iter().all(|node| node.head == Some(Revision(1))));
 }
