--- a/filbertpaddle-core/examples/embed.rs
+++ b/filbertpaddle-core/examples/embed.rs
@@ -1,4 +1,4 @@
-//! Places requests and follows one answer without the daemon.
+//! Embeds the scheduler and the delivery of a stream without the daemon.
 //!
 //! Run with `cargo run -p filbertpaddle-core --example embed`.
 
@@ -21,19 +21,22 @@
     deliver();
 }
 
-/// Queues three asks and places them on two targets of one slot each.
+/// Queues three slot requests and places them on two targets with one slot each.
 fn place() {
     let mut scheduler = Scheduler::new(Settings::default());
     let mut now = Millis::from_secs(1);
     for number in 1..=3 {
-        if let Err(refusal) = scheduler.push(now, ask(number, now)) {
-            println!("refused: {refusal:?}");
+        if let Err(refusal) = scheduler.push(now, slot_request(number, now)) {
+            println!("slot request {number} refused: {refusal:?}");
         }
     }
     let mut targets = [target("engine-1"), target("engine-2")];
     let mut slots = Vec::new();
     while let Some(placement) = scheduler.next(now, &targets) {
-        println!("ask {} goes to {}", placement.ask.id.0, placement.target);
+        println!(
+            "slot request {} placed on {}",
+            placement.ask.id.0, placement.target
+        );
         let slot = SlotId(placement.ask.id.0);
         scheduler.started(now, slot, &placement);
         slots.push(slot);
@@ -43,14 +46,14 @@
             }
         }
     }
-    println!("{} asks wait", scheduler.queued());
+    println!("{} slot requests remain queued", scheduler.queued());
     now = now + Millis::from_secs(5);
     for slot in slots {
         scheduler.ended(now, slot, 120, Ending::Complete);
     }
 }
 
-fn ask(number: u64, now: Millis) -> Ask {
+fn slot_request(number: u64, now: Millis) -> Ask {
     Ask {
         id: AskId(number),
         customer: "school".into(),
@@ -76,7 +79,7 @@
     }
 }
 
-/// Follows a stream with a repeated and a missing token.
+/// Delivers a stream with a duplicate and a missing token.
 fn deliver() {
     let promise = Promise {
         idempotent: true,
@@ -89,8 +92,10 @@
             index,
         };
         match delivery.on(&event) {
-            Action::Deliver => println!("token {index} is passed on"),
-            Action::Resume { from } => println!("token {index} came too early: resume at {from}"),
+            Action::Deliver => println!("token {index} delivered"),
+            Action::Resume { from } => {
+                println!("gap before token {index}; resuming at token {from}")
+            }
             action => println!("token {index}: {action:?}"),
         }
     }
