--- a/filbertpaddle-core/src/availability.rs
+++ b/filbertpaddle-core/src/availability.rs
@@ -258,7 +258,7 @@
             }
             update_vm(now, name, vm, &mut actions);
         }
-        self.remove_unlisted();
+        self.remove_departed();
         actions
     }
 
@@ -323,9 +323,9 @@
         }
     }
 
-    /// Removes VMs that are no longer listed, unless a reclaim notice is in effect
-    /// or operators have taken them out of service.
-    fn remove_unlisted(&mut self) {
+    /// Removes VMs that the platform lists as leaving or no longer lists, unless a
+    /// reclaim notice is in effect or operators have taken them out of service.
+    fn remove_departed(&mut self) {
         self.vms
             .retain(|_, vm| !vm.is_platform_out || vm.reclaimed_at.is_some() || vm.decision.is_out);
     }
--- a/filbertpaddle-core/src/replicator.rs
+++ b/filbertpaddle-core/src/replicator.rs
@@ -30,7 +30,7 @@
 pub const STALE_AFTER_MS: Millis = Millis::from_secs(4);
 /// Maximum confirmed age of the configuration at which a node starts serving.
 pub const READY_MAX_AGE_MS: Millis = Millis::from_secs(10);
-/// Number of remote relays that a relay pulls from at once when its replica is
+/// Number of remote relays that a node pulls from at once when its replica is
 /// stale or the table is unavailable.
 const REMOTE_RELAYS_PER_POLL: usize = 4;
 /// Interval between two [`Event::Tick`]s.
