--- a/filbertpaddle-core/benches/config.rs
+++ b/filbertpaddle-core/benches/config.rs
@@ -1,4 +1,4 @@
-//! Cost of applying, merging and paging configuration.
+//! Benchmarks of the configuration replica: changes, page transfers and pull requests.
 
 use std::hint::black_box;
 
@@ -14,17 +14,17 @@
 use filbertpaddle_core::gossip::Event;
 use filbertpaddle_core::gossip::Message;
 use filbertpaddle_core::relay::Member;
-use filbertpaddle_core::replica::Intake;
 use filbertpaddle_core::replica::Replica;
+use filbertpaddle_core::replica::TransferProgress;
+use filbertpaddle_core::replicator::Replicator;
 use filbertpaddle_core::revision::Revision;
-use filbertpaddle_core::spread::Spread;
 use filbertpaddle_core::template::Template;
 
-/// Templates in force.
+/// Number of templates in the replica.
 const TEMPLATES: u64 = 10_000;
-/// Members of a data centre.
+/// Number of members of the data centre.
 const MEMBERS: usize = 62;
-/// Changes in one run.
+/// Number of changes per iteration.
 const CHANGES: u64 = 100;
 
 fn template() -> Template {
@@ -58,7 +58,7 @@
     }
 }
 
-fn full() -> Replica {
+fn full_replica() -> Replica {
     let mut replica = Replica::default();
     (1..=TEMPLATES).for_each(|revision| {
         replica.apply(&change(revision));
@@ -66,19 +66,19 @@
     replica
 }
 
-fn spread() -> Spread {
+fn replicator() -> Replicator {
     let member = |index: usize| Member {
         node: format!("entry-{index}").into(),
         data_centre: "north".into(),
     };
-    let mut spread = Spread::new(member(0));
+    let mut replicator = Replicator::new(member(0));
     let members = (0..MEMBERS).map(member).collect();
-    spread.on(Millis::ZERO, Event::Members(members));
-    spread
+    replicator.on(Millis::ZERO, Event::Members(members));
+    replicator
 }
 
 fn changes(c: &mut Criterion) {
-    let replica = full();
+    let replica = full_replica();
     let next: Vec<_> = (1..=CHANGES)
         .map(|offset| change(TEMPLATES + offset))
         .collect();
@@ -94,13 +94,13 @@
     let pushes: Vec<_> = (1..=CHANGES).map(change).collect();
     group.bench_function("push", |b| {
         b.iter_batched_ref(
-            spread,
-            |spread| {
+            replicator,
+            |replicator| {
                 for change in &pushes {
                     let message = Message::Push(change.clone());
                     let from = "entry-1".into();
                     let event = Event::Message { from, message };
-                    black_box(spread.on(Millis(1), event));
+                    black_box(replicator.on(Millis(1), event));
                 }
             },
             BatchSize::LargeInput,
@@ -110,20 +110,20 @@
 }
 
 fn transfer(c: &mut Criterion) {
-    let replica = full();
+    let replica = full_replica();
     let mut group = c.benchmark_group("transfer");
     group.throughput(Throughput::Elements(TEMPLATES));
     group.sample_size(10);
     group.bench_function("pages", |b| {
         b.iter(|| {
-            let mut copy = Replica::default();
-            let mut intake = Intake::default();
+            let mut receiver = Replica::default();
+            let mut progress = TransferProgress::default();
             let mut after = None;
             loop {
                 let page = replica.page(after.as_ref());
-                copy.apply_page(&mut intake, &page);
+                receiver.apply_page(&mut progress, &page);
                 if page.last {
-                    return copy.head();
+                    return receiver.head();
                 }
                 after = page.changes.last().map(|change| change.setting.key());
             }
@@ -132,24 +132,24 @@
     group.finish();
 }
 
-fn ask(c: &mut Criterion) {
-    let mut spread = spread();
+fn pull(c: &mut Criterion) {
+    let mut replicator = replicator();
     (1..=TEMPLATES).for_each(|revision| {
         let event = Event::Accepted(change(revision));
-        spread.on(Millis(1), event);
+        replicator.on(Millis(1), event);
     });
     c.bench_function("ask", |b| {
         b.iter(|| {
-            let message = Message::Ask {
+            let message = Message::PullRequest {
                 seq: 1,
                 head: Revision(TEMPLATES),
                 age_ms: Some(Millis(1)),
             };
             let from = "entry-1".into();
-            black_box(spread.on(Millis(2), Event::Message { from, message }))
+            black_box(replicator.on(Millis(2), Event::Message { from, message }))
         });
     });
 }
 
-criterion_group!(benches, changes, transfer, ask);
+criterion_group!(benches, changes, transfer, pull);
 criterion_main!(benches);
--- a/filbertpaddle-wire/tests/config.rs
+++ b/filbertpaddle-wire/tests/config.rs
@@ -6,7 +6,7 @@
 use filbertpaddle_core::config::Change;
 use filbertpaddle_core::config::ChangeId;
 use filbertpaddle_core::config::Customer;
-use filbertpaddle_core::config::Service;
+use filbertpaddle_core::config::ServiceState;
 use filbertpaddle_core::config::Setting;
 use filbertpaddle_core::gossip;
 use filbertpaddle_core::relay;
@@ -14,10 +14,10 @@
 use filbertpaddle_core::replica::Page;
 use filbertpaddle_core::replica::Replica;
 use filbertpaddle_core::revision::Revision;
-use filbertpaddle_core::template::Delivery;
+use filbertpaddle_core::template::DeliveryMode;
 use filbertpaddle_core::template::Priority;
 use filbertpaddle_core::template::Template;
-use filbertpaddle_core::template::Work;
+use filbertpaddle_core::template::WorkKind;
 use filbertpaddle_wire::config;
 use filbertpaddle_wire::frame;
 use filbertpaddle_wire::message::Message;
@@ -27,8 +27,8 @@
         model: "drafting-large".into(),
         version: "2026-11".into(),
         adapter: Some("summaries".into()),
-        work: Work::Call,
-        delivery: Delivery::Whole,
+        work: WorkKind::Call,
+        delivery: DeliveryMode::Whole,
         priority: Priority(3),
         idempotent: false,
         prompt: prompt.into(),
@@ -56,11 +56,11 @@
         },
         Setting::DataCentre {
             name: "north".into(),
-            service: Service::Out,
+            service: ServiceState::Out,
         },
         Setting::Vm {
             name: "target-12".into(),
-            service: Service::In,
+            service: ServiceState::In,
         },
     ]
 }
@@ -89,24 +89,24 @@
     };
     let messages = [
         gossip::Message::Push(changes[0].clone()),
-        gossip::Message::Ask {
+        gossip::Message::PullRequest {
             seq: 1,
             head: Revision(2),
             age_ms: None,
         },
-        gossip::Message::Answer {
+        gossip::Message::PullResponse {
             seq: 1,
             head: Revision(2),
             age_ms: Some(Millis(3)),
             changes: changes.clone(),
         },
-        gossip::Message::AskPage {
+        gossip::Message::PageRequest {
             seq: 4,
             after: Some(changes[0].setting.key()),
         },
-        gossip::Message::Page { seq: 4, page },
-        gossip::Message::AskStatus { seq: 5 },
-        gossip::Message::Status {
+        gossip::Message::PageResponse { seq: 4, page },
+        gossip::Message::StatusRequest { seq: 5 },
+        gossip::Message::StatusResponse {
             seq: 5,
             nodes: vec![gossip::NodeStatus {
                 node: "entry-1".into(),
@@ -131,14 +131,14 @@
     for revision in 1..=400 {
         let mut change = change(Setting::Vm {
             name: format!("{revision:064}").into(),
-            service: Service::Out,
+            service: ServiceState::Out,
         });
         change.revision = Revision(revision);
         replica.apply(&change);
     }
     let changes = replica.changes_after(Revision(200)).unwrap();
     assert!(!changes.is_empty());
-    let bytes = encode(gossip::Message::Answer {
+    let bytes = encode(gossip::Message::PullResponse {
         seq: 1,
         head: Revision(1),
         age_ms: None,
@@ -154,13 +154,13 @@
 #[test]
 fn a_change_a_second_stays_far_below_the_budget() {
     let push_bytes = encode(gossip::Message::Push(change(settings().remove(0)))).len();
-    let ask_bytes = encode(gossip::Message::Ask {
+    let ask_bytes = encode(gossip::Message::PullRequest {
         seq: 1_000_000,
         head: Revision(1_234_567),
         age_ms: Some(Millis(1_500)),
     })
     .len();
-    let answer_bytes = encode(gossip::Message::Answer {
+    let answer_bytes = encode(gossip::Message::PullResponse {
         seq: 1_000_000,
         head: Revision(1_234_567),
         age_ms: Some(Millis(1_500)),
