--- a/filbertpaddle-core/src/scheduler.rs
+++ b/filbertpaddle-core/src/scheduler.rs
@@ -26,7 +26,7 @@
 use crate::queue::Entry;
 use crate::queue::Queue;
 use crate::suspect;
-use crate::suspect::Standing;
+use crate::suspect::QuarantineStatus;
 use crate::suspect::Suspects;
 
 /// Asks that are tried before a call yields nothing.
@@ -100,7 +100,7 @@
         }
         let cost_tokens = self.cost_tokens(&ask);
         let entry = Entry { ask, cost_tokens };
-        if self.suspects.standing(entry.ask.digest) == Standing::Suspect {
+        if self.suspects.status(entry.ask.digest) == QuarantineStatus::Suspect {
             self.apart.push(entry);
         } else {
             self.queue.push(entry);
@@ -115,12 +115,12 @@
         ahead_tokens: u64,
         patience: Millis,
     ) -> Result<(), Reason> {
-        self.suspects.seen(now, ask.digest);
-        let standing = self.suspects.standing(ask.digest);
-        if standing == Standing::Condemned {
+        self.suspects.touch(now, ask.digest);
+        let standing = self.suspects.status(ask.digest);
+        if standing == QuarantineStatus::Blocked {
             return Err(Reason::Quarantined);
         }
-        if standing == Standing::Suspect && self.apart.count(ask.digest) > 0 {
+        if standing == QuarantineStatus::Suspect && self.apart.count(ask.digest) > 0 {
             return Err(Reason::Overloaded);
         }
         if self.queued() >= self.settings.queue_limit as usize {
@@ -218,7 +218,7 @@
                 return;
             }
             for entry in aside.into_iter().filter_map(|id| self.queue.remove(id)) {
-                if self.suspects.standing(entry.ask.digest) == Standing::Condemned {
+                if self.suspects.status(entry.ask.digest) == QuarantineStatus::Blocked {
                     self.refused.push(quarantined(entry.ask.id));
                 } else {
                     self.apart.push(entry);
@@ -228,18 +228,21 @@
     }
 
     fn may_run(&self, ask: &Ask) -> bool {
-        let standing = self.suspects.standing(ask.digest);
-        let free = matches!(standing, Standing::Unknown | Standing::Cleared);
+        let standing = self.suspects.status(ask.digest);
+        let free = matches!(
+            standing,
+            QuarantineStatus::Unknown | QuarantineStatus::Cleared
+        );
         free && self.may_copy(ask)
     }
 
     fn may_copy(&self, ask: &Ask) -> bool {
         let running = self.copies.get(&ask.digest).copied().unwrap_or(0);
-        ask.digest == 0 || running < self.suspects.copies(ask.digest)
+        ask.digest == 0 || running < self.suspects.max_copies(ask.digest)
     }
 
     fn choose(&mut self, now: Millis, ask: &Ask, targets: &[TargetView]) -> Option<Name> {
-        let suspect = self.suspects.standing(ask.digest) == Standing::Suspect;
+        let suspect = self.suspects.status(ask.digest) == QuarantineStatus::Suspect;
         let open: Vec<&TargetView> = targets
             .iter()
             .filter(|view| view.free_slots > 0 && !self.is_avoided(now, &view.name))
@@ -270,7 +273,7 @@
         self.engines.get(target).is_some_and(|engine| {
             engine
                 .running()
-                .any(|running| self.suspects.level(running.ask.digest) > 0)
+                .any(|running| self.suspects.uncleared_crashes(running.ask.digest) > 0)
         })
     }
 
@@ -306,14 +309,14 @@
             Ending::Complete => {
                 engine.learn_gap(&running, tokens, &mut self.line);
                 self.lengths.ended(&ask.template, tokens);
-                self.suspects.answered(now, ask.digest);
+                self.suspects.record_answer(now, ask.digest);
             }
             Ending::Cancelled | Ending::Unknown if tokens > 0 => {
                 self.lengths.cut(&ask.template, tokens);
             }
             Ending::Failed => {
                 let crash = suspect::crash_id(&target, engine.crash(now, &running));
-                self.suspects.crashed(now, ask.digest, crash);
+                self.suspects.record_crash(now, ask.digest, crash);
                 engine.avoid(now);
             }
             Ending::Refused => engine.avoid(now),
@@ -340,7 +343,7 @@
     }
 
     fn refuse_condemned(&mut self, digest: u64) {
-        if self.suspects.standing(digest) != Standing::Condemned {
+        if self.suspects.status(digest) != QuarantineStatus::Blocked {
             return;
         }
         let refused = self.apart.take_all(digest);
@@ -382,7 +385,7 @@
     }
 
     /// Joins what another node knows of a request that was part of crashes.
-    pub fn suspected(&mut self, now: Millis, digest: u64, record: &suspect::Record) {
+    pub fn suspected(&mut self, now: Millis, digest: u64, record: &suspect::CrashRecord) {
         self.suspects.merge(now, digest, record);
         self.refuse_condemned(digest);
     }
--- a/filbertpaddle-core/src/suspect.rs
+++ b/filbertpaddle-core/src/suspect.rs
@@ -16,7 +16,7 @@
 /// Targets that one request may crash before it is refused.
 pub const CRASH_LIMIT: usize = 3;
 /// Most suspects that are remembered.
-pub const SUSPECTS: usize = 4_096;
+pub const MAX_SUSPECTS: usize = 4_096;
 /// How long a suspect is remembered after it was last seen.
 const MEMORY: Millis = Millis::from_secs(3_600);
 
@@ -29,7 +29,7 @@
 ///
 /// Both sets only grow, so records may be joined in any order and repeatedly.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Record {
+pub struct CrashRecord {
     /// Crashes that the request was part of.
     #[serde(rename = "c")]
     pub crashes: BTreeSet<u64>,
@@ -38,9 +38,9 @@
     pub cleared: BTreeSet<u64>,
 }
 
-impl Record {
+impl CrashRecord {
     /// Number of crashes that the request is not cleared of.
-    pub fn level(&self) -> usize {
+    pub fn uncleared_crashes(&self) -> usize {
         self.crashes.difference(&self.cleared).count()
     }
 
@@ -55,7 +55,7 @@
 
 /// How a request may be run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// It gave a whole answer since it was last part of a crash.
     Cleared,
     /// Nothing is known of it.
@@ -63,7 +63,7 @@
     /// It was part of a crash and is run apart from other suspects.
     Suspect,
     /// It has crashed too many targets and is refused.
-    Condemned,
+    Blocked,
 }
 
 /// The suspects known to one node.
@@ -75,7 +75,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Known {
-    record: Record,
+    record: CrashRecord,
     changed_ms: Millis,
     seen_ms: Millis,
 }
@@ -87,12 +87,12 @@
     }
 
     /// Records that a request was running on a target that crashed.
-    pub fn crashed(&mut self, now: Millis, digest: u64, crash: u64) {
+    pub fn record_crash(&mut self, now: Millis, digest: u64, crash: u64) {
         if digest == 0 {
             return;
         }
         self.answered.swap_remove(&digest);
-        let record = Record {
+        let record = CrashRecord {
             crashes: BTreeSet::from([crash]),
             cleared: BTreeSet::new(),
         };
@@ -100,8 +100,8 @@
     }
 
     /// Records that a request gave a whole answer.
-    pub fn answered(&mut self, now: Millis, digest: u64) {
-        if self.answered.len() >= SUSPECTS {
+    pub fn record_answer(&mut self, now: Millis, digest: u64) {
+        if self.answered.len() >= MAX_SUSPECTS {
             self.answered.swap_remove_index(0);
         }
         self.answered.insert(digest);
@@ -113,8 +113,8 @@
     }
 
     /// Joins what another node knows of a request.
-    pub fn merge(&mut self, now: Millis, digest: u64, record: &Record) {
-        if self.known.len() >= SUSPECTS && !self.known.contains_key(&digest) {
+    pub fn merge(&mut self, now: Millis, digest: u64, record: &CrashRecord) {
+        if self.known.len() >= MAX_SUSPECTS && !self.known.contains_key(&digest) {
             self.evict(now);
         }
         let known = self.known.entry(digest).or_default();
@@ -125,19 +125,19 @@
     }
 
     /// Returns the number of crashes that a request is not cleared of.
-    pub fn level(&self, digest: u64) -> usize {
+    pub fn uncleared_crashes(&self, digest: u64) -> usize {
         self.known
             .get(&digest)
-            .map_or(0, |known| known.record.level())
+            .map_or(0, |known| known.record.uncleared_crashes())
     }
 
     /// Returns how a request may be run.
-    pub fn standing(&self, digest: u64) -> Standing {
-        match self.level(digest) {
-            0 if self.answered.contains(&digest) => Standing::Cleared,
-            0 => Standing::Unknown,
-            level if level < CRASH_LIMIT => Standing::Suspect,
-            _ => Standing::Condemned,
+    pub fn status(&self, digest: u64) -> QuarantineStatus {
+        match self.uncleared_crashes(digest) {
+            0 if self.answered.contains(&digest) => QuarantineStatus::Cleared,
+            0 => QuarantineStatus::Unknown,
+            level if level < CRASH_LIMIT => QuarantineStatus::Suspect,
+            _ => QuarantineStatus::Blocked,
         }
     }
 
@@ -145,24 +145,24 @@
     ///
     /// Copies of one that never gave a whole answer may all crash, so they
     /// count against [`CRASH_LIMIT`] while they run.
-    pub fn copies(&self, digest: u64) -> usize {
-        match self.standing(digest) {
-            Standing::Cleared => usize::MAX,
-            Standing::Unknown => CRASH_LIMIT,
-            Standing::Suspect => 1,
-            Standing::Condemned => 0,
+    pub fn max_copies(&self, digest: u64) -> usize {
+        match self.status(digest) {
+            QuarantineStatus::Cleared => usize::MAX,
+            QuarantineStatus::Unknown => CRASH_LIMIT,
+            QuarantineStatus::Suspect => 1,
+            QuarantineStatus::Blocked => 0,
         }
     }
 
     /// Keeps a suspect in memory because it was sent again.
-    pub fn seen(&mut self, now: Millis, digest: u64) {
+    pub fn touch(&mut self, now: Millis, digest: u64) {
         if let Some(known) = self.known.get_mut(&digest) {
             known.seen_ms = now;
         }
     }
 
     /// Returns the records that changed at or after `since`, to pass them on.
-    pub fn changes(&self, since: Millis) -> impl Iterator<Item = (u64, &Record)> {
+    pub fn changed_since(&self, since: Millis) -> impl Iterator<Item = (u64, &CrashRecord)> {
         self.known
             .iter()
             .filter(move |(_, known)| known.changed_ms >= since)
@@ -183,14 +183,14 @@
     fn evict(&mut self, now: Millis) {
         self.known
             .retain(|_, known| now.since(known.seen_ms) < MEMORY);
-        if self.known.len() < SUSPECTS {
+        if self.known.len() < MAX_SUSPECTS {
             return;
         }
         let least = self
             .known
             .values()
             .enumerate()
-            .min_by_key(|(_, known)| (known.record.level(), known.seen_ms))
+            .min_by_key(|(_, known)| (known.record.uncleared_crashes(), known.seen_ms))
             .map(|(index, _)| index);
         if let Some(index) = least {
             self.known.swap_remove_index(index);
--- a/filbertpaddle-core/tests/quarantine.rs
+++ b/filbertpaddle-core/tests/quarantine.rs
@@ -16,9 +16,9 @@
 use filbertpaddle_core::scheduler::SlotId;
 use filbertpaddle_core::scheduler::TargetView;
 use filbertpaddle_core::suspect::CRASH_LIMIT;
-use filbertpaddle_core::suspect::Record;
-use filbertpaddle_core::suspect::SUSPECTS;
-use filbertpaddle_core::suspect::Standing;
+use filbertpaddle_core::suspect::CrashRecord;
+use filbertpaddle_core::suspect::MAX_SUSPECTS;
+use filbertpaddle_core::suspect::QuarantineStatus;
 use filbertpaddle_core::suspect::Suspects;
 use filbertpaddle_core::template::Priority;
 use proptest::prelude::*;
@@ -233,12 +233,12 @@
     fn records_agree_in_any_order(
         events in proptest::collection::vec((0_u64..6, any::<bool>()), 1..12),
     ) {
-        let records: Vec<Record> = events
+        let records: Vec<CrashRecord> = events
             .iter()
             .map(|(crash, cleared)| {
                 let crashes = BTreeSet::from([*crash]);
                 let cleared = if *cleared { crashes.clone() } else { BTreeSet::new() };
-                Record { crashes, cleared }
+                CrashRecord { crashes, cleared }
             })
             .collect();
         let (mut there, mut back) = (Suspects::new(), Suspects::new());
@@ -248,8 +248,8 @@
         for record in records.iter().rev().chain(&records) {
             back.merge(Millis(1), POISON, record);
         }
-        prop_assert_eq!(there.standing(POISON), back.standing(POISON));
-        prop_assert_eq!(there.level(POISON), back.level(POISON));
+        prop_assert_eq!(there.status(POISON), back.status(POISON));
+        prop_assert_eq!(there.uncleared_crashes(POISON), back.uncleared_crashes(POISON));
     }
 }
 
@@ -283,7 +283,9 @@
         let suspects = pool
             .running
             .values()
-            .filter(|p| p.target == name && pool.scheduler.suspects().level(p.ask.digest) > 0)
+            .filter(|p| {
+                p.target == name && pool.scheduler.suspects().uncleared_crashes(p.ask.digest) > 0
+            })
             .count();
         assert!(suspects <= 1, "{name} runs {suspects}");
     }
@@ -293,7 +295,7 @@
 fn what_another_node_knows_stops_a_queued_request() {
     let mut pool = Pool::new(Policy::Predictive, 0, &[POISON]);
     pool.send(POISON);
-    let record = Record {
+    let record = CrashRecord {
         crashes: (1..=CRASH_LIMIT as u64).collect(),
         cleared: BTreeSet::new(),
     };
@@ -310,11 +312,11 @@
 fn memory_of_suspects_is_bounded_and_keeps_the_condemned() {
     let mut suspects = Suspects::new();
     for crash in 0..CRASH_LIMIT as u64 {
-        suspects.crashed(Millis(0), POISON, crash);
+        suspects.record_crash(Millis(0), POISON, crash);
     }
-    for digest in 0..2 * SUSPECTS as u64 {
-        suspects.crashed(Millis(digest), 10_000 + digest, digest);
+    for digest in 0..2 * MAX_SUSPECTS as u64 {
+        suspects.record_crash(Millis(digest), 10_000 + digest, digest);
     }
-    assert!(suspects.len() <= SUSPECTS);
-    assert_eq!(suspects.standing(POISON), Standing::Condemned);
+    assert!(suspects.len() <= MAX_SUSPECTS);
+    assert_eq!(suspects.status(POISON), QuarantineStatus::Blocked);
 }
--- a/filbertpaddle-gateway/src/crash.rs
+++ b/filbertpaddle-gateway/src/crash.rs
@@ -30,10 +30,10 @@
         let now = state.clock.now();
         let crash = crash_id(&target.id, target.started_ms.unwrap_or_default());
         let mut suspects = state.suspects.borrow_mut();
-        suspects.crashed(now, digest, crash);
+        suspects.record_crash(now, digest, crash);
         info!(state.log, "request was part of a crash";
             "digest" => digest, "target" => target.id.as_str(),
-            "crashes" => suspects.level(digest));
+            "crashes" => suspects.uncleared_crashes(digest));
     });
 }
 
--- a/filbertpaddle-gateway/src/peer_link.rs
+++ b/filbertpaddle-gateway/src/peer_link.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
-use filbertpaddle_core::suspect::Record;
+use filbertpaddle_core::suspect::CrashRecord;
 use filbertpaddle_forward::board;
 use filbertpaddle_forward::board::ByTarget;
 use filbertpaddle_forward::board::Changes;
@@ -47,7 +47,7 @@
     /// Changed work: of the node that dials, or of all that the other knows.
     Work(Changes),
     /// Suspects by digest that are new or changed.
-    Suspects(Vec<(u64, Record)>),
+    Suspects(Vec<(u64, CrashRecord)>),
     /// What changed of a table.
     Table {
         /// How old that is.
@@ -196,7 +196,7 @@
         let now = state.clock.now();
         let suspects: Vec<_> = {
             let suspects = state.suspects.borrow();
-            let changes = suspects.changes(self.told_suspects_ms);
+            let changes = suspects.changed_since(self.told_suspects_ms);
             changes
                 .map(|(digest, record)| (digest, record.clone()))
                 .collect()
@@ -219,7 +219,7 @@
 }
 
 /// Joins what another node knows of suspects.
-pub fn take_suspects(state: &State, suspects: &[(u64, Record)]) {
+pub fn take_suspects(state: &State, suspects: &[(u64, CrashRecord)]) {
     let now = state.clock.now();
     let mut known = state.suspects.borrow_mut();
     for (digest, record) in suspects {
--- a/filbertpaddle-gateway/src/request.rs
+++ b/filbertpaddle-gateway/src/request.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use filbertpaddle_core::clock::Millis;
-use filbertpaddle_core::suspect::Standing;
+use filbertpaddle_core::suspect::QuarantineStatus;
 use filbertpaddle_forward::configuration::Configuration;
 use filbertpaddle_forward::configuration::Customer;
 use filbertpaddle_forward::configuration::Route;
@@ -119,7 +119,7 @@
         body,
     };
     let job = received.into_job(state, &configuration, route, customer);
-    if state.suspects.borrow().standing(job.digest) == Standing::Condemned {
+    if state.suspects.borrow().status(job.digest) == QuarantineStatus::Blocked {
         return Err(deny(state, &id, Refusal::Quarantined, &route.name));
     }
     state.budget(&job.ask.service, |budget| budget.requested(received_ms));
@@ -330,7 +330,7 @@
 /// Clears a request that was answered whole of the crashes that it was part of.
 fn answered(job: &Job) {
     let mut suspects = job.state.suspects.borrow_mut();
-    suspects.answered(job.state.clock.now(), job.digest);
+    suspects.record_answer(job.state.clock.now(), job.digest);
 }
 
 fn stop_name(stop: &Stop) -> &'static str {
--- a/filbertpaddle-wire/src/grant.rs
+++ b/filbertpaddle-wire/src/grant.rs
@@ -5,7 +5,7 @@
 use filbertpaddle_core::outcome::Reason;
 use filbertpaddle_core::scheduler::Ending;
 use filbertpaddle_core::slot::Source;
-use filbertpaddle_core::suspect::Record;
+use filbertpaddle_core::suspect::CrashRecord;
 use filbertpaddle_core::template::Priority;
 use serde::Deserialize;
 use serde::Serialize;
@@ -41,7 +41,7 @@
     Release(Name, Used, End),
     /// What is known of the request with this digest.
     #[serde(rename = "x")]
-    Suspect(Name, u64, Record),
+    Suspect(Name, u64, CrashRecord),
     /// Asks what the holder holds.
     #[serde(rename = "c")]
     Collect(Name, Collect),
--- a/filbertpaddle/src/placer.rs
+++ b/filbertpaddle/src/placer.rs
@@ -18,8 +18,8 @@
 use filbertpaddle_core::scheduler::TargetView;
 use filbertpaddle_core::slot::Grant;
 use filbertpaddle_core::slot::Key;
-use filbertpaddle_core::suspect::Record;
-use filbertpaddle_core::suspect::Standing;
+use filbertpaddle_core::suspect::CrashRecord;
+use filbertpaddle_core::suspect::QuarantineStatus;
 use filbertpaddle_target::protocol::LoadReport;
 use filbertpaddle_wire::grant::End;
 use filbertpaddle_wire::grant::Want;
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub(crate) struct Suspect {
     pub(crate) digest: u64,
-    pub(crate) record: Record,
+    pub(crate) record: CrashRecord,
 }
 
 /// Work that holds a slot.
@@ -74,7 +74,7 @@
     /// Starts anew for a new ownership; only the suspects stay known.
     pub(crate) fn restart(&mut self, now: Millis) {
         let old = std::mem::replace(self, Self::new(self.settings));
-        for (digest, record) in old.scheduler.suspects().changes(Millis::ZERO) {
+        for (digest, record) in old.scheduler.suspects().changed_since(Millis::ZERO) {
             self.scheduler.suspected(now, digest, record);
         }
     }
@@ -222,18 +222,18 @@
 
     /// Returns whether a request has crashed too many targets.
     pub(crate) fn is_condemned(&self, digest: u64) -> bool {
-        self.scheduler.suspects().standing(digest) == Standing::Condemned
+        self.scheduler.suspects().status(digest) == QuarantineStatus::Blocked
     }
 
     /// Takes in what another node knows of a request.
-    pub(crate) fn suspected(&mut self, now: Millis, digest: u64, record: &Record) {
+    pub(crate) fn suspected(&mut self, now: Millis, digest: u64, record: &CrashRecord) {
         self.scheduler.suspected(now, digest, record);
     }
 
     /// Returns the suspects whose records changed since the last call.
     pub(crate) fn suspects(&mut self, now: Millis) -> Vec<Suspect> {
         let since = std::mem::replace(&mut self.passed_ms, now + Millis(1));
-        let changes = self.scheduler.suspects().changes(since);
+        let changes = self.scheduler.suspects().changed_since(since);
         changes
             .map(|(digest, record)| Suspect {
                 digest,
