--- a/filbertpaddle-core/src/retry.rs
+++ b/filbertpaddle-core/src/retry.rs
@@ -42,7 +42,7 @@
     }
 
     /// Records a first attempt or retry that succeeded.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         let most = self.settings.burst.saturating_mul(RETRY);
         self.left = self
             .left
@@ -51,7 +51,7 @@
     }
 
     /// Takes one retry; `false` if the failure must be told to the caller.
-    pub fn take(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         let Some(left) = self.left.checked_sub(RETRY) else {
             return false;
         };
--- a/filbertpaddle-core/tests/retry.rs
+++ b/filbertpaddle-core/tests/retry.rs
@@ -24,9 +24,9 @@
         let (mut succeeded, mut retried) = (0, 0);
         for success in successes {
             if success {
-                budget.succeeded();
+                budget.record_success();
                 succeeded += 1;
-            } else if budget.take() {
+            } else if budget.try_take() {
                 retried += 1;
             }
             prop_assert!(retried <= 5 + succeeded / 10);
--- a/filbertpaddle/src/retries.rs
+++ b/filbertpaddle/src/retries.rs
@@ -28,7 +28,7 @@
     /// Records that a request to a pool gave a whole answer.
     pub fn succeeded(&self, pool: &Name) {
         if let Some(budget) = self.lock().get_mut(pool) {
-            budget.succeeded();
+            budget.record_success();
         }
     }
 
@@ -37,7 +37,7 @@
         self.lock()
             .entry(pool.clone())
             .or_insert_with(|| Budget::new(self.settings))
-            .take()
+            .try_take()
     }
 
     fn lock(&self) -> MutexGuard<'_, IndexMap<Name, Budget>> {
