--- a/filbertpaddle-core/benches/scheduler.rs
+++ b/filbertpaddle-core/benches/scheduler.rs
@@ -66,7 +66,7 @@
                 ask: ask(id, Millis(0)),
                 target: view.name.clone(),
             };
-            scheduler.started(Millis(0), SlotId(id), &placement);
+            scheduler.record_start(Millis(0), SlotId(id), &placement);
         }
     }
     scheduler
@@ -87,7 +87,7 @@
                     id += 1;
                     now = now + Millis(1);
                     scheduler.push(now, ask(id, now)).ok();
-                    black_box(scheduler.next(now, &views))
+                    black_box(scheduler.next_placement(now, &views))
                 });
             });
         }
@@ -108,7 +108,7 @@
         group.bench_function(BenchmarkId::from_parameter(targets), |bencher| {
             bencher.iter(|| {
                 now = now + Millis(1);
-                black_box(scheduler.next(now, &views))
+                black_box(scheduler.next_placement(now, &views))
             });
         });
     }
--- a/filbertpaddle-core/examples/embed.rs
+++ b/filbertpaddle-core/examples/embed.rs
@@ -32,10 +32,10 @@
     }
     let mut targets = [target("engine-1"), target("engine-2")];
     let mut slots = Vec::new();
-    while let Some(placement) = scheduler.next(now, &targets) {
+    while let Some(placement) = scheduler.next_placement(now, &targets) {
         println!("ask {} goes to {}", placement.ask.id.0, placement.target);
         let slot = SlotId(placement.ask.id.0);
-        scheduler.started(now, slot, &placement);
+        scheduler.record_start(now, slot, &placement);
         slots.push(slot);
         for target in &mut targets {
             if target.name == placement.target {
@@ -46,7 +46,7 @@
     println!("{} asks wait", scheduler.queued());
     now = now + Millis::from_secs(5);
     for slot in slots {
-        scheduler.ended(now, slot, 120, Ending::Complete);
+        scheduler.record_end(now, slot, 120, Ending::Complete);
     }
 }
 
--- a/filbertpaddle-core/src/scheduler.rs
+++ b/filbertpaddle-core/src/scheduler.rs
@@ -37,8 +37,8 @@
 
 /// Orders the asks of one pool and chooses their targets.
 ///
-/// The owner calls [`Self::next`] until it yields `None` after each event and
-/// answers every placement with [`Self::started`] before it calls again. The
+/// The owner calls [`Self::next_placement`] until it yields `None` after each event and
+/// answers every placement with [`Self::record_start`] before it calls again. The
 /// scheduler never places on a target without a free slot in its view.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
@@ -151,7 +151,7 @@
     }
 
     /// Takes the next ask that can be placed now.
-    pub fn next(&mut self, now: Millis, targets: &[TargetView]) -> Option<Placement> {
+    pub fn next_placement(&mut self, now: Millis, targets: &[TargetView]) -> Option<Placement> {
         if targets.iter().all(|view| view.free_slots == 0) {
             return None;
         }
@@ -280,7 +280,7 @@
     /// Records that a slot was granted for a placement.
     ///
     /// A successor also records what it learns to be running this way.
-    pub fn started(&mut self, now: Millis, slot: SlotId, placement: &Placement) {
+    pub fn record_start(&mut self, now: Millis, slot: SlotId, placement: &Placement) {
         let ask = placement.ask.clone();
         let cost_tokens = self.cost_tokens(&ask);
         if ask.digest != 0 {
@@ -294,7 +294,7 @@
     }
 
     /// Records that a slot's use has ended after `tokens` tokens of output.
-    pub fn ended(&mut self, now: Millis, slot: SlotId, tokens: u32, ending: Ending) {
+    pub fn record_end(&mut self, now: Millis, slot: SlotId, tokens: u32, ending: Ending) {
         let Some(target) = self.slots.swap_remove(&slot) else {
             return;
         };
@@ -352,14 +352,14 @@
     }
 
     /// Records a load report, which may be late or repeated.
-    pub fn reported(&mut self, now: Millis, target: &Name, load: &Load) {
+    pub fn record_load(&mut self, now: Millis, target: &Name, load: &Load) {
         if let Some(engine) = self.engines.get_mut(target) {
             engine.report(now, load, &self.line);
         }
     }
 
     /// Records a cache event, which may be late or follow a gap.
-    pub fn cached(&mut self, now: Millis, target: &Name, prefix: u64, held: bool) {
+    pub fn record_cache_event(&mut self, now: Millis, target: &Name, prefix: u64, held: bool) {
         let Some(engine) = self.engines.get_mut(target) else {
             return;
         };
@@ -373,7 +373,7 @@
     /// Forgets what was learned of a target that left or began a new life.
     ///
     /// Slots that run there stay recorded until they end.
-    pub fn forget(&mut self, now: Millis, target: &Name) {
+    pub fn reset_target(&mut self, now: Millis, target: &Name) {
         let Some(engine) = self.engines.get_mut(target) else {
             return;
         };
@@ -385,7 +385,7 @@
     }
 
     /// Joins what another node knows of a request that was part of crashes.
-    pub fn suspected(&mut self, now: Millis, digest: u64, record: &suspect::CrashRecord) {
+    pub fn merge_crash_record(&mut self, now: Millis, digest: u64, record: &suspect::CrashRecord) {
         self.suspects.merge(now, digest, record);
         self.refuse_condemned(digest);
     }
@@ -397,7 +397,7 @@
 
     /// Removes the asks that get no slot any more: their deadline has come or
     /// their request has crashed too many targets.
-    pub fn expired(&mut self, now: Millis) -> Vec<Refusal> {
+    pub fn take_refusals(&mut self, now: Millis) -> Vec<Refusal> {
         let late = self.queue.expire(now).into_iter();
         let late_apart = self.apart.expire(now).into_iter();
         let refusals: Vec<_> = late
@@ -420,7 +420,7 @@
         self.backlog.retry_after(ahead_tokens, patience)
     }
 
-    /// Returns when to call [`Self::expired`] and [`Self::next`] without an
+    /// Returns when to call [`Self::take_refusals`] and [`Self::next_placement`] without an
     /// event in between; `None` if nothing is queued.
     pub fn next_wake(&self, now: Millis) -> Option<Millis> {
         if !self.refused.is_empty() {
--- a/filbertpaddle-core/tests/quarantine.rs
+++ b/filbertpaddle-core/tests/quarantine.rs
@@ -93,15 +93,15 @@
     fn place(&mut self) {
         loop {
             let views: Vec<_> = self.targets.iter().map(|name| self.view(name)).collect();
-            let Some(placement) = self.scheduler.next(self.now, &views) else {
+            let Some(placement) = self.scheduler.next_placement(self.now, &views) else {
                 break;
             };
             self.next_id += 1;
             let slot = SlotId(self.next_id);
-            self.scheduler.started(self.now, slot, &placement);
+            self.scheduler.record_start(self.now, slot, &placement);
             self.running.insert(slot.0, placement);
         }
-        let refusals = self.scheduler.expired(self.now);
+        let refusals = self.scheduler.take_refusals(self.now);
         let quarantined = refusals.iter().filter(|r| r.reason == Reason::Quarantined);
         for refusal in quarantined {
             self.refused.extend(self.digests.get(&refusal.id));
@@ -154,7 +154,7 @@
             .collect();
         for slot in &lost {
             self.scheduler
-                .ended(self.now, SlotId(*slot), 3, Ending::Failed);
+                .record_end(self.now, SlotId(*slot), 3, Ending::Failed);
         }
         let again: BTreeSet<u64> = lost
             .iter()
@@ -183,7 +183,7 @@
             .collect();
         for slot in slots {
             self.scheduler
-                .ended(self.now, SlotId(slot), 50, Ending::Complete);
+                .record_end(self.now, SlotId(slot), 50, Ending::Complete);
             let placement = self.running.remove(&slot);
             self.answered.extend(placement.map(|p| p.ask.digest));
         }
@@ -299,7 +299,7 @@
         crashes: (1..=CRASH_LIMIT as u64).collect(),
         cleared: BTreeSet::new(),
     };
-    pool.scheduler.suspected(pool.now, POISON, &record);
+    pool.scheduler.merge_crash_record(pool.now, POISON, &record);
     pool.targets.push(Name::new("late"));
     pool.place();
     assert!(pool.running.is_empty());
--- a/filbertpaddle-core/tests/scheduler.rs
+++ b/filbertpaddle-core/tests/scheduler.rs
@@ -56,7 +56,7 @@
 fn start(scheduler: &mut Scheduler, now: Millis, target: &str, ask: Ask) {
     let slot = SlotId(ask.id.0);
     let target = Name::new(target);
-    scheduler.started(now, slot, &Placement { ask, target });
+    scheduler.record_start(now, slot, &Placement { ask, target });
 }
 
 /// Teaches that outputs of the template end after `tokens` tokens.
@@ -66,15 +66,15 @@
         let mut taught = ask(1_000_000 + id, Millis(0));
         taught.digest = 0;
         start(scheduler, Millis(0), "teacher", taught);
-        scheduler.ended(Millis(0), slot, tokens, Ending::Complete);
+        scheduler.record_end(Millis(0), slot, tokens, Ending::Complete);
     }
 }
 
 fn placed(scheduler: &mut Scheduler, now: Millis, views: &[TargetView]) -> usize {
     let mut count = 0;
-    while let Some(placement) = scheduler.next(now, views) {
+    while let Some(placement) = scheduler.next_placement(now, views) {
         let slot = SlotId(placement.ask.id.0);
-        scheduler.started(now, slot, &placement);
+        scheduler.record_start(now, slot, &placement);
         count += 1;
         assert!(count <= 1_000, "no end of placements");
     }
@@ -124,7 +124,7 @@
             waiting: 0,
             preemptions: 0,
         };
-        scheduler.reported(Millis(step * 100 + 50), &Name::new("a"), &load);
+        scheduler.record_load(Millis(step * 100 + 50), &Name::new("a"), &load);
     }
     scheduler
         .push(Millis(2_000), ask(2, Millis(2_000)))
@@ -145,13 +145,13 @@
     };
     start(&mut scheduler, Millis(0), "b", with_prefix(1));
     scheduler.push(Millis(0), with_prefix(2)).unwrap();
-    let placement = scheduler.next(Millis(0), &views).unwrap();
+    let placement = scheduler.next_placement(Millis(0), &views).unwrap();
     assert_eq!(placement.target, "b");
     for id in 10..200 {
         start(&mut scheduler, Millis(0), "b", ask(id, Millis(0)));
     }
     scheduler.push(Millis(0), with_prefix(3)).unwrap();
-    let placement = scheduler.next(Millis(0), &views).unwrap();
+    let placement = scheduler.next_placement(Millis(0), &views).unwrap();
     assert_eq!(placement.target, "a", "affinity is bounded by load");
 }
 
@@ -167,10 +167,10 @@
             break;
         }
         if id % 10 == 0
-            && let Some(placement) = scheduler.next(now, &views)
+            && let Some(placement) = scheduler.next_placement(now, &views)
         {
-            scheduler.started(now, SlotId(id), &placement);
-            scheduler.ended(now, SlotId(id), 50, Ending::Complete);
+            scheduler.record_start(now, SlotId(id), &placement);
+            scheduler.record_end(now, SlotId(id), 50, Ending::Complete);
         }
     }
     let (queued, refusal) = refusal.unwrap();
@@ -185,11 +185,15 @@
     assert_eq!(scheduler.next_wake(Millis(0)), None);
     scheduler.push(Millis(0), ask(1, Millis(0))).unwrap();
     assert!(scheduler.next_wake(Millis(0)).unwrap() <= Millis::from_secs(10));
-    assert!(scheduler.expired(Millis(9_999)).is_empty());
-    let refused = scheduler.expired(Millis(10_000));
+    assert!(scheduler.take_refusals(Millis(9_999)).is_empty());
+    let refused = scheduler.take_refusals(Millis(10_000));
     assert_eq!(refused.len(), 1);
     assert_eq!(refused[0].reason, Reason::Deadline);
-    assert!(scheduler.next(Millis(10_000), &[view("a", 1, 0)]).is_none());
+    assert!(
+        scheduler
+            .next_placement(Millis(10_000), &[view("a", 1, 0)])
+            .is_none()
+    );
 }
 
 #[test]
@@ -197,17 +201,17 @@
     let mut scheduler = scheduler(Policy::LeastConnections);
     let views = [view("a", 1, 0), view("b", 1, 0)];
     scheduler.push(Millis(0), ask(1, Millis(0))).unwrap();
-    let placement = scheduler.next(Millis(0), &views).unwrap();
+    let placement = scheduler.next_placement(Millis(0), &views).unwrap();
     assert_eq!(placement.target, "a");
-    scheduler.started(Millis(0), SlotId(1), &placement);
-    scheduler.ended(Millis(5), SlotId(1), 0, Ending::Refused);
+    scheduler.record_start(Millis(0), SlotId(1), &placement);
+    scheduler.record_end(Millis(5), SlotId(1), 0, Ending::Refused);
     scheduler.push(Millis(10), ask(2, Millis(10))).unwrap();
-    let placement = scheduler.next(Millis(10), &views).unwrap();
+    let placement = scheduler.next_placement(Millis(10), &views).unwrap();
     assert_eq!(placement.target, "b");
     scheduler
         .push(Millis(2_000), ask(3, Millis(2_000)))
         .unwrap();
-    let placement = scheduler.next(Millis(2_000), &views).unwrap();
+    let placement = scheduler.next_placement(Millis(2_000), &views).unwrap();
     assert_eq!(placement.target, "a");
 }
 
@@ -244,10 +248,10 @@
                 }
                 2 => {
                     if let Some((slot, _)) = running.pop_first() {
-                        scheduler.ended(now, SlotId(slot), tokens, Ending::Complete);
+                        scheduler.record_end(now, SlotId(slot), tokens, Ending::Complete);
                     }
                 }
-                _ => refused += scheduler.expired(now).len(),
+                _ => refused += scheduler.take_refusals(now).len(),
             }
             loop {
                 let views: Vec<_> = names.iter().zip(&limits).enumerate()
@@ -257,10 +261,10 @@
                         Ok(view(name, limit - used, capacity_tokens))
                     })
                     .collect::<Result<_, _>>()?;
-                let Some(placement) = scheduler.next(now, &views) else { break };
+                let Some(placement) = scheduler.next_placement(now, &views) else { break };
                 prop_assert!(placement.ask.deadline_ms > now);
                 let slot = SlotId(placement.ask.id.0);
-                scheduler.started(now, slot, &placement);
+                scheduler.record_start(now, slot, &placement);
                 let target = names.iter().position(|name| placement.target == *name);
                 prop_assert!(running.insert(slot.0, target.unwrap()).is_none());
                 placed += 1;
--- a/filbertpaddle-standins/examples/placement/pool.rs
+++ b/filbertpaddle-standins/examples/placement/pool.rs
@@ -162,11 +162,11 @@
 
     fn place(&mut self) {
         let now = self.now();
-        self.report.refused += self.scheduler.expired(now).len() as u64;
-        while let Some(placement) = self.scheduler.next(now, &self.views) {
+        self.report.refused += self.scheduler.take_refusals(now).len() as u64;
+        while let Some(placement) = self.scheduler.next_placement(now, &self.views) {
             let index = placement.ask.id.0 as usize;
             self.scheduler
-                .started(now, SlotId(index as u64), &placement);
+                .record_start(now, SlotId(index as u64), &placement);
             let place = self
                 .views
                 .iter()
@@ -236,7 +236,7 @@
             };
             let slot = SlotId(attempt.arrival as u64);
             self.scheduler
-                .ended(now, slot, attempt.tokens, Ending::Complete);
+                .record_end(now, slot, attempt.tokens, Ending::Complete);
             self.views[place].free_slots += 1;
             self.report.completed += 1;
             self.report.completed_tokens += u64::from(attempt.tokens);
@@ -249,7 +249,7 @@
         let name = &self.views[place].name;
         let target = &mut self.targets[place];
         if let Some(load) = target.late.pop_front() {
-            self.scheduler.reported(now, name, &load);
+            self.scheduler.record_load(now, name, &load);
         }
         target.late.push_back(target.load(now));
         let known_us = self.now_us.saturating_sub(CACHE_LAG_US);
@@ -258,7 +258,8 @@
             let event = &change.event;
             target.cache_sequence = event.sequence;
             if event.sequence % CACHE_GAP != 0 {
-                self.scheduler.cached(now, name, event.prefix, event.held);
+                self.scheduler
+                    .record_cache_event(now, name, event.prefix, event.held);
             }
         }
         if self.scheduler.queued() > 0 {
--- a/filbertpaddle-standins/src/pool.rs
+++ b/filbertpaddle-standins/src/pool.rs
@@ -233,7 +233,8 @@
             Command::Cache(index, event) => {
                 let now = self.now();
                 let name = &self.targets[index].name;
-                self.scheduler.cached(now, name, event.prefix, event.held);
+                self.scheduler
+                    .record_cache_event(now, name, event.prefix, event.held);
             }
             Command::Out(data_centre) => self.out = data_centre,
         }
@@ -262,7 +263,7 @@
             self.targets[index].held -= 1;
         }
         self.scheduler
-            .ended(now, slot, release.tokens, release.ending);
+            .record_end(now, slot, release.tokens, release.ending);
     }
 
     fn report(&mut self, index: usize, report: Option<LoadReport>) {
@@ -271,18 +272,18 @@
         let incarnation = |report: &LoadReport| report.incarnation;
         let renewed = target.report.as_ref().map(incarnation) != report.as_ref().map(incarnation);
         if renewed {
-            self.scheduler.forget(now, &target.name);
+            self.scheduler.reset_target(now, &target.name);
         }
         if let Some(report) = &report {
             let load = load(now, report);
-            self.scheduler.reported(now, &target.name, &load);
+            self.scheduler.record_load(now, &target.name, &load);
         }
         target.report = report;
     }
 
     fn place(&mut self) {
         let now = self.now();
-        for refusal in self.scheduler.expired(now) {
+        for refusal in self.scheduler.take_refusals(now) {
             if let Some(answer) = self.waiting.swap_remove(&refusal.id) {
                 // The asker may have gone.
                 let _ = answer.send(None);
@@ -292,7 +293,7 @@
             let out = self.out;
             let views: Vec<TargetView> =
                 self.targets.iter().map(|target| target.view(out)).collect();
-            let Some(placement) = self.scheduler.next(now, &views) else {
+            let Some(placement) = self.scheduler.next_placement(now, &views) else {
                 return;
             };
             self.grant(now, &placement);
@@ -306,7 +307,7 @@
         };
         self.next_id += 1;
         let slot = SlotId(self.next_id);
-        self.scheduler.started(now, slot, placement);
+        self.scheduler.record_start(now, slot, placement);
         self.targets[index].held += 1;
         self.held.insert(slot, index);
         let address = self.targets[index].address;
--- a/filbertpaddle/src/placer.rs
+++ b/filbertpaddle/src/placer.rs
@@ -75,7 +75,7 @@
     pub(crate) fn restart(&mut self, now: Millis) {
         let old = std::mem::replace(self, Self::new(self.settings));
         for (digest, record) in old.scheduler.suspects().changed_since(Millis::ZERO) {
-            self.scheduler.suspected(now, digest, record);
+            self.scheduler.merge_crash_record(now, digest, record);
         }
     }
 
@@ -107,14 +107,14 @@
         let mut grants = Vec::new();
         while owner.stands(now) && self.scheduler.queued() > 0 {
             let views = self.views(now, owner);
-            let Some(placement) = self.scheduler.next(now, &views) else {
+            let Some(placement) = self.scheduler.next_placement(now, &views) else {
                 break;
             };
             let Some(ask) = self.asks.swap_remove(&placement.ask.id) else {
                 continue;
             };
             let slot = SlotId(self.number());
-            self.scheduler.started(now, slot, &placement);
+            self.scheduler.record_start(now, slot, &placement);
             if let Some(grant) = owner.grant_at(now, &placement.target, &ask) {
                 let target = placement.target;
                 self.placed
@@ -122,7 +122,7 @@
                 grants.push(grant);
                 continue;
             }
-            self.scheduler.ended(now, slot, 0, Ending::Unsent);
+            self.scheduler.record_end(now, slot, 0, Ending::Unsent);
             if owner.is_waiting(&ask) {
                 // The target's room is kept for other members; try again later.
                 if self.scheduler.push(now, placement.ask.clone()).is_ok() {
@@ -150,7 +150,7 @@
 
     /// Returns the requests that get no slot any more.
     pub(crate) fn denied(&mut self, now: Millis) -> Vec<Denied> {
-        let refusals = self.scheduler.expired(now);
+        let refusals = self.scheduler.take_refusals(now);
         refusals
             .into_iter()
             .filter_map(|refusal| {
@@ -167,7 +167,7 @@
             ask: scheduler_ask(now, AskId(slot.0), want),
             target: target.clone(),
         };
-        self.scheduler.started(now, slot, &placement);
+        self.scheduler.record_start(now, slot, &placement);
         let target = placement.target;
         self.placed.insert(key.clone(), Placed { slot, target });
     }
@@ -176,7 +176,7 @@
     pub(crate) fn ended(&mut self, now: Millis, key: &Key, end: End) {
         if let Some(placed) = self.placed.swap_remove(key) {
             self.scheduler
-                .ended(now, placed.slot, end.tokens, end.ending);
+                .record_end(now, placed.slot, end.tokens, end.ending);
         }
     }
 
@@ -198,7 +198,7 @@
             waiting: load.waiting,
             preemptions: load.preemptions,
         };
-        self.scheduler.reported(now, target, &report);
+        self.scheduler.record_load(now, target, &report);
         let ledger = owner.and_then(|owner| {
             let mut ledgers = owner.ledgers().iter();
             ledgers.find(|ledger| ledger.target == *target)
@@ -227,7 +227,7 @@
 
     /// Takes in what another node knows of a request.
     pub(crate) fn suspected(&mut self, now: Millis, digest: u64, record: &CrashRecord) {
-        self.scheduler.suspected(now, digest, record);
+        self.scheduler.merge_crash_record(now, digest, record);
     }
 
     /// Returns the suspects whose records changed since the last call.
