--- a/filbertpaddle-core/benches/scheduler.rs
+++ b/filbertpaddle-core/benches/scheduler.rs
@@ -8,8 +8,8 @@
 use criterion::criterion_group;
 use criterion::criterion_main;
 use filbertpaddle_core::clock::Millis;
-use filbertpaddle_core::length::Lengths;
 use filbertpaddle_core::name::Name;
+use filbertpaddle_core::output_length::OutputLengths;
 use filbertpaddle_core::policy::Policy;
 use filbertpaddle_core::policy::Settings;
 use filbertpaddle_core::queue::Entry;
@@ -143,7 +143,7 @@
     let template = Name::new("template");
     criterion.bench_function("length", |bencher| {
         bencher.iter_batched_ref(
-            Lengths::new,
+            OutputLengths::new,
             |lengths| lengths.ended(&template, black_box(700)),
             BatchSize::SmallInput,
         );
--- a/filbertpaddle-core/src/apart.rs
+++ b/filbertpaddle-core/src/isolated_queue.rs
@@ -10,11 +10,11 @@
 
 /// Asks whose request is a suspect or already runs often enough, by digest.
 #[derive(Clone, Debug, Default)]
-pub struct Apart {
+pub struct IsolatedQueue {
     waiting: IndexMap<u64, VecDeque<Entry>>,
 }
 
-impl Apart {
+impl IsolatedQueue {
     /// Adds an ask behind the others of its digest.
     pub fn push(&mut self, entry: Entry) {
         self.waiting
--- a/filbertpaddle-core/src/memory.rs
+++ b/filbertpaddle-core/src/memory_forecast.rs
@@ -1,6 +1,6 @@
 //! Predicted memory of a batch whose output lengths are unknown.
 
-use crate::length::Curve;
+use crate::output_length::SurvivalCurve;
 
 /// Tokens ahead of now at which the memory of a batch is predicted.
 const STEPS: [u32; 12] = [
@@ -11,27 +11,27 @@
 
 /// One attempt's memory now and how it may grow.
 #[derive(Clone, Copy, Debug)]
-pub struct Attempt<'a> {
+pub struct AttemptMemory<'a> {
     /// Tokens of the prompt that are not shared with others.
     pub prompt_tokens: u32,
     /// Tokens generated so far.
     pub out_tokens: u32,
     /// Most tokens it may generate.
     pub max_tokens: u32,
-    /// Lengths to expect of its template.
-    pub curve: &'a Curve,
+    /// OutputLengths to expect of its template.
+    pub curve: &'a SurvivalCurve,
 }
 
 /// Mean and variance of a batch's memory at several steps ahead.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Forecast {
+pub struct MemoryForecast {
     mean: [f32; STEPS.len()],
     variance: [f32; STEPS.len()],
 }
 
-impl Forecast {
+impl MemoryForecast {
     /// Adds an attempt to the batch.
-    pub fn add(&mut self, attempt: &Attempt<'_>) {
+    pub fn add(&mut self, attempt: &AttemptMemory<'_>) {
         let held = (attempt.prompt_tokens + attempt.out_tokens) as f32 + PAGE_SLACK_TOKENS;
         for (step, ahead) in STEPS.iter().enumerate() {
             let length = attempt.out_tokens + ahead;
--- a/filbertpaddle-core/src/length.rs
+++ b/filbertpaddle-core/src/output_length.rs
@@ -15,9 +15,9 @@
 
 /// Output lengths of all templates of one pool.
 #[derive(Clone, Debug)]
-pub struct Lengths {
+pub struct OutputLengths {
     all: Histogram,
-    curve: Curve,
+    curve: SurvivalCurve,
     templates: IndexMap<Name, Learned>,
 }
 
@@ -25,16 +25,16 @@
 #[derive(Clone, Debug)]
 struct Learned {
     own: Histogram,
-    curve: Curve,
+    curve: SurvivalCurve,
 }
 
-impl Default for Lengths {
+impl Default for OutputLengths {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Lengths {
+impl OutputLengths {
     /// Creates distributions that expect every bucket of lengths alike.
     pub fn new() -> Self {
         let all = Histogram::log_uniform();
@@ -59,7 +59,7 @@
     }
 
     /// Returns the lengths to expect of a template.
-    pub fn curve(&self, template: &Name) -> &Curve {
+    pub fn curve(&self, template: &Name) -> &SurvivalCurve {
         self.templates
             .get(template)
             .map_or(&self.curve, |learned| &learned.curve)
@@ -88,11 +88,11 @@
 
 /// The chance of an output to reach a length.
 #[derive(Clone, Debug)]
-pub struct Curve {
+pub struct SurvivalCurve {
     reach: [f32; BUCKETS + 1],
 }
 
-impl Curve {
+impl SurvivalCurve {
     /// Returns the chance that an output of `out` tokens so far reaches `length`.
     pub fn reach(&self, out: u32, length: u32) -> f32 {
         if length <= out {
@@ -150,14 +150,14 @@
     }
 
     /// Returns the curve of `own` samples with these as its prior.
-    fn curve(&self, own: &Self) -> Curve {
+    fn curve(&self, own: &Self) -> SurvivalCurve {
         let scale = PRIOR_SAMPLES / self.reach[0];
         let mut reach = self.reach;
         reach
             .iter_mut()
             .zip(own.reach)
             .for_each(|(count, own)| *count = *count * scale + own);
-        Curve { reach }
+        SurvivalCurve { reach }
     }
 
     fn add(&mut self, tokens: u32) {
@@ -167,7 +167,7 @@
             .for_each(|count| *count += 1.0);
     }
 
-    fn add_cut(&mut self, tokens: u32, curve: &Curve) {
+    fn add_cut(&mut self, tokens: u32, curve: &SurvivalCurve) {
         self.decay();
         self.reach[..BUCKETS]
             .iter_mut()
--- a/filbertpaddle-core/src/placement.rs
+++ b/filbertpaddle-core/src/placement.rs
@@ -5,13 +5,13 @@
 use crate::ask::Ask;
 use crate::ask::TargetView;
 use crate::clock::Millis;
-use crate::engine;
-use crate::engine::Engine;
-use crate::length::Lengths;
-use crate::memory::Forecast;
+use crate::memory_forecast::MemoryForecast;
 use crate::name::Name;
-use crate::pace::Line;
+use crate::output_length::OutputLengths;
 use crate::policy::Settings;
+use crate::target_state;
+use crate::target_state::TargetState;
+use crate::token_gap::GapModel;
 
 /// How much fuller a target may be than the emptiest to be chosen for a prefix
 /// it holds, as a part of its limits.
@@ -48,9 +48,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Knowledge<'a> {
     /// Token gap over batch size.
-    pub line: &'a Line,
+    pub line: &'a GapModel,
     /// Output lengths.
-    pub lengths: &'a Lengths,
+    pub lengths: &'a OutputLengths,
     /// Bounds to fill targets to.
     pub limits: Limits,
 }
@@ -63,17 +63,17 @@
     now: Millis,
     ask: &Ask,
     open: &[&'a TargetView],
-    engines: &mut IndexMap<Name, Engine>,
+    engines: &mut IndexMap<Name, TargetState>,
     known: &Knowledge<'_>,
 ) -> Option<&'a TargetView> {
-    let mut more = Forecast::default();
-    more.add(&engine::attempt(ask, 0, known.lengths));
+    let mut more = MemoryForecast::default();
+    more.add(&target_state::attempt_memory(ask, 0, known.lengths));
     let mut best: Option<(f32, &TargetView)> = None;
     let mut best_holder: Option<(f32, &TargetView)> = None;
     for view in open {
         let engine = engines
             .entry(view.name.clone())
-            .or_insert_with(|| Engine::new(now));
+            .or_insert_with(|| TargetState::new(now));
         let Some(fill) = fill(now, ask, &more, view, engine, known) else {
             continue;
         };
@@ -98,9 +98,9 @@
 fn fill(
     now: Millis,
     ask: &Ask,
-    more: &Forecast,
+    more: &MemoryForecast,
     view: &TargetView,
-    engine: &mut Engine,
+    engine: &mut TargetState,
     known: &Knowledge<'_>,
 ) -> Option<f32> {
     if !engine.is_open(now) {
@@ -127,9 +127,9 @@
 /// Chooses the target with the fewest running attempts.
 pub fn least_connections<'a>(
     open: &[&'a TargetView],
-    engines: &IndexMap<Name, Engine>,
+    engines: &IndexMap<Name, TargetState>,
 ) -> Option<&'a TargetView> {
-    let batch = |view: &TargetView| engines.get(&view.name).map_or(0, Engine::batch);
+    let batch = |view: &TargetView| engines.get(&view.name).map_or(0, TargetState::batch);
     open.iter().copied().min_by_key(|view| batch(view))
 }
 
--- a/filbertpaddle-core/src/backlog.rs
+++ b/filbertpaddle-core/src/placement_rate.rs
@@ -11,13 +11,13 @@
 
 /// The rate at which queued work is placed while there is any.
 #[derive(Clone, Debug, Default)]
-pub struct Backlog {
+pub struct PlacementRate {
     window_ms: Millis,
     placed_tokens: u64,
     tokens_per_ms: Option<f64>,
 }
 
-impl Backlog {
+impl PlacementRate {
     /// Records that work of `tokens` expected tokens was placed.
     ///
     /// `waiting` says whether more work waits, so that an idle pool is not
--- a/filbertpaddle-core/src/prefix.rs
+++ b/filbertpaddle-core/src/prefix_cache.rs
@@ -14,11 +14,11 @@
 /// Cache events come late and with gaps, so nothing rests on them alone: work
 /// that was placed counts as evidence too, and all evidence grows old.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
+pub struct CachedPrefixes {
     seen: IndexMap<u64, Millis>,
 }
 
-impl Held {
+impl CachedPrefixes {
     /// Records evidence that a prefix is held.
     pub fn insert(&mut self, now: Millis, prefix: u64) {
         if prefix == 0 {
--- a/filbertpaddle-core/src/orders.rs
+++ b/filbertpaddle-core/src/reconciler.rs
@@ -1,4 +1,4 @@
-//! Orders to the targets of one pool: what each is to serve.
+//! Reconciler to the targets of one pool: what each is to serve.
 //!
 //! The owner compares what targets serve with what the templates want and
 //! orders the difference, a few targets at a time. Every order is preceded by
@@ -20,7 +20,7 @@
 
 /// What a target serves.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Served {
+pub struct ServedModel {
     /// Model that is loaded.
     pub model: Name,
     /// Version that is loaded.
@@ -32,24 +32,24 @@
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Read what the target serves and answer with [`Orders::read`].
+    /// Read what the target serves and answer with [`Reconciler::read`].
     Read {
         /// Name of the target.
         target: Name,
     },
-    /// Ask the weight store and answer with [`Orders::permitted`].
+    /// Ask the weight store and answer with [`Reconciler::permitted`].
     AskWeights {
         /// Name of the target that is to load.
         target: Name,
         /// What is to be loaded.
-        wanted: Served,
+        wanted: ServedModel,
     },
-    /// Give the order and answer with [`Orders::ordered`].
+    /// Give the order and answer with [`Reconciler::ordered`].
     Order {
         /// Name of the target.
         target: Name,
         /// What it is to serve.
-        wanted: Served,
+        wanted: ServedModel,
         /// Fencing number of the order.
         epoch: u64,
     },
@@ -78,19 +78,19 @@
     Ignored,
 }
 
-/// Orders of one owner to the targets of its pool.
+/// Reconciler of one owner to the targets of its pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Orders {
+pub struct Reconciler {
     epoch: u64,
     since_ms: Millis,
     fencing: Fencing,
-    wanted: Served,
+    wanted: ServedModel,
     targets: IndexMap<Name, Phase>,
 }
 
-impl Orders {
+impl Reconciler {
     /// Starts to order as the owner with this epoch.
-    pub fn new(epoch: u64, fencing: Fencing, wanted: Served, now: Millis) -> Self {
+    pub fn new(epoch: u64, fencing: Fencing, wanted: ServedModel, now: Millis) -> Self {
         Self {
             epoch,
             since_ms: now,
@@ -101,7 +101,7 @@
     }
 
     /// Changes what the pool is to serve.
-    pub fn want(&mut self, wanted: Served) {
+    pub fn want(&mut self, wanted: ServedModel) {
         if self.wanted == wanted {
             return;
         }
@@ -158,7 +158,7 @@
     }
 
     /// Takes in what a target serves; `None` means that it could not be read.
-    pub fn read(&mut self, now: Millis, target: &str, served: Option<&Served>) {
+    pub fn read(&mut self, now: Millis, target: &str, served: Option<&ServedModel>) {
         let differs = served.is_some_and(|served| *served != self.wanted);
         // A reading from before the last order in flight could land proves nothing.
         let settled = self.may_order(now);
--- a/filbertpaddle-core/src/scheduler.rs
+++ b/filbertpaddle-core/src/scheduler.rs
@@ -2,7 +2,6 @@
 
 use indexmap::IndexMap;
 
-use crate::apart::Apart;
 pub use crate::ask::Ask;
 pub use crate::ask::Ending;
 pub use crate::ask::Id as AskId;
@@ -11,16 +10,15 @@
 pub use crate::ask::Refusal;
 pub use crate::ask::SlotId;
 pub use crate::ask::TargetView;
-use crate::backlog::Backlog;
 use crate::clock::Millis;
-use crate::engine::Engine;
-use crate::length::Lengths;
+use crate::isolated_queue::IsolatedQueue;
 use crate::name::Name;
 use crate::outcome::Reason;
-use crate::pace::Line;
+use crate::output_length::OutputLengths;
 use crate::placement;
 use crate::placement::Knowledge;
 use crate::placement::Limits;
+use crate::placement_rate::PlacementRate;
 use crate::policy::Policy;
 use crate::policy::Settings;
 use crate::queue::Entry;
@@ -28,6 +26,8 @@
 use crate::suspect;
 use crate::suspect::QuarantineStatus;
 use crate::suspect::Suspects;
+use crate::target_state::TargetState;
+use crate::token_gap::GapModel;
 
 /// Asks that are tried before a call yields nothing.
 const LOOKAHEAD: usize = 4;
@@ -35,7 +35,7 @@
 /// memory of what runs is predicted to change.
 const POLL: Millis = Millis(50);
 
-/// Orders the asks of one pool and chooses their targets.
+/// Reconciler the asks of one pool and chooses their targets.
 ///
 /// The owner calls [`Self::next_placement`] until it yields `None` after each event and
 /// answers every placement with [`Self::record_start`] before it calls again. The
@@ -44,13 +44,13 @@
 pub struct Scheduler {
     settings: Settings,
     queue: Queue,
-    apart: Apart,
+    apart: IsolatedQueue,
     refused: Vec<Refusal>,
-    backlog: Backlog,
-    line: Line,
-    lengths: Lengths,
+    backlog: PlacementRate,
+    line: GapModel,
+    lengths: OutputLengths,
     suspects: Suspects,
-    engines: IndexMap<Name, Engine>,
+    engines: IndexMap<Name, TargetState>,
     slots: IndexMap<SlotId, Name>,
     copies: IndexMap<u64, usize>,
     turn: usize,
@@ -66,11 +66,11 @@
         Self {
             settings,
             queue,
-            apart: Apart::default(),
+            apart: IsolatedQueue::default(),
             refused: Vec::new(),
-            backlog: Backlog::default(),
-            line: Line::new(),
-            lengths: Lengths::new(),
+            backlog: PlacementRate::default(),
+            line: GapModel::new(),
+            lengths: OutputLengths::new(),
             suspects: Suspects::new(),
             engines: IndexMap::new(),
             slots: IndexMap::new(),
@@ -289,7 +289,7 @@
         self.slots.insert(slot, placement.target.clone());
         self.engines
             .entry(placement.target.clone())
-            .or_insert_with(|| Engine::new(now))
+            .or_insert_with(|| TargetState::new(now))
             .start(now, slot, ask, cost_tokens, &self.line, &self.lengths);
     }
 
--- a/filbertpaddle-core/src/engine.rs
+++ b/filbertpaddle-core/src/target_state.rs
@@ -8,13 +8,13 @@
 use crate::ask::Load;
 use crate::ask::SlotId;
 use crate::clock::Millis;
-use crate::length::Lengths;
-use crate::memory;
-use crate::memory::Forecast;
-use crate::pace::Line;
-use crate::pace::Mark;
-use crate::pace::Progress;
-use crate::prefix::Held;
+use crate::memory_forecast;
+use crate::memory_forecast::MemoryForecast;
+use crate::output_length::OutputLengths;
+use crate::prefix_cache::CachedPrefixes;
+use crate::token_gap::GapModel;
+use crate::token_gap::ProgressSnapshot;
+use crate::token_gap::TokenProgress;
 
 /// Age at which a forecast is computed anew.
 const FORECAST_AGE: Millis = Millis(200);
@@ -42,7 +42,7 @@
     pub ask: Ask,
     /// Tokens charged to its customer.
     pub cost_tokens: u64,
-    start: Mark,
+    start: ProgressSnapshot,
 }
 
 /// Work that has ended, as far as late reports may still count it.
@@ -69,34 +69,34 @@
 
 /// One target as the scheduler sees it.
 #[derive(Clone, Debug)]
-pub struct Engine {
+pub struct TargetState {
     /// Prefixes it is taken to hold.
-    pub prefixes: Held,
+    pub prefixes: CachedPrefixes,
     burst: Burst,
     avoided_until_ms: Millis,
     crashed_ms: Option<Millis>,
-    progress: Progress,
+    progress: TokenProgress,
     running: IndexMap<SlotId, Running>,
     shared: IndexMap<u64, Shared>,
     ended: VecDeque<Ended>,
-    forecast: Forecast,
+    forecast: MemoryForecast,
     forecast_ms: Option<Millis>,
     correction_tokens: f32,
 }
 
-impl Engine {
+impl TargetState {
     /// Creates a target first seen at `now`, with nothing running.
     pub fn new(now: Millis) -> Self {
         Self {
-            prefixes: Held::default(),
+            prefixes: CachedPrefixes::default(),
             burst: Burst::default(),
             avoided_until_ms: Millis::ZERO,
             crashed_ms: None,
-            progress: Progress::new(now),
+            progress: TokenProgress::new(now),
             running: IndexMap::new(),
             shared: IndexMap::new(),
             ended: VecDeque::new(),
-            forecast: Forecast::default(),
+            forecast: MemoryForecast::default(),
             forecast_ms: None,
             correction_tokens: 0.0,
         }
@@ -136,14 +136,14 @@
         slot: SlotId,
         ask: Ask,
         cost_tokens: u64,
-        line: &Line,
-        lengths: &Lengths,
+        line: &GapModel,
+        lengths: &OutputLengths,
     ) {
         self.advance(now, line);
         self.prefixes.insert(now, ask.prefix);
         self.share(&ask);
         self.join_burst(now, &ask);
-        self.forecast.add(&attempt(&ask, 0, lengths));
+        self.forecast.add(&attempt_memory(&ask, 0, lengths));
         let start = self.progress.mark();
         let running = Running {
             ask,
@@ -171,7 +171,13 @@
     }
 
     /// Removes work that has ended after `tokens` tokens.
-    pub fn end(&mut self, now: Millis, slot: SlotId, tokens: u32, line: &Line) -> Option<Running> {
+    pub fn end(
+        &mut self,
+        now: Millis,
+        slot: SlotId,
+        tokens: u32,
+        line: &GapModel,
+    ) -> Option<Running> {
         self.advance(now, line);
         let running = self.running.swap_remove(&slot)?;
         self.forecast_ms = None;
@@ -210,27 +216,32 @@
     }
 
     /// Learns the token gap from work that ended by itself.
-    pub fn learn_gap(&mut self, running: &Running, tokens: u32, line: &mut Line) {
+    pub fn learn_gap(&mut self, running: &Running, tokens: u32, line: &mut GapModel) {
         self.progress.learn(&running.start, tokens, line);
     }
 
     /// Returns the token gap to expect with `more` attempts added, in milliseconds.
-    pub fn gap_ms(&self, more: usize, line: &Line) -> f64 {
+    pub fn gap_ms(&self, more: usize, line: &GapModel) -> f64 {
         self.progress.gap_ms(self.batch() + more, line)
     }
 
     /// Returns the memory of the batch, computed anew where it is old.
-    pub fn forecast(&mut self, now: Millis, line: &Line, lengths: &Lengths) -> &Forecast {
+    pub fn forecast(
+        &mut self,
+        now: Millis,
+        line: &GapModel,
+        lengths: &OutputLengths,
+    ) -> &MemoryForecast {
         let fresh = self
             .forecast_ms
             .is_some_and(|at_ms| now.since(at_ms) < FORECAST_AGE);
         if !fresh {
             self.advance(now, line);
-            self.forecast = Forecast::default();
+            self.forecast = MemoryForecast::default();
             for running in self.running.values() {
                 let out_tokens = self.progress.tokens_since(&running.start);
                 self.forecast
-                    .add(&attempt(&running.ask, out_tokens, lengths));
+                    .add(&attempt_memory(&running.ask, out_tokens, lengths));
             }
             self.forecast_ms = Some(now);
         }
@@ -277,7 +288,7 @@
     }
 
     /// Compares a late report with what was known to run when it was taken.
-    pub fn report(&mut self, now: Millis, load: &Load, line: &Line) {
+    pub fn report(&mut self, now: Millis, load: &Load, line: &GapModel) {
         self.advance(now, line);
         let lag_ms = now.since(load.taken_ms);
         if lag_ms >= ENDED_AGE {
@@ -305,7 +316,7 @@
         self.correction_tokens += CORRECTION_PART * (excess - self.correction_tokens);
     }
 
-    fn advance(&mut self, now: Millis, line: &Line) {
+    fn advance(&mut self, now: Millis, line: &GapModel) {
         self.progress.advance(now, self.running.len(), line);
         while self
             .ended
@@ -318,8 +329,12 @@
 }
 
 /// Returns the memory of an ask's work after `out_tokens` tokens.
-pub fn attempt<'a>(ask: &Ask, out_tokens: u32, lengths: &'a Lengths) -> memory::Attempt<'a> {
-    memory::Attempt {
+pub fn attempt_memory<'a>(
+    ask: &Ask,
+    out_tokens: u32,
+    lengths: &'a OutputLengths,
+) -> memory_forecast::AttemptMemory<'a> {
+    memory_forecast::AttemptMemory {
         prompt_tokens: own_tokens(ask),
         out_tokens: out_tokens.min(ask.max_tokens.saturating_sub(1)),
         max_tokens: ask.max_tokens,
--- a/filbertpaddle-core/src/pace.rs
+++ b/filbertpaddle-core/src/token_gap.rs
@@ -13,7 +13,7 @@
 
 /// Token gap of a pool's targets as a line over the batch size.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct GapModel {
     weight: f64,
     batch: f64,
     gap: f64,
@@ -21,13 +21,13 @@
     batch_gap: f64,
 }
 
-impl Default for Line {
+impl Default for GapModel {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Line {
+impl GapModel {
     /// Creates a line through the assumed gaps.
     pub fn new() -> Self {
         let mut line = Self {
@@ -72,7 +72,7 @@
 
 /// Tokens that each attempt of one target has gained since the target was known.
 #[derive(Clone, Debug)]
-pub struct Progress {
+pub struct TokenProgress {
     now_ms: Millis,
     tokens: f64,
     batch_ms: f64,
@@ -81,14 +81,14 @@
 
 /// A reading of a target's progress.
 #[derive(Clone, Copy, Debug)]
-pub struct Mark {
+pub struct ProgressSnapshot {
     /// When it was read.
     pub at_ms: Millis,
     tokens: f64,
     batch_ms: f64,
 }
 
-impl Progress {
+impl TokenProgress {
     /// Creates the progress of a target first seen at `now`.
     pub fn new(now: Millis) -> Self {
         Self {
@@ -100,7 +100,7 @@
     }
 
     /// Moves to `now`, with `batch` attempts running since the last call.
-    pub fn advance(&mut self, now: Millis, batch: usize, line: &Line) {
+    pub fn advance(&mut self, now: Millis, batch: usize, line: &GapModel) {
         let span_ms = now.since(self.now_ms).0 as f64;
         if span_ms <= 0.0 {
             return;
@@ -111,8 +111,8 @@
     }
 
     /// Reads the progress as of the last call of [`Self::advance`].
-    pub fn mark(&self) -> Mark {
-        Mark {
+    pub fn mark(&self) -> ProgressSnapshot {
+        ProgressSnapshot {
             at_ms: self.now_ms,
             tokens: self.tokens,
             batch_ms: self.batch_ms,
@@ -120,17 +120,17 @@
     }
 
     /// Returns the tokens that an attempt gained since `start`.
-    pub fn tokens_since(&self, start: &Mark) -> u32 {
+    pub fn tokens_since(&self, start: &ProgressSnapshot) -> u32 {
         (self.tokens - start.tokens).max(0.0) as u32
     }
 
     /// Returns the gap to expect in a batch of `batch` attempts, in milliseconds.
-    pub fn gap_ms(&self, batch: usize, line: &Line) -> f64 {
+    pub fn gap_ms(&self, batch: usize, line: &GapModel) -> f64 {
         self.factor * line.gap_ms(batch as f64)
     }
 
     /// Learns from an output of `tokens` tokens that ran since `start`.
-    pub fn learn(&mut self, start: &Mark, tokens: u32, line: &mut Line) {
+    pub fn learn(&mut self, start: &ProgressSnapshot, tokens: u32, line: &mut GapModel) {
         let span_ms = self.now_ms.since(start.at_ms).0 as f64;
         if tokens < 8 || span_ms <= 0.0 {
             return;
--- a/filbertpaddle-core/tests/orders.rs
+++ b/filbertpaddle-core/tests/reconciler.rs
@@ -1,33 +1,33 @@
-//! Orders follow the templates, keep limits and respect an earlier owner's.
+//! Reconciler follow the templates, keep limits and respect an earlier owner's.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
-use filbertpaddle_core::orders::Action;
-use filbertpaddle_core::orders::CHANGING_SHARE;
-use filbertpaddle_core::orders::Fencing;
-use filbertpaddle_core::orders::IN_FLIGHT_MS;
-use filbertpaddle_core::orders::Orders;
-use filbertpaddle_core::orders::READ_INTERVAL_MS;
-use filbertpaddle_core::orders::Served;
+use filbertpaddle_core::reconciler::Action;
+use filbertpaddle_core::reconciler::CHANGING_SHARE;
+use filbertpaddle_core::reconciler::Fencing;
+use filbertpaddle_core::reconciler::IN_FLIGHT_MS;
+use filbertpaddle_core::reconciler::READ_INTERVAL_MS;
+use filbertpaddle_core::reconciler::Reconciler;
+use filbertpaddle_core::reconciler::ServedModel;
 
 const EPOCH: u64 = 7;
 const START: Millis = Millis(1_000);
 
-fn served(version: &str) -> Served {
-    Served {
+fn served(version: &str) -> ServedModel {
+    ServedModel {
         model: "teacher".into(),
         version: version.into(),
         adapters: Vec::new(),
     }
 }
 
-fn orders(fencing: Fencing, count: usize) -> Orders {
-    let mut orders = Orders::new(EPOCH, fencing, served("2"), START);
+fn orders(fencing: Fencing, count: usize) -> Reconciler {
+    let mut orders = Reconciler::new(EPOCH, fencing, served("2"), START);
     orders.set_targets((0..count).map(|number| Name::from(format!("engine-{number}"))));
     orders
 }
 
-fn read_all(orders: &mut Orders, now: Millis, version: &str) {
+fn read_all(orders: &mut Reconciler, now: Millis, version: &str) {
     for action in orders.tick(now) {
         let Action::Read { target } = action else {
             panic!("targets are read first: {action:?}");
