--- a/filbertpaddle-core/benches/scheduler.rs
+++ b/filbertpaddle-core/benches/scheduler.rs
@@ -25,7 +25,7 @@
 const BATCH: u64 = 30;
 const CUSTOMERS: u64 = 400;
 
-fn ask(id: u64, now: Millis) -> Ask {
+fn request(id: u64, now: Millis) -> Ask {
     Ask {
         id: AskId(id),
         customer: Name::new(format!("customer-{}", id % CUSTOMERS)),
@@ -63,7 +63,7 @@
         for attempt in 0..BATCH {
             let id = index as u64 * BATCH + attempt;
             let placement = Placement {
-                ask: ask(id, Millis(0)),
+                ask: request(id, Millis(0)),
                 target: view.name.clone(),
             };
             scheduler.record_start(Millis(0), SlotId(id), &placement);
@@ -72,7 +72,7 @@
     scheduler
 }
 
-/// One ask queued and placed, with time going on by a millisecond.
+/// One request queued and placed, with time going on by a millisecond.
 fn place(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("place");
     for targets in [16, 64, 256, 1_000] {
@@ -86,7 +86,7 @@
                 bencher.iter(|| {
                     id += 1;
                     now = now + Millis(1);
-                    scheduler.push(now, ask(id, now)).ok();
+                    scheduler.push(now, request(id, now)).ok();
                     black_box(scheduler.next_placement(now, &views))
                 });
             });
@@ -95,7 +95,7 @@
     group.finish();
 }
 
-/// A call that finds no room, with asks of many customers queued.
+/// A call that finds no room, with requests of many customers queued.
 fn full(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("full");
     for targets in [16, 64, 256, 1_000] {
@@ -103,7 +103,7 @@
         let mut scheduler = loaded(Policy::Predictive, &views);
         let mut now = Millis(1_000);
         for id in 0..2_000 {
-            scheduler.push(now, ask(10_000_000 + id, now)).ok();
+            scheduler.push(now, request(10_000_000 + id, now)).ok();
         }
         group.bench_function(BenchmarkId::from_parameter(targets), |bencher| {
             bencher.iter(|| {
@@ -115,13 +115,13 @@
     group.finish();
 }
 
-/// One ask queued behind others and the first taken.
+/// One request queued behind others and the first taken.
 fn queue(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("queue");
     for length in [100, 1_000, 10_000] {
         let mut queue = Queue::new(5_000);
         let entry = |id| Entry {
-            ask: ask(id, Millis(id)),
+            request: request(id, Millis(id)),
             cost_tokens: 300 + id % 500,
         };
         (0..length).for_each(|id| queue.push(entry(id)));
@@ -130,7 +130,7 @@
             bencher.iter(|| {
                 id += 1;
                 queue.push(entry(id));
-                let first = queue.heads(Millis(id), 1).first().map(|e| e.ask.id);
+                let first = queue.heads(Millis(id), 1).first().map(|e| e.request.id);
                 first.and_then(|first| queue.take(Millis(id), first))
             });
         });
--- a/filbertpaddle-core/src/isolated_queue.rs
+++ b/filbertpaddle-core/src/isolated_queue.rs
@@ -1,4 +1,4 @@
-//! Queued asks that must not run beside just any other work.
+//! Queued requests that must not run beside just any other work.
 
 use std::collections::VecDeque;
 
@@ -8,22 +8,22 @@
 use crate::clock::Millis;
 use crate::queue::Entry;
 
-/// Asks whose request is a suspect or already runs often enough, by digest.
+/// Requests whose request is a suspect or already runs often enough, by digest.
 #[derive(Clone, Debug, Default)]
 pub struct IsolatedQueue {
     waiting: IndexMap<u64, VecDeque<Entry>>,
 }
 
 impl IsolatedQueue {
-    /// Adds an ask behind the others of its digest.
+    /// Adds a request behind the others of its digest.
     pub fn push(&mut self, entry: Entry) {
         self.waiting
-            .entry(entry.ask.digest)
+            .entry(entry.request.digest)
             .or_default()
             .push_back(entry);
     }
 
-    /// Returns up to `count` asks to try, one of each digest.
+    /// Returns up to `count` requests to try, one of each digest.
     pub fn heads(&self, count: usize) -> Vec<&Entry> {
         self.waiting
             .values()
@@ -32,7 +32,7 @@
             .collect()
     }
 
-    /// Takes the first ask of a digest, which then waits behind the others.
+    /// Takes the first request of a digest, which then waits behind the others.
     pub fn take(&mut self, digest: u64) -> Option<Entry> {
         let mut entries = self.waiting.shift_remove(&digest)?;
         let entry = entries.pop_front();
@@ -42,27 +42,27 @@
         entry
     }
 
-    /// Removes all asks of a digest.
+    /// Removes all requests of a digest.
     pub fn take_all(&mut self, digest: u64) -> VecDeque<Entry> {
         self.waiting.shift_remove(&digest).unwrap_or_default()
     }
 
-    /// Removes one ask.
+    /// Removes one request.
     pub fn remove(&mut self, id: AskId) -> Option<Entry> {
-        self.extract(|entry| entry.ask.id == id).pop()
+        self.extract(|entry| entry.request.id == id).pop()
     }
 
-    /// Removes and returns the asks whose deadline has come.
+    /// Removes and returns the requests whose deadline has come.
     pub fn expire(&mut self, now: Millis) -> Vec<Entry> {
-        self.extract(|entry| entry.ask.deadline_ms <= now)
+        self.extract(|entry| entry.request.deadline_ms <= now)
     }
 
-    /// Number of asks of a digest.
+    /// Number of requests of a digest.
     pub fn count(&self, digest: u64) -> usize {
         self.waiting.get(&digest).map_or(0, VecDeque::len)
     }
 
-    /// Number of asks.
+    /// Number of requests.
     pub fn len(&self) -> usize {
         self.waiting.values().map(VecDeque::len).sum()
     }
@@ -77,7 +77,7 @@
         self.waiting
             .values()
             .flatten()
-            .map(|entry| entry.ask.deadline_ms)
+            .map(|entry| entry.request.deadline_ms)
             .min()
     }
 
--- a/filbertpaddle-core/src/placement.rs
+++ b/filbertpaddle-core/src/placement.rs
@@ -1,4 +1,4 @@
-//! Choice of the target for one ask.
+//! Choice of the target for one request.
 
 use indexmap::IndexMap;
 
@@ -33,7 +33,7 @@
 }
 
 impl Limits {
-    /// Returns the bounds that a deployment's settings ask for.
+    /// Returns the bounds that a deployment's settings request for.
     pub fn new(settings: &Settings) -> Self {
         let weight = f32::from(settings.stall_weight_percent.min(100)) / 100.0;
         let gap_part = GAP_PART.0 + f64::from(weight) * (GAP_PART.1 - GAP_PART.0);
@@ -55,32 +55,32 @@
     pub limits: Limits,
 }
 
-/// Chooses among targets that may take the ask; `None` if none has room.
+/// Chooses among targets that may take the request; `None` if none has room.
 ///
 /// The emptiest by prediction is chosen, or one hardly fuller that holds the
-/// ask's prefix.
+/// request's prefix.
 pub fn predictive<'a>(
     now: Millis,
-    ask: &Ask,
+    request: &Ask,
     open: &[&'a TargetView],
     engines: &mut IndexMap<Name, TargetState>,
     known: &Knowledge<'_>,
 ) -> Option<&'a TargetView> {
     let mut more = MemoryForecast::default();
-    more.add(&target_state::attempt_memory(ask, 0, known.lengths));
+    more.add(&target_state::attempt_memory(request, 0, known.lengths));
     let mut best: Option<(f32, &TargetView)> = None;
     let mut best_holder: Option<(f32, &TargetView)> = None;
     for view in open {
         let engine = engines
             .entry(view.name.clone())
             .or_insert_with(|| TargetState::new(now));
-        let Some(fill) = fill(now, ask, &more, view, engine, known) else {
+        let Some(fill) = fill(now, request, &more, view, engine, known) else {
             continue;
         };
         if best.is_none_or(|(least, _)| fill < least) {
             best = Some((fill, view));
         }
-        let holds = ask.prefix != 0 && engine.prefixes.contains(now, ask.prefix);
+        let holds = request.prefix != 0 && engine.prefixes.contains(now, request.prefix);
         if holds && best_holder.is_none_or(|(least, _)| fill < least) {
             best_holder = Some((fill, view));
         }
@@ -92,12 +92,12 @@
     }
 }
 
-/// Returns the part of a target's limits that it would use with the ask added;
+/// Returns the part of a target's limits that it would use with the request added;
 /// `None` if that is more than all. A target with nothing running always has
 /// room, since work that is too large for it will not fit later either.
 fn fill(
     now: Millis,
-    ask: &Ask,
+    request: &Ask,
     more: &MemoryForecast,
     view: &TargetView,
     engine: &mut TargetState,
@@ -113,7 +113,7 @@
     let memory = match view.capacity_tokens {
         0 => 0.0,
         capacity => {
-            let fixed = engine.correction_tokens() + engine.shared_tokens_with(ask);
+            let fixed = engine.correction_tokens() + engine.shared_tokens_with(request);
             let forecast = engine.forecast(now, known.line, known.lengths).with(more);
             let peak = forecast.peak_tokens(known.limits.deviations) + fixed;
             peak.max(0.0) / capacity as f32
--- a/filbertpaddle-core/src/placement_rate.rs
+++ b/filbertpaddle-core/src/placement_rate.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Returns when to come back, if `tokens` are queued and an ask is willing
+    /// Returns when to come back, if `tokens` are queued and a request is willing
     /// to wait for `patience`.
     pub fn retry_after(&self, tokens: u64, patience: Millis) -> Millis {
         let excess = self.wait(tokens).since(patience);
--- a/filbertpaddle-core/src/policy.rs
+++ b/filbertpaddle-core/src/policy.rs
@@ -42,9 +42,9 @@
     pub stall_weight_percent: u8,
     /// Token gap that 95 in 100 tokens are to stay under.
     pub token_gap_ms: u32,
-    /// Most asks held in the queue of one pool.
+    /// Most requests held in the queue of one pool.
     pub queue_limit: u32,
-    /// Wait that raises an ask by one step of priority.
+    /// Wait that raises a request by one step of priority.
     pub ageing_ms: u32,
 }
 
--- a/filbertpaddle-core/src/queue.rs
+++ b/filbertpaddle-core/src/queue.rs
@@ -15,19 +15,19 @@
 
 /// Parts of a token in which shares are counted.
 const SHARE_SCALE: u64 = 1_000;
-/// Most customers without queued asks that are remembered.
+/// Most customers without queued requests that are remembered.
 const IDLE_LANES: usize = 1_024;
 
-/// A queued ask.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// The ask.
-    pub ask: Ask,
+    /// The request.
+    pub request: Ask,
     /// Tokens of prompt and output that it is expected to take.
     pub cost_tokens: u64,
 }
 
-/// The asks of one pool that wait for a slot.
+/// The requests of one pool that wait for a slot.
 #[derive(Clone, Debug)]
 pub struct Queue {
     fair: bool,
@@ -38,14 +38,14 @@
     virtual_now: u64,
 }
 
-/// The asks of one customer.
+/// The requests of one customer.
 #[derive(Clone, Debug, Default)]
 struct Lane {
     served: u64,
     levels: BTreeMap<Priority, Level>,
 }
 
-/// The asks of one customer at one priority, in order of arrival.
+/// The requests of one customer at one priority, in order of arrival.
 #[derive(Clone, Debug, Default)]
 struct Level {
     served_ms: Millis,
@@ -54,7 +54,7 @@
 }
 
 impl Queue {
-    /// Creates an empty queue in which a wait of `ageing_ms` lifts an ask by
+    /// Creates an empty queue in which a wait of `ageing_ms` lifts a request by
     /// one step of priority.
     pub fn new(ageing_ms: u32) -> Self {
         Self {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Number of queued asks.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.places.len()
     }
@@ -85,16 +85,16 @@
         self.places.is_empty()
     }
 
-    /// Adds an ask behind those of its customer and priority.
+    /// Adds a request behind those of its customer and priority.
     pub fn push(&mut self, entry: Entry) {
-        let ask = &entry.ask;
+        let request = &entry.request;
         let (customer, priority) = if self.fair {
-            (ask.customer.clone(), ask.priority)
+            (request.customer.clone(), request.priority)
         } else {
             Default::default()
         };
-        self.places.insert(ask.id, (customer.clone(), priority));
-        self.deadlines.insert((ask.deadline_ms, ask.id));
+        self.places.insert(request.id, (customer.clone(), priority));
+        self.deadlines.insert((request.deadline_ms, request.id));
         let virtual_now = self.virtual_now;
         let lane = self.lanes.entry(customer).or_default();
         if lane.levels.is_empty() {
@@ -105,7 +105,7 @@
         level.entries.push_back(entry);
     }
 
-    /// Returns up to `count` asks in the order in which to try them, each the
+    /// Returns up to `count` requests in the order in which to try them, each the
     /// first of its customer and priority.
     pub fn heads(&self, now: Millis, count: usize) -> Vec<&Entry> {
         let mut heads: Vec<_> = self
@@ -126,10 +126,10 @@
         heads.into_iter().map(|(_, entry)| entry).collect()
     }
 
-    /// Ranks the first ask of a level; the lowest rank goes first.
+    /// Ranks the first request of a level; the lowest rank goes first.
     ///
     /// Age counts from the last service of the level, so that a long backlog
-    /// of one customer does not lift it above the fresh asks of others.
+    /// of one customer does not lift it above the fresh requests of others.
     fn rank(
         &self,
         now: Millis,
@@ -137,23 +137,23 @@
         level: &Level,
         entry: &Entry,
     ) -> (Reverse<u64>, u64, Millis, AskId) {
-        let ask = &entry.ask;
-        let since = ask.arrived_ms.max(level.served_ms);
+        let request = &entry.request;
+        let since = request.arrived_ms.max(level.served_ms);
         let step = if self.fair {
-            u64::from(ask.priority.0) + now.since(since).0 / self.ageing_ms
+            u64::from(request.priority.0) + now.since(since).0 / self.ageing_ms
         } else {
             0
         };
-        (Reverse(step), lane.served, ask.arrived_ms, ask.id)
+        (Reverse(step), lane.served, request.arrived_ms, request.id)
     }
 
-    /// Takes an ask to run it and charges its customer.
+    /// Takes a request to run it and charges its customer.
     pub fn take(&mut self, now: Millis, id: AskId) -> Option<Entry> {
         let (customer, priority) = self.places.get(&id)?.clone();
         let entry = self.remove(id)?;
         let lane = self.lanes.get_mut(&customer)?;
         self.virtual_now = self.virtual_now.max(lane.served);
-        lane.served += share(entry.cost_tokens, entry.ask.weight);
+        lane.served += share(entry.cost_tokens, entry.request.weight);
         if let Some(level) = lane.levels.get_mut(&priority) {
             level.served_ms = now;
         }
@@ -161,15 +161,18 @@
         Some(entry)
     }
 
-    /// Removes an ask without charge.
+    /// Removes a request without charge.
     pub fn remove(&mut self, id: AskId) -> Option<Entry> {
         let (customer, priority) = self.places.swap_remove(&id)?;
         let lane = self.lanes.get_mut(&customer)?;
         let level = lane.levels.get_mut(&priority)?;
-        let place = level.entries.iter().position(|entry| entry.ask.id == id)?;
+        let place = level
+            .entries
+            .iter()
+            .position(|entry| entry.request.id == id)?;
         let entry = level.entries.remove(place)?;
         level.queued_tokens -= entry.cost_tokens;
-        self.deadlines.remove(&(entry.ask.deadline_ms, id));
+        self.deadlines.remove(&(entry.request.deadline_ms, id));
         if level.entries.is_empty() {
             lane.levels.remove(&priority);
         }
@@ -189,7 +192,7 @@
         }
     }
 
-    /// Removes and returns the asks whose deadline has come.
+    /// Removes and returns the requests whose deadline has come.
     pub fn expire(&mut self, now: Millis) -> Vec<Entry> {
         let late: Vec<AskId> = self
             .deadlines
@@ -205,7 +208,7 @@
         self.deadlines.first().map(|(deadline_ms, _)| *deadline_ms)
     }
 
-    /// Returns the tokens that go before a new ask of this customer and
+    /// Returns the tokens that go before a new request of this customer and
     /// priority: the whole queue's, or fewer where its fair share comes first.
     pub fn ahead_tokens(&self, customer: &Name, priority: Priority, weight: u32) -> u64 {
         let all: u64 = self.lanes.values().map(|lane| lane.tokens(priority)).sum();
@@ -246,7 +249,7 @@
         self.levels
             .range(priority..)
             .find_map(|(_, level)| level.entries.front())
-            .map(|entry| u64::from(entry.ask.weight.max(1)))
+            .map(|entry| u64::from(entry.request.weight.max(1)))
     }
 }
 
--- a/filbertpaddle-core/src/scheduler.rs
+++ b/filbertpaddle-core/src/scheduler.rs
@@ -29,13 +29,13 @@
 use crate::target_state::TargetState;
 use crate::token_gap::GapModel;
 
-/// Asks that are tried before a call yields nothing.
+/// Requests that are tried before a call yields nothing.
 const LOOKAHEAD: usize = 4;
 /// How often queued work is tried again while nothing else happens, since the
 /// memory of what runs is predicted to change.
 const POLL: Millis = Millis(50);
 
-/// Reconciler the asks of one pool and chooses their targets.
+/// Reconciler the requests of one pool and chooses their targets.
 ///
 /// The owner calls [`Self::next_placement`] until it yields `None` after each event and
 /// answers every placement with [`Self::record_start`] before it calls again. The
@@ -79,28 +79,31 @@
         }
     }
 
-    /// Queues an ask.
+    /// Queues a request.
     ///
     /// # Errors
     ///
     /// Refuses at once, with when to come back, if the queue is full, the
     /// deadline cannot be met or the request has crashed too many targets.
-    pub fn push(&mut self, now: Millis, ask: Ask) -> Result<(), Refusal> {
-        let ahead_tokens = self
-            .queue
-            .ahead_tokens(&ask.customer, ask.priority, ask.weight);
-        let patience = ask.deadline_ms.since(now);
-        if let Err(reason) = self.admit(now, &ask, ahead_tokens, patience) {
+    pub fn push(&mut self, now: Millis, request: Ask) -> Result<(), Refusal> {
+        let ahead_tokens =
+            self.queue
+                .ahead_tokens(&request.customer, request.priority, request.weight);
+        let patience = request.deadline_ms.since(now);
+        if let Err(reason) = self.admit(now, &request, ahead_tokens, patience) {
             let retry = reason != Reason::Quarantined;
             return Err(Refusal {
-                id: ask.id,
+                id: request.id,
                 reason,
                 retry_after_ms: retry.then(|| self.backlog.retry_after(ahead_tokens, patience)),
             });
         }
-        let cost_tokens = self.cost_tokens(&ask);
-        let entry = Entry { ask, cost_tokens };
-        if self.suspects.status(entry.ask.digest) == QuarantineStatus::Suspect {
+        let cost_tokens = self.cost_tokens(&request);
+        let entry = Entry {
+            request,
+            cost_tokens,
+        };
+        if self.suspects.status(entry.request.digest) == QuarantineStatus::Suspect {
             self.apart.push(entry);
         } else {
             self.queue.push(entry);
@@ -111,16 +114,16 @@
     fn admit(
         &mut self,
         now: Millis,
-        ask: &Ask,
+        request: &Ask,
         ahead_tokens: u64,
         patience: Millis,
     ) -> Result<(), Reason> {
-        self.suspects.touch(now, ask.digest);
-        let standing = self.suspects.status(ask.digest);
+        self.suspects.touch(now, request.digest);
+        let standing = self.suspects.status(request.digest);
         if standing == QuarantineStatus::Blocked {
             return Err(Reason::Quarantined);
         }
-        if standing == QuarantineStatus::Suspect && self.apart.count(ask.digest) > 0 {
+        if standing == QuarantineStatus::Suspect && self.apart.count(request.digest) > 0 {
             return Err(Reason::Overloaded);
         }
         if self.queued() >= self.settings.queue_limit as usize {
@@ -136,21 +139,21 @@
         Ok(())
     }
 
-    fn cost_tokens(&self, ask: &Ask) -> u64 {
-        let curve = self.lengths.curve(&ask.template);
-        let out_tokens = curve.remaining_tokens(0, ask.max_tokens) as u64;
-        u64::from(ask.prompt_tokens) + out_tokens
+    fn cost_tokens(&self, request: &Ask) -> u64 {
+        let curve = self.lengths.curve(&request.template);
+        let out_tokens = curve.remaining_tokens(0, request.max_tokens) as u64;
+        u64::from(request.prompt_tokens) + out_tokens
     }
 
-    /// Removes a queued ask whose asker has gone; `None` if it is not queued.
+    /// Removes a queued request whose asker has gone; `None` if it is not queued.
     pub fn cancel(&mut self, id: AskId) -> Option<Ask> {
         self.queue
             .remove(id)
             .or_else(|| self.apart.remove(id))
-            .map(|entry| entry.ask)
+            .map(|entry| entry.request)
     }
 
-    /// Takes the next ask that can be placed now.
+    /// Takes the next request that can be placed now.
     pub fn next_placement(&mut self, now: Millis, targets: &[TargetView]) -> Option<Placement> {
         if targets.iter().all(|view| view.free_slots == 0) {
             return None;
@@ -165,18 +168,21 @@
             .apart
             .heads(LOOKAHEAD)
             .into_iter()
-            .filter(|entry| self.may_copy(&entry.ask) && entry.ask.deadline_ms > now)
-            .map(|entry| entry.ask.clone())
+            .filter(|entry| self.may_copy(&entry.request) && entry.request.deadline_ms > now)
+            .map(|entry| entry.request.clone())
             .collect();
         for head in heads {
             let Some(target) = self.choose(now, &head, targets) else {
                 continue;
             };
             let entry = self.apart.take(head.digest)?;
-            let ask = entry.ask;
+            let request = entry.request;
             self.queue
-                .charge(&ask.customer, ask.weight, entry.cost_tokens);
-            return Some(Placement { ask, target });
+                .charge(&request.customer, request.weight, entry.cost_tokens);
+            return Some(Placement {
+                ask: request,
+                target,
+            });
         }
         None
     }
@@ -186,8 +192,8 @@
             .queue
             .heads(now, LOOKAHEAD)
             .into_iter()
-            .filter(|entry| entry.ask.deadline_ms > now)
-            .map(|entry| entry.ask.clone())
+            .filter(|entry| entry.request.deadline_ms > now)
+            .map(|entry| entry.request.clone())
             .collect();
         for head in heads {
             let Some(target) = self.choose(now, &head, targets) else {
@@ -197,29 +203,29 @@
             let waiting = !self.queue.is_empty();
             self.backlog.placed(now, entry.cost_tokens, waiting);
             return Some(Placement {
-                ask: entry.ask,
+                ask: entry.request,
                 target,
             });
         }
         None
     }
 
-    /// Moves asks aside that must not run beside just any other work.
+    /// Moves requests aside that must not run beside just any other work.
     fn set_apart(&mut self, now: Millis) {
         loop {
             let aside: Vec<AskId> = self
                 .queue
                 .heads(now, LOOKAHEAD)
                 .into_iter()
-                .filter(|entry| !self.may_run(&entry.ask))
-                .map(|entry| entry.ask.id)
+                .filter(|entry| !self.may_run(&entry.request))
+                .map(|entry| entry.request.id)
                 .collect();
             if aside.is_empty() {
                 return;
             }
             for entry in aside.into_iter().filter_map(|id| self.queue.remove(id)) {
-                if self.suspects.status(entry.ask.digest) == QuarantineStatus::Blocked {
-                    self.refused.push(quarantined(entry.ask.id));
+                if self.suspects.status(entry.request.digest) == QuarantineStatus::Blocked {
+                    self.refused.push(quarantined(entry.request.id));
                 } else {
                     self.apart.push(entry);
                 }
@@ -227,22 +233,22 @@
         }
     }
 
-    fn may_run(&self, ask: &Ask) -> bool {
-        let standing = self.suspects.status(ask.digest);
+    fn may_run(&self, request: &Ask) -> bool {
+        let standing = self.suspects.status(request.digest);
         let free = matches!(
             standing,
             QuarantineStatus::Unknown | QuarantineStatus::Cleared
         );
-        free && self.may_copy(ask)
+        free && self.may_copy(request)
     }
 
-    fn may_copy(&self, ask: &Ask) -> bool {
-        let running = self.copies.get(&ask.digest).copied().unwrap_or(0);
-        ask.digest == 0 || running < self.suspects.max_copies(ask.digest)
+    fn may_copy(&self, request: &Ask) -> bool {
+        let running = self.copies.get(&request.digest).copied().unwrap_or(0);
+        request.digest == 0 || running < self.suspects.max_copies(request.digest)
     }
 
-    fn choose(&mut self, now: Millis, ask: &Ask, targets: &[TargetView]) -> Option<Name> {
-        let suspect = self.suspects.status(ask.digest) == QuarantineStatus::Suspect;
+    fn choose(&mut self, now: Millis, request: &Ask, targets: &[TargetView]) -> Option<Name> {
+        let suspect = self.suspects.status(request.digest) == QuarantineStatus::Suspect;
         let open: Vec<&TargetView> = targets
             .iter()
             .filter(|view| view.free_slots > 0 && !self.is_avoided(now, &view.name))
@@ -257,7 +263,7 @@
                     lengths: &self.lengths,
                     limits: Limits::new(&self.settings),
                 };
-                placement::predictive(now, ask, &open, &mut self.engines, &known)
+                placement::predictive(now, request, &open, &mut self.engines, &known)
             }
         };
         view.map(|view| view.name.clone())
@@ -273,7 +279,7 @@
         self.engines.get(target).is_some_and(|engine| {
             engine
                 .running()
-                .any(|running| self.suspects.uncleared_crashes(running.ask.digest) > 0)
+                .any(|running| self.suspects.uncleared_crashes(running.request.digest) > 0)
         })
     }
 
@@ -281,16 +287,16 @@
     ///
     /// A successor also records what it learns to be running this way.
     pub fn record_start(&mut self, now: Millis, slot: SlotId, placement: &Placement) {
-        let ask = placement.ask.clone();
-        let cost_tokens = self.cost_tokens(&ask);
-        if ask.digest != 0 {
-            *self.copies.entry(ask.digest).or_insert(0) += 1;
+        let request = placement.ask.clone();
+        let cost_tokens = self.cost_tokens(&request);
+        if request.digest != 0 {
+            *self.copies.entry(request.digest).or_insert(0) += 1;
         }
         self.slots.insert(slot, placement.target.clone());
         self.engines
             .entry(placement.target.clone())
             .or_insert_with(|| TargetState::new(now))
-            .start(now, slot, ask, cost_tokens, &self.line, &self.lengths);
+            .start(now, slot, request, cost_tokens, &self.line, &self.lengths);
     }
 
     /// Records that a slot's use has ended after `tokens` tokens of output.
@@ -304,19 +310,19 @@
         let Some(running) = engine.end(now, slot, tokens, &self.line) else {
             return;
         };
-        let ask = &running.ask;
+        let request = &running.request;
         match ending {
             Ending::Complete => {
                 engine.learn_gap(&running, tokens, &mut self.line);
-                self.lengths.ended(&ask.template, tokens);
-                self.suspects.record_answer(now, ask.digest);
+                self.lengths.ended(&request.template, tokens);
+                self.suspects.record_answer(now, request.digest);
             }
             Ending::Cancelled | Ending::Unknown if tokens > 0 => {
-                self.lengths.cut(&ask.template, tokens);
+                self.lengths.cut(&request.template, tokens);
             }
             Ending::Failed => {
                 let crash = suspect::crash_id(&target, engine.crash(now, &running));
-                self.suspects.record_crash(now, ask.digest, crash);
+                self.suspects.record_crash(now, request.digest, crash);
                 engine.avoid(now);
             }
             Ending::Refused => engine.avoid(now),
@@ -324,12 +330,16 @@
         }
         let taken_tokens = match ending {
             Ending::Unsent | Ending::Refused => 0,
-            _ => u64::from(ask.prompt_tokens) + u64::from(tokens),
+            _ => u64::from(request.prompt_tokens) + u64::from(tokens),
         };
-        self.queue
-            .settle(&ask.customer, ask.weight, running.cost_tokens, taken_tokens);
-        self.release_copy(ask.digest);
-        self.refuse_condemned(ask.digest);
+        self.queue.settle(
+            &request.customer,
+            request.weight,
+            running.cost_tokens,
+            taken_tokens,
+        );
+        self.release_copy(request.digest);
+        self.refuse_condemned(request.digest);
     }
 
     fn release_copy(&mut self, digest: u64) {
@@ -348,7 +358,7 @@
         }
         let refused = self.apart.take_all(digest);
         self.refused
-            .extend(refused.iter().map(|entry| quarantined(entry.ask.id)));
+            .extend(refused.iter().map(|entry| quarantined(entry.request.id)));
     }
 
     /// Records a load report, which may be late or repeated.
@@ -395,7 +405,7 @@
         &self.suspects
     }
 
-    /// Removes the asks that get no slot any more: their deadline has come or
+    /// Removes the requests that get no slot any more: their deadline has come or
     /// their request has crashed too many targets.
     pub fn take_refusals(&mut self, now: Millis) -> Vec<Refusal> {
         let late = self.queue.expire(now).into_iter();
@@ -403,20 +413,20 @@
         let refusals: Vec<_> = late
             .chain(late_apart)
             .map(|entry| Refusal {
-                id: entry.ask.id,
+                id: entry.request.id,
                 reason: Reason::Deadline,
-                retry_after_ms: Some(self.retry_after(&entry.ask)),
+                retry_after_ms: Some(self.retry_after(&entry.request)),
             })
             .collect();
         self.refused.extend(refusals);
         std::mem::take(&mut self.refused)
     }
 
-    fn retry_after(&self, ask: &Ask) -> Millis {
-        let ahead_tokens = self
-            .queue
-            .ahead_tokens(&ask.customer, ask.priority, ask.weight);
-        let patience = ask.deadline_ms.since(ask.arrived_ms);
+    fn retry_after(&self, request: &Ask) -> Millis {
+        let ahead_tokens =
+            self.queue
+                .ahead_tokens(&request.customer, request.priority, request.weight);
+        let patience = request.deadline_ms.since(request.arrived_ms);
         self.backlog.retry_after(ahead_tokens, patience)
     }
 
@@ -436,7 +446,7 @@
         .map(|deadline_ms| deadline_ms.clamp(now, now + POLL))
     }
 
-    /// Number of queued asks.
+    /// Number of queued requests.
     pub fn queued(&self) -> usize {
         self.queue.len() + self.apart.len()
     }
--- a/filbertpaddle-core/src/target_state.rs
+++ b/filbertpaddle-core/src/target_state.rs
@@ -38,8 +38,8 @@
 /// Work that runs on a target.
 #[derive(Clone, Debug)]
 pub struct Running {
-    /// The ask that was placed.
-    pub ask: Ask,
+    /// The request that was placed.
+    pub request: Ask,
     /// Tokens charged to its customer.
     pub cost_tokens: u64,
     start: ProgressSnapshot,
@@ -134,31 +134,31 @@
         &mut self,
         now: Millis,
         slot: SlotId,
-        ask: Ask,
+        request: Ask,
         cost_tokens: u64,
         line: &GapModel,
         lengths: &OutputLengths,
     ) {
         self.advance(now, line);
-        self.prefixes.insert(now, ask.prefix);
-        self.share(&ask);
-        self.join_burst(now, &ask);
-        self.forecast.add(&attempt_memory(&ask, 0, lengths));
+        self.prefixes.insert(now, request.prefix);
+        self.share(&request);
+        self.join_burst(now, &request);
+        self.forecast.add(&attempt_memory(&request, 0, lengths));
         let start = self.progress.mark();
         let running = Running {
-            ask,
+            request,
             cost_tokens,
             start,
         };
         self.running.insert(slot, running);
     }
 
-    fn join_burst(&mut self, now: Millis, ask: &Ask) {
+    fn join_burst(&mut self, now: Millis, request: &Ask) {
         if now.since(self.burst.start_ms) > BURST_LENGTH {
             self.burst.start_ms = now;
             self.burst.prompt_tokens = 0;
         }
-        self.burst.prompt_tokens += own_tokens(ask);
+        self.burst.prompt_tokens += own_tokens(request);
     }
 
     /// Whether work may start now, either with the last burst or well after it.
@@ -181,14 +181,14 @@
         self.advance(now, line);
         let running = self.running.swap_remove(&slot)?;
         self.forecast_ms = None;
-        self.unshare(&running.ask);
+        self.unshare(&running.request);
         if self.ended.len() >= ENDED {
             self.ended.pop_front();
         }
         self.ended.push_back(Ended {
             start_ms: running.start.at_ms,
             end_ms: now,
-            tokens: u64::from(own_tokens(&running.ask)) + u64::from(tokens),
+            tokens: u64::from(own_tokens(&running.request)) + u64::from(tokens),
         });
         Some(running)
     }
@@ -241,19 +241,19 @@
             for running in self.running.values() {
                 let out_tokens = self.progress.tokens_since(&running.start);
                 self.forecast
-                    .add(&attempt_memory(&running.ask, out_tokens, lengths));
+                    .add(&attempt_memory(&running.request, out_tokens, lengths));
             }
             self.forecast_ms = Some(now);
         }
         &self.forecast
     }
 
-    /// Tokens of the prefixes that running work and an added ask share.
-    pub fn shared_tokens_with(&self, ask: &Ask) -> f32 {
-        let more = if ask.prefix == 0 || self.shared.contains_key(&ask.prefix) {
+    /// Tokens of the prefixes that running work and an added request share.
+    pub fn shared_tokens_with(&self, request: &Ask) -> f32 {
+        let more = if request.prefix == 0 || self.shared.contains_key(&request.prefix) {
             0
         } else {
-            ask.prefix_tokens
+            request.prefix_tokens
         };
         self.shared_tokens(more)
     }
@@ -263,22 +263,22 @@
         (tokens + more) as f32
     }
 
-    fn share(&mut self, ask: &Ask) {
-        if ask.prefix == 0 {
+    fn share(&mut self, request: &Ask) {
+        if request.prefix == 0 {
             return;
         }
-        let shared = self.shared.entry(ask.prefix).or_default();
+        let shared = self.shared.entry(request.prefix).or_default();
         shared.users += 1;
-        shared.tokens = ask.prefix_tokens;
+        shared.tokens = request.prefix_tokens;
     }
 
-    fn unshare(&mut self, ask: &Ask) {
-        let Some(shared) = self.shared.get_mut(&ask.prefix) else {
+    fn unshare(&mut self, request: &Ask) {
+        let Some(shared) = self.shared.get_mut(&request.prefix) else {
             return;
         };
         shared.users -= 1;
         if shared.users == 0 {
-            self.shared.swap_remove(&ask.prefix);
+            self.shared.swap_remove(&request.prefix);
         }
     }
 
@@ -302,7 +302,7 @@
             .map(|running| {
                 let out_tokens = self.progress.tokens_since(&running.start);
                 let then = out_tokens.saturating_sub(gained_since);
-                u64::from(own_tokens(&running.ask)) + u64::from(then)
+                u64::from(own_tokens(&running.request)) + u64::from(then)
             })
             .sum();
         let ended: u64 = self
@@ -328,23 +328,23 @@
     }
 }
 
-/// Returns the memory of an ask's work after `out_tokens` tokens.
+/// Returns the memory of a request's work after `out_tokens` tokens.
 pub fn attempt_memory<'a>(
-    ask: &Ask,
+    request: &Ask,
     out_tokens: u32,
     lengths: &'a OutputLengths,
 ) -> memory_forecast::AttemptMemory<'a> {
     memory_forecast::AttemptMemory {
-        prompt_tokens: own_tokens(ask),
-        out_tokens: out_tokens.min(ask.max_tokens.saturating_sub(1)),
-        max_tokens: ask.max_tokens,
-        curve: lengths.curve(&ask.template),
+        prompt_tokens: own_tokens(request),
+        out_tokens: out_tokens.min(request.max_tokens.saturating_sub(1)),
+        max_tokens: request.max_tokens,
+        curve: lengths.curve(&request.template),
     }
 }
 
-fn own_tokens(ask: &Ask) -> u32 {
-    if ask.prefix == 0 {
-        return ask.prompt_tokens;
+fn own_tokens(request: &Ask) -> u32 {
+    if request.prefix == 0 {
+        return request.prompt_tokens;
     }
-    ask.prompt_tokens.saturating_sub(ask.prefix_tokens)
+    request.prompt_tokens.saturating_sub(request.prefix_tokens)
 }
--- a/filbertpaddle-core/tests/quarantine.rs
+++ b/filbertpaddle-core/tests/quarantine.rs
@@ -68,7 +68,7 @@
     fn send(&mut self, digest: u64) {
         self.next_id += 1;
         self.digests.insert(AskId(self.next_id), digest);
-        let ask = Ask {
+        let request = Ask {
             id: AskId(self.next_id),
             customer: Name::new(format!("customer-{}", digest % 3)),
             template: Name::new("summary"),
@@ -82,7 +82,7 @@
             arrived_ms: self.now,
             deadline_ms: self.now + Millis::from_secs(600),
         };
-        if let Err(refusal) = self.scheduler.push(self.now, ask)
+        if let Err(refusal) = self.scheduler.push(self.now, request)
             && refusal.reason == Reason::Quarantined
         {
             self.refused.insert(digest);
--- a/filbertpaddle-core/tests/queue.rs
+++ b/filbertpaddle-core/tests/queue.rs
@@ -12,7 +12,7 @@
 
 fn entry(id: u64, customer: &str, priority: u8, cost_tokens: u64, arrived_ms: u64) -> Entry {
     Entry {
-        ask: Ask {
+        request: Ask {
             id: AskId(id),
             customer: Name::new(customer),
             template: Name::new("template"),
@@ -31,7 +31,7 @@
 }
 
 fn take_first(queue: &mut Queue, now: Millis) -> Option<Entry> {
-    let id = queue.heads(now, 1).first().map(|entry| entry.ask.id)?;
+    let id = queue.heads(now, 1).first().map(|entry| entry.request.id)?;
     queue.take(now, id)
 }
 
@@ -41,7 +41,7 @@
     queue.push(entry(1, "a", 0, 10, 0));
     queue.push(entry(2, "a", 3, 10, 0));
     let first = take_first(&mut queue, Millis(0)).unwrap();
-    assert_eq!(first.ask.id, AskId(2));
+    assert_eq!(first.request.id, AskId(2));
 }
 
 #[test]
@@ -52,7 +52,7 @@
     for id in 2..8 {
         let now = Millis(id * 1_000);
         queue.push(entry(id, "a", 3, 10, now.0));
-        taken.push(take_first(&mut queue, now).unwrap().ask.id);
+        taken.push(take_first(&mut queue, now).unwrap().request.id);
     }
     assert!(taken.contains(&AskId(1)), "starved: {taken:?}");
 }
@@ -64,7 +64,7 @@
     queue.push(entry(2, "b", 9, 10, 1));
     queue.push(entry(3, "a", 5, 10, 2));
     let ids: Vec<_> = std::iter::from_fn(|| take_first(&mut queue, Millis(3)))
-        .map(|entry| entry.ask.id.0)
+        .map(|entry| entry.request.id.0)
         .collect();
     assert_eq!(ids, [1, 2, 3]);
 }
@@ -92,7 +92,7 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Two customers with work waiting are served alike but for one ask each.
+    /// Two customers with work waiting are served alike but for one request each.
     #[test]
     fn backlogged_customers_share_tokens(
         large in proptest::collection::vec(1_u64..2_000, 40..80),
@@ -109,7 +109,7 @@
         let mut waiting_small = small.len();
         for step in 0.. {
             let entry = take_first(&mut queue, Millis(step)).unwrap();
-            let is_small = entry.ask.customer == "small";
+            let is_small = entry.request.customer == "small";
             served[usize::from(is_small)] += entry.cost_tokens;
             waiting_small -= usize::from(is_small);
             if waiting_small == 0 || queue.len() == waiting_small {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Every ask is served within a bound, however many fresh asks of higher
+    /// Every request is served within a bound, however many fresh requests of higher
     /// priority and of other customers keep coming.
     #[test]
     fn nothing_starves(
@@ -135,7 +135,7 @@
             let place = id as usize;
             queue.push(entry(id, names[customers[place]], priorities[place], costs[place], now.0));
             let taken = take_first(&mut queue, now).unwrap();
-            if taken.ask.customer == "patient" {
+            if taken.request.customer == "patient" {
                 return Ok(());
             }
         }
@@ -159,7 +159,7 @@
                 2 => prop_assert_eq!(queue.remove(AskId(id)).is_some(), inside.remove(&id)),
                 3 => {
                     if let Some(entry) = take_first(&mut queue, now) {
-                        prop_assert!(inside.remove(&entry.ask.id.0));
+                        prop_assert!(inside.remove(&entry.request.id.0));
                     }
                 }
                 _ => {}
--- a/filbertpaddle-core/tests/scheduler.rs
+++ b/filbertpaddle-core/tests/scheduler.rs
@@ -20,7 +20,7 @@
 use proptest::test_runner::RngSeed;
 use strum::VariantArray;
 
-fn ask(id: u64, now: Millis) -> Ask {
+fn request(id: u64, now: Millis) -> Ask {
     Ask {
         id: AskId(id),
         customer: Name::new(format!("customer-{}", id % 3)),
@@ -53,17 +53,24 @@
     })
 }
 
-fn start(scheduler: &mut Scheduler, now: Millis, target: &str, ask: Ask) {
-    let slot = SlotId(ask.id.0);
+fn start(scheduler: &mut Scheduler, now: Millis, target: &str, request: Ask) {
+    let slot = SlotId(request.id.0);
     let target = Name::new(target);
-    scheduler.record_start(now, slot, &Placement { ask, target });
+    scheduler.record_start(
+        now,
+        slot,
+        &Placement {
+            ask: request,
+            target,
+        },
+    );
 }
 
 /// Teaches that outputs of the template end after `tokens` tokens.
 fn teach(scheduler: &mut Scheduler, tokens: u32) {
     for id in 0..100 {
         let slot = SlotId(1_000_000 + id);
-        let mut taught = ask(1_000_000 + id, Millis(0));
+        let mut taught = request(1_000_000 + id, Millis(0));
         taught.digest = 0;
         start(scheduler, Millis(0), "teacher", taught);
         scheduler.record_end(Millis(0), slot, tokens, Ending::Complete);
@@ -91,7 +98,7 @@
         });
         teach(&mut scheduler, tokens);
         for id in 0..60 {
-            let mut queued = ask(id, Millis(0));
+            let mut queued = request(id, Millis(0));
             queued.max_tokens = 700;
             queued.prompt_tokens = 10;
             scheduler.push(Millis(0), queued).unwrap();
@@ -105,8 +112,8 @@
 #[test]
 fn work_that_never_fits_runs_alone() {
     let mut scheduler = scheduler(Policy::Predictive);
-    scheduler.push(Millis(0), ask(1, Millis(0))).unwrap();
-    scheduler.push(Millis(0), ask(2, Millis(0))).unwrap();
+    scheduler.push(Millis(0), request(1, Millis(0))).unwrap();
+    scheduler.push(Millis(0), request(2, Millis(0))).unwrap();
     let views = [view("a", 64, 50)];
     assert_eq!(placed(&mut scheduler, Millis(0), &views), 1);
 }
@@ -115,7 +122,7 @@
 fn a_report_of_unknown_work_keeps_new_work_out() {
     let mut scheduler = scheduler(Policy::Predictive);
     teach(&mut scheduler, 20);
-    start(&mut scheduler, Millis(0), "a", ask(1, Millis(0)));
+    start(&mut scheduler, Millis(0), "a", request(1, Millis(0)));
     for step in 1..20 {
         let load = Load {
             taken_ms: Millis(step * 100),
@@ -127,7 +134,7 @@
         scheduler.record_load(Millis(step * 100 + 50), &Name::new("a"), &load);
     }
     scheduler
-        .push(Millis(2_000), ask(2, Millis(2_000)))
+        .push(Millis(2_000), request(2, Millis(2_000)))
         .unwrap();
     let views = [view("a", 64, 8_000)];
     assert_eq!(placed(&mut scheduler, Millis(2_000), &views), 0);
@@ -141,14 +148,14 @@
     let with_prefix = |id| Ask {
         prefix: 9,
         prefix_tokens: 64,
-        ..ask(id, Millis(0))
+        ..request(id, Millis(0))
     };
     start(&mut scheduler, Millis(0), "b", with_prefix(1));
     scheduler.push(Millis(0), with_prefix(2)).unwrap();
     let placement = scheduler.next_placement(Millis(0), &views).unwrap();
     assert_eq!(placement.target, "b");
     for id in 10..200 {
-        start(&mut scheduler, Millis(0), "b", ask(id, Millis(0)));
+        start(&mut scheduler, Millis(0), "b", request(id, Millis(0)));
     }
     scheduler.push(Millis(0), with_prefix(3)).unwrap();
     let placement = scheduler.next_placement(Millis(0), &views).unwrap();
@@ -162,7 +169,7 @@
     let mut refusal = None;
     for id in 0..2_000 {
         let now = Millis(id * 20);
-        if let Err(refused) = scheduler.push(now, ask(id, now)) {
+        if let Err(refused) = scheduler.push(now, request(id, now)) {
             refusal = Some((scheduler.queued(), refused));
             break;
         }
@@ -183,7 +190,7 @@
 fn expired_asks_are_refused_and_wake_is_in_time() {
     let mut scheduler = scheduler(Policy::Predictive);
     assert_eq!(scheduler.next_wake(Millis(0)), None);
-    scheduler.push(Millis(0), ask(1, Millis(0))).unwrap();
+    scheduler.push(Millis(0), request(1, Millis(0))).unwrap();
     assert!(scheduler.next_wake(Millis(0)).unwrap() <= Millis::from_secs(10));
     assert!(scheduler.take_refusals(Millis(9_999)).is_empty());
     let refused = scheduler.take_refusals(Millis(10_000));
@@ -200,16 +207,16 @@
 fn a_target_that_refused_work_gets_none_for_a_while() {
     let mut scheduler = scheduler(Policy::LeastConnections);
     let views = [view("a", 1, 0), view("b", 1, 0)];
-    scheduler.push(Millis(0), ask(1, Millis(0))).unwrap();
+    scheduler.push(Millis(0), request(1, Millis(0))).unwrap();
     let placement = scheduler.next_placement(Millis(0), &views).unwrap();
     assert_eq!(placement.target, "a");
     scheduler.record_start(Millis(0), SlotId(1), &placement);
     scheduler.record_end(Millis(5), SlotId(1), 0, Ending::Refused);
-    scheduler.push(Millis(10), ask(2, Millis(10))).unwrap();
+    scheduler.push(Millis(10), request(2, Millis(10))).unwrap();
     let placement = scheduler.next_placement(Millis(10), &views).unwrap();
     assert_eq!(placement.target, "b");
     scheduler
-        .push(Millis(2_000), ask(3, Millis(2_000)))
+        .push(Millis(2_000), request(3, Millis(2_000)))
         .unwrap();
     let placement = scheduler.next_placement(Millis(2_000), &views).unwrap();
     assert_eq!(placement.target, "a");
@@ -226,7 +233,7 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// No target gets more than its free slots, and each ask ends up exactly
+    /// No target gets more than its free slots, and each request ends up exactly
     /// once in a placement, a refusal or the queue.
     #[test]
     fn limits_hold_and_no_ask_is_lost(
@@ -244,7 +251,7 @@
             match kind {
                 0 | 1 => {
                     pushed += 1;
-                    refused += usize::from(scheduler.push(now, ask(pushed, now)).is_err());
+                    refused += usize::from(scheduler.push(now, request(pushed, now)).is_err());
                 }
                 2 => {
                     if let Some((slot, _)) = running.pop_first() {
