--- a/filbertpaddle-core/src/suspect.rs
+++ b/filbertpaddle-core/src/suspect.rs
@@ -1,7 +1,7 @@
-//! Requests that were running when their target crashed.
+//! Quarantine of requests that may have crashed their targets.
 //!
-//! A crash makes a suspect of every request that ran there. Suspects are run
-//! apart from each other, so that a second crash tells which of them it was.
+//! A crash makes every request that was running on the target a suspect. No two
+//! suspects run on the same target, so that a second crash identifies its cause.
 
 use std::collections::BTreeSet;
 
@@ -13,38 +13,38 @@
 
 use crate::clock::Millis;
 
-/// Targets that one request may crash before it is refused.
+/// Number of crashes after which a request is refused.
 pub const CRASH_LIMIT: usize = 3;
-/// Most suspects that are remembered.
+/// Largest number of recorded suspects.
 pub const MAX_SUSPECTS: usize = 4_096;
-/// How long a suspect is remembered after it was last seen.
-const MEMORY: Millis = Millis::from_secs(3_600);
+/// Time for which a suspect is recorded after it was last seen.
+const SUSPECT_TTL: Millis = Millis::from_secs(3_600);
 
-/// Returns the identity of the crash of a target that was first noticed at `at`.
+/// Returns the identifier of a target's crash that was first noticed at `at`.
 pub fn crash_id(target: &str, at: Millis) -> u64 {
     xxh3_64_with_seed(target.as_bytes(), at.0)
 }
 
-/// What is known of one suspect, as it is passed between nodes.
+/// Crashes of one suspect, replicated between nodes.
 ///
-/// Both sets only grow, so records may be joined in any order and repeatedly.
+/// Both sets only grow, so records may be merged in any order and repeatedly.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CrashRecord {
-    /// Crashes that the request was part of.
+    /// Crashes during which the request was running.
     #[serde(rename = "c")]
     pub crashes: BTreeSet<u64>,
-    /// Crashes that a later whole answer has cleared it of.
+    /// Crashes that a later complete answer has cleared the request of.
     #[serde(rename = "x")]
     pub cleared: BTreeSet<u64>,
 }
 
 impl CrashRecord {
-    /// Number of crashes that the request is not cleared of.
+    /// Returns the number of crashes that the request is not cleared of.
     pub fn uncleared_crashes(&self) -> usize {
         self.crashes.difference(&self.cleared).count()
     }
 
-    /// Joins what another node knows; returns whether anything was new.
+    /// Merges another node's record; returns whether it added anything.
     pub fn merge(&mut self, other: &Self) -> bool {
         let before = (self.crashes.len(), self.cleared.len());
         self.crashes.extend(&other.crashes);
@@ -53,28 +53,29 @@
     }
 }
 
-/// How a request may be run.
+/// Restriction on running a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum QuarantineStatus {
-    /// It gave a whole answer since it was last part of a crash.
+    /// The request gave a complete answer after its last crash.
     Cleared,
-    /// Nothing is known of it.
+    /// The request has no recorded crash or answer.
     Unknown,
-    /// It was part of a crash and is run apart from other suspects.
+    /// The request was running during a crash and may not share a target with other
+    /// suspects.
     Suspect,
-    /// It has crashed too many targets and is refused.
+    /// The request was running during too many crashes and is refused.
     Blocked,
 }
 
-/// The suspects known to one node.
+/// Suspects recorded by one node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Suspects {
-    known: IndexMap<u64, Known>,
+    entries: IndexMap<u64, Entry>,
     answered: IndexSet<u64>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Known {
+struct Entry {
     record: CrashRecord,
     changed_ms: Millis,
     seen_ms: Millis,
@@ -86,7 +87,7 @@
         Self::default()
     }
 
-    /// Records that a request was running on a target that crashed.
+    /// Records that a request was running on a target when it crashed.
     pub fn record_crash(&mut self, now: Millis, digest: u64, crash: u64) {
         if digest == 0 {
             return;
@@ -99,39 +100,39 @@
         self.merge(now, digest, &record);
     }
 
-    /// Records that a request gave a whole answer.
+    /// Records that a request gave a complete answer.
     pub fn record_answer(&mut self, now: Millis, digest: u64) {
         if self.answered.len() >= MAX_SUSPECTS {
             self.answered.swap_remove_index(0);
         }
         self.answered.insert(digest);
-        if let Some(known) = self.known.get_mut(&digest) {
-            known.record.cleared = known.record.crashes.clone();
-            known.changed_ms = now;
-            known.seen_ms = now;
+        if let Some(entry) = self.entries.get_mut(&digest) {
+            entry.record.cleared = entry.record.crashes.clone();
+            entry.changed_ms = now;
+            entry.seen_ms = now;
         }
     }
 
-    /// Joins what another node knows of a request.
+    /// Merges another node's record of a request.
     pub fn merge(&mut self, now: Millis, digest: u64, record: &CrashRecord) {
-        if self.known.len() >= MAX_SUSPECTS && !self.known.contains_key(&digest) {
-            self.evict(now);
+        if self.entries.len() >= MAX_SUSPECTS && !self.entries.contains_key(&digest) {
+            self.evict_one(now);
         }
-        let known = self.known.entry(digest).or_default();
-        if known.record.merge(record) {
-            known.changed_ms = now;
+        let entry = self.entries.entry(digest).or_default();
+        if entry.record.merge(record) {
+            entry.changed_ms = now;
         }
-        known.seen_ms = now;
+        entry.seen_ms = now;
     }
 
     /// Returns the number of crashes that a request is not cleared of.
     pub fn uncleared_crashes(&self, digest: u64) -> usize {
-        self.known
+        self.entries
             .get(&digest)
-            .map_or(0, |known| known.record.uncleared_crashes())
+            .map_or(0, |entry| entry.record.uncleared_crashes())
     }
 
-    /// Returns how a request may be run.
+    /// Returns the restriction on running a request.
     pub fn status(&self, digest: u64) -> QuarantineStatus {
         match self.uncleared_crashes(digest) {
             0 if self.answered.contains(&digest) => QuarantineStatus::Cleared,
@@ -141,10 +142,10 @@
         }
     }
 
-    /// Returns how many copies of a request may run at once.
+    /// Returns how many copies of a request may run at the same time.
     ///
-    /// Copies of one that never gave a whole answer may all crash, so they
-    /// count against [`CRASH_LIMIT`] while they run.
+    /// Any running copy of a request without a complete answer may crash its target,
+    /// so the number of copies is limited to [`CRASH_LIMIT`].
     pub fn max_copies(&self, digest: u64) -> usize {
         match self.status(digest) {
             QuarantineStatus::Cleared => usize::MAX,
@@ -154,46 +155,47 @@
         }
     }
 
-    /// Keeps a suspect in memory because it was sent again.
+    /// Renews the retention of a suspect that was sent again.
     pub fn touch(&mut self, now: Millis, digest: u64) {
-        if let Some(known) = self.known.get_mut(&digest) {
-            known.seen_ms = now;
+        if let Some(entry) = self.entries.get_mut(&digest) {
+            entry.seen_ms = now;
         }
     }
 
-    /// Returns the records that changed at or after `since`, to pass them on.
+    /// Returns the records that changed at or after `since`, for replication.
     pub fn changed_since(&self, since: Millis) -> impl Iterator<Item = (u64, &CrashRecord)> {
-        self.known
+        self.entries
             .iter()
-            .filter(move |(_, known)| known.changed_ms >= since)
-            .map(|(digest, known)| (*digest, &known.record))
+            .filter(move |(_, entry)| entry.changed_ms >= since)
+            .map(|(digest, entry)| (*digest, &entry.record))
     }
 
-    /// Number of requests that are remembered as suspects.
+    /// Returns the number of recorded requests.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.entries.len()
     }
 
-    /// Whether no suspect is known.
+    /// Returns whether no request is recorded.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Makes room: what was not seen for long goes, else the least suspected.
-    fn evict(&mut self, now: Millis) {
-        self.known
-            .retain(|_, known| now.since(known.seen_ms) < MEMORY);
-        if self.known.len() < MAX_SUSPECTS {
+    /// Evicts the records not seen for [`SUSPECT_TTL`], or else the one with the fewest
+    /// uncleared crashes.
+    fn evict_one(&mut self, now: Millis) {
+        self.entries
+            .retain(|_, entry| now.since(entry.seen_ms) < SUSPECT_TTL);
+        if self.entries.len() < MAX_SUSPECTS {
             return;
         }
         let least = self
-            .known
+            .entries
             .values()
             .enumerate()
-            .min_by_key(|(_, known)| (known.record.uncleared_crashes(), known.seen_ms))
+            .min_by_key(|(_, entry)| (entry.record.uncleared_crashes(), entry.seen_ms))
             .map(|(index, _)| index);
         if let Some(index) = least {
-            self.known.swap_remove_index(index);
+            self.entries.swap_remove_index(index);
         }
     }
 }
