--- a/filbertpaddle-core/src/retry.rs
+++ b/filbertpaddle-core/src/retry.rs
@@ -1,18 +1,18 @@
-//! Budget for retries, so that failing targets are not answered by a storm.
+//! Budget for retries, which prevents a retry storm towards failing targets.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Parts of a retry in which the budget is counted.
-const RETRY: u32 = 1_000;
+/// Units of the budget per retry.
+const UNITS_PER_RETRY: u32 = 1_000;
 
-/// How many retries are allowed.
+/// Limits on retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Retries allowed for each thousand successes.
+    /// Retries allowed per thousand successes.
     pub per_thousand: u32,
-    /// Retries allowed at once after a long run of successes.
+    /// Largest number of retries that the budget accumulates.
     pub burst: u32,
 }
 
@@ -25,11 +25,11 @@
     }
 }
 
-/// The retries that one node may still make towards one pool.
+/// Retries that one node may still make towards one pool.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
     settings: Settings,
-    left: u32,
+    remaining_units: u32,
 }
 
 impl Budget {
@@ -37,25 +37,26 @@
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
-            left: settings.burst.saturating_mul(RETRY),
+            remaining_units: settings.burst.saturating_mul(UNITS_PER_RETRY),
         }
     }
 
-    /// Records a first attempt or retry that succeeded.
+    /// Records a successful first attempt or retry.
     pub fn record_success(&mut self) {
-        let most = self.settings.burst.saturating_mul(RETRY);
-        self.left = self
-            .left
+        let max_units = self.settings.burst.saturating_mul(UNITS_PER_RETRY);
+        self.remaining_units = self
+            .remaining_units
             .saturating_add(self.settings.per_thousand)
-            .min(most);
+            .min(max_units);
     }
 
-    /// Takes one retry; `false` if the failure must be told to the caller.
+    /// Takes one retry from the budget; `false` if it is exhausted and the failure must
+    /// be reported to the caller.
     pub fn try_take(&mut self) -> bool {
-        let Some(left) = self.left.checked_sub(RETRY) else {
+        let Some(remaining_units) = self.remaining_units.checked_sub(UNITS_PER_RETRY) else {
             return false;
         };
-        self.left = left;
+        self.remaining_units = remaining_units;
         true
     }
 }
--- a/filbertpaddle-core/tests/retry.rs
+++ b/filbertpaddle-core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Budgets for retries.
+//! Retry budget.
 
 use filbertpaddle_core::retry::Budget;
 use filbertpaddle_core::retry::Settings;
@@ -16,9 +16,10 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Retries stay under the burst and the share of successes, in any order.
+    /// The number of retries never exceeds the burst plus the allowed share of
+    /// successes, in any order of successes and failures.
     #[test]
-    fn retries_are_bounded(successes in proptest::collection::vec(any::<bool>(), 1..2_000)) {
+    fn retries_stay_within_budget(successes in proptest::collection::vec(any::<bool>(), 1..2_000)) {
         let settings = Settings { per_thousand: 100, burst: 5 };
         let mut budget = Budget::new(settings);
         let (mut succeeded, mut retried) = (0, 0);
