--- a/filbertpaddle-core/src/reconciler.rs
+++ b/filbertpaddle-core/src/reconciler.rs
@@ -1,119 +1,121 @@
-//! Reconciler to the targets of one pool: what each is to serve.
+//! Reconciles the models that the targets of one pool serve with the templates.
 //!
-//! The owner compares what targets serve with what the templates want and
-//! orders the difference, a few targets at a time. Every order is preceded by
-//! a reading of the target, so an order given twice changes nothing.
+//! The owner reads what each target serves, compares it with what the templates
+//! require, and sends a load command to targets that differ, a few at a time. A target
+//! is always read before it gets a command, so a repeated command changes nothing.
 
 use indexmap::IndexMap;
 
 use crate::clock::Millis;
 use crate::name::Name;
 
-/// Time between two readings of a target.
-pub const READ_INTERVAL_MS: Millis = Millis(5_000);
-/// Longest time after which an order sent by a deposed owner can still arrive.
-pub const IN_FLIGHT_MS: Millis = Millis(10_000);
-/// Longest wait for the answer to a reading, a permission or an order.
-pub const ANSWER_TIMEOUT_MS: Millis = Millis(60_000);
-/// At most one target in this many changes what it serves at a time.
-pub const CHANGING_SHARE: usize = 4;
+/// Time between two reads of a target.
+pub const READ_INTERVAL: Millis = Millis(5_000);
+/// Longest time after which a command from an earlier owner can still arrive.
+pub const MAX_COMMAND_DELAY: Millis = Millis(10_000);
+/// Time limit for the answer to a read, a permission request or a load command.
+pub const ANSWER_TIMEOUT: Millis = Millis(60_000);
+/// At most one target in this many changes its model at a time.
+pub const CHANGING_DIVISOR: usize = 4;
 
-/// What a target serves.
+/// Model, version and adapters that a target serves.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ServedModel {
-    /// Model that is loaded.
+    /// Loaded model.
     pub model: Name,
-    /// Version that is loaded.
+    /// Loaded version.
     pub version: Name,
-    /// Adapters that are loaded, sorted.
+    /// Loaded adapters, sorted.
     pub adapters: Vec<Name>,
 }
 
-/// What is to be done.
+/// Action that the caller must carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Read what the target serves and answer with [`Reconciler::read`].
+    /// Read what the target serves and pass it to [`Reconciler::record_read`].
     Read {
         /// Name of the target.
         target: Name,
     },
-    /// Ask the weight store and answer with [`Reconciler::permitted`].
-    AskWeights {
-        /// Name of the target that is to load.
+    /// Request permission to load from the weight store and pass the answer to
+    /// [`Reconciler::record_permission`].
+    RequestPermission {
+        /// Name of the target that has to load.
         target: Name,
-        /// What is to be loaded.
-        wanted: ServedModel,
+        /// Model to load.
+        desired: ServedModel,
     },
-    /// Give the order and answer with [`Reconciler::ordered`].
-    Order {
+    /// Send the load command and call [`Reconciler::record_load_answer`] afterwards.
+    LoadModel {
         /// Name of the target.
         target: Name,
-        /// What it is to serve.
-        wanted: ServedModel,
-        /// Fencing number of the order.
+        /// Model that the target must serve.
+        desired: ServedModel,
+        /// Fencing number of the command.
         epoch: u64,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// Nothing is in flight before this time.
+    /// Nothing is in flight; the next read is due at this time.
     Idle { until_ms: Millis },
-    /// A reading is in flight.
+    /// A read is in flight.
     Reading { since_ms: Millis },
-    /// The reading shows a difference, and permission to load is wanted.
-    Differs { ask_at_ms: Millis },
-    /// Permission has been asked for.
-    Asking { since_ms: Millis },
-    /// An order is in flight.
-    Ordering { since_ms: Millis },
+    /// The target does not serve the desired model, and permission to load is due to be
+    /// requested at this time.
+    OutOfDate { request_at_ms: Millis },
+    /// A permission request is in flight.
+    AwaitingPermission { since_ms: Millis },
+    /// A load command is in flight.
+    Loading { since_ms: Millis },
 }
 
-/// Whether a target refuses orders with an old fencing number.
+/// Whether a target rejects commands with an outdated fencing number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fencing {
-    /// The target refuses them.
+    /// The target rejects them.
     Checked,
-    /// The target obeys any order.
+    /// The target executes any command.
     Ignored,
 }
 
-/// Reconciler of one owner to the targets of its pool.
+/// Reconciles the targets of a pool on behalf of its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reconciler {
     epoch: u64,
     since_ms: Millis,
     fencing: Fencing,
-    wanted: ServedModel,
+    desired: ServedModel,
     targets: IndexMap<Name, Phase>,
 }
 
 impl Reconciler {
-    /// Starts to order as the owner with this epoch.
-    pub fn new(epoch: u64, fencing: Fencing, wanted: ServedModel, now: Millis) -> Self {
+    /// Creates a reconciler for the owner with this epoch.
+    pub fn new(epoch: u64, fencing: Fencing, desired: ServedModel, now: Millis) -> Self {
         Self {
             epoch,
             since_ms: now,
             fencing,
-            wanted,
+            desired,
             targets: IndexMap::new(),
         }
     }
 
-    /// Changes what the pool is to serve.
-    pub fn want(&mut self, wanted: ServedModel) {
-        if self.wanted == wanted {
+    /// Changes the model that the pool must serve.
+    pub fn set_desired(&mut self, desired: ServedModel) {
+        if self.desired == desired {
             return;
         }
-        self.wanted = wanted;
+        self.desired = desired;
         for phase in self.targets.values_mut() {
-            if matches!(phase, Phase::Idle { .. } | Phase::Differs { .. }) {
+            if matches!(phase, Phase::Idle { .. } | Phase::OutOfDate { .. }) {
                 *phase = idle(Millis::ZERO);
             }
         }
     }
 
-    /// Changes which targets the pool has.
+    /// Replaces the targets of the pool.
     pub fn set_targets<I>(&mut self, names: I)
     where
         I: IntoIterator<Item = Name>,
@@ -125,14 +127,14 @@
         }
     }
 
-    /// Returns what is to be done now.
+    /// Returns the actions that are due.
     pub fn tick(&mut self, now: Millis) -> Vec<Action> {
         let mut changing = self.changing();
-        let most_changing = self.targets.len().div_ceil(CHANGING_SHARE);
-        let may_order = self.may_order(now);
+        let max_changing = self.targets.len().div_ceil(CHANGING_DIVISOR);
+        let may_load = self.may_load(now);
         let mut actions = Vec::new();
         for (name, phase) in &mut self.targets {
-            expire(phase, now);
+            expire_phase(phase, now);
             match phase {
                 Phase::Idle { until_ms } if *until_ms <= now => {
                     *phase = Phase::Reading { since_ms: now };
@@ -140,15 +142,15 @@
                         target: name.clone(),
                     });
                 }
-                Phase::Differs { ask_at_ms } if *ask_at_ms <= now => {
-                    if !may_order || changing >= most_changing {
+                Phase::OutOfDate { request_at_ms } if *request_at_ms <= now => {
+                    if !may_load || changing >= max_changing {
                         continue;
                     }
                     changing += 1;
-                    *phase = Phase::Asking { since_ms: now };
-                    actions.push(Action::AskWeights {
+                    *phase = Phase::AwaitingPermission { since_ms: now };
+                    actions.push(Action::RequestPermission {
                         target: name.clone(),
-                        wanted: self.wanted.clone(),
+                        desired: self.desired.clone(),
                     });
                 }
                 _ => {}
@@ -157,54 +159,58 @@
         actions
     }
 
-    /// Takes in what a target serves; `None` means that it could not be read.
-    pub fn read(&mut self, now: Millis, target: &str, served: Option<&ServedModel>) {
-        let differs = served.is_some_and(|served| *served != self.wanted);
-        // A reading from before the last order in flight could land proves nothing.
-        let settled = self.may_order(now);
+    /// Records what a target serves; `None` means that it could not be read.
+    pub fn record_read(&mut self, now: Millis, target: &str, served: Option<&ServedModel>) {
+        let differs = served.is_some_and(|served| *served != self.desired);
+        // A command from an earlier owner may still arrive after this read and change
+        // the target, so a difference found now is not conclusive.
+        let is_conclusive = self.may_load(now);
         let Some(phase @ Phase::Reading { .. }) = self.targets.get_mut(target) else {
             return;
         };
-        *phase = match (differs, settled) {
-            (true, true) => Phase::Differs { ask_at_ms: now },
-            (true, false) => idle(self.since_ms + IN_FLIGHT_MS),
-            (false, _) => idle(now + READ_INTERVAL_MS),
+        *phase = match (differs, is_conclusive) {
+            (true, true) => Phase::OutOfDate { request_at_ms: now },
+            (true, false) => idle(self.since_ms + MAX_COMMAND_DELAY),
+            (false, _) => idle(now + READ_INTERVAL),
         };
     }
 
-    /// Takes in the weight store's answer and returns the order if it may be given.
-    pub fn permitted(
+    /// Records the weight store's answer and returns the load command if permitted.
+    ///
+    /// `retry_after_ms` is the delay that the store demands; `None` grants permission.
+    pub fn record_permission(
         &mut self,
         now: Millis,
         target: &str,
         retry_after_ms: Option<Millis>,
     ) -> Option<Action> {
         let phase = self.targets.get_mut(target)?;
-        if !matches!(phase, Phase::Asking { .. }) {
+        if !matches!(phase, Phase::AwaitingPermission { .. }) {
             return None;
         }
         if let Some(retry_after_ms) = retry_after_ms {
-            *phase = Phase::Differs {
-                ask_at_ms: now + retry_after_ms,
+            *phase = Phase::OutOfDate {
+                request_at_ms: now + retry_after_ms,
             };
             return None;
         }
-        *phase = Phase::Ordering { since_ms: now };
-        Some(Action::Order {
+        *phase = Phase::Loading { since_ms: now };
+        Some(Action::LoadModel {
             target: target.into(),
-            wanted: self.wanted.clone(),
+            desired: self.desired.clone(),
             epoch: self.epoch,
         })
     }
 
-    /// Takes in that an order was answered, refused or lost; the target is read again.
-    pub fn ordered(&mut self, now: Millis, target: &str) {
-        if let Some(phase @ Phase::Ordering { .. }) = self.targets.get_mut(target) {
+    /// Records that a load command was answered, rejected or lost; the target is read
+    /// again.
+    pub fn record_load_answer(&mut self, now: Millis, target: &str) {
+        if let Some(phase @ Phase::Loading { .. }) = self.targets.get_mut(target) {
             *phase = idle(now);
         }
     }
 
-    /// Returns whether the target is being changed and gets no new work.
+    /// Returns whether the target is changing its model and must get no new work.
     pub fn is_changing(&self, target: &str) -> bool {
         self.targets.get(target).is_some_and(is_changing)
     }
@@ -216,10 +222,10 @@
             .count()
     }
 
-    fn may_order(&self, now: Millis) -> bool {
+    fn may_load(&self, now: Millis) -> bool {
         match self.fencing {
             Fencing::Checked => true,
-            Fencing::Ignored => now.since(self.since_ms) >= IN_FLIGHT_MS,
+            Fencing::Ignored => now.since(self.since_ms) >= MAX_COMMAND_DELAY,
         }
     }
 }
@@ -229,18 +235,21 @@
 }
 
 fn is_changing(phase: &Phase) -> bool {
-    matches!(phase, Phase::Asking { .. } | Phase::Ordering { .. })
+    matches!(
+        phase,
+        Phase::AwaitingPermission { .. } | Phase::Loading { .. }
+    )
 }
 
-// An answer that never comes is treated as lost, and the target is read again.
-fn expire(phase: &mut Phase, now: Millis) {
+// Treats an overdue answer as lost and schedules another read of the target.
+fn expire_phase(phase: &mut Phase, now: Millis) {
     let since_ms = match phase {
-        Phase::Reading { since_ms } | Phase::Asking { since_ms } | Phase::Ordering { since_ms } => {
-            *since_ms
-        }
-        Phase::Idle { .. } | Phase::Differs { .. } => return,
+        Phase::Reading { since_ms }
+        | Phase::AwaitingPermission { since_ms }
+        | Phase::Loading { since_ms } => *since_ms,
+        Phase::Idle { .. } | Phase::OutOfDate { .. } => return,
     };
-    if now.since(since_ms) >= ANSWER_TIMEOUT_MS {
+    if now.since(since_ms) >= ANSWER_TIMEOUT {
         *phase = idle(now);
     }
 }
