--- a/filbertpaddle-core/benches/scheduler.rs
+++ b/filbertpaddle-core/benches/scheduler.rs
@@ -1,4 +1,4 @@
-//! Times the decisions that a pool's owner makes for each request.
+//! Benchmarks of the scheduling decisions that a pool's owner makes for each request.
 
 use std::hint::black_box;
 
@@ -22,7 +22,7 @@
 use filbertpaddle_core::scheduler::TargetView;
 use filbertpaddle_core::template::Priority;
 
-const BATCH: u64 = 30;
+const BATCH_SIZE: u64 = 30;
 const CUSTOMERS: u64 = 400;
 
 fn request(id: u64, now: Millis) -> Ask {
@@ -53,15 +53,15 @@
         .collect()
 }
 
-fn loaded(policy: Policy, views: &[TargetView]) -> Scheduler {
+fn loaded_scheduler(policy: Policy, views: &[TargetView]) -> Scheduler {
     let settings = Settings {
         policy,
         ..Settings::default()
     };
     let mut scheduler = Scheduler::new(settings);
     for (index, view) in views.iter().enumerate() {
-        for attempt in 0..BATCH {
-            let id = index as u64 * BATCH + attempt;
+        for attempt in 0..BATCH_SIZE {
+            let id = index as u64 * BATCH_SIZE + attempt;
             let placement = Placement {
                 ask: request(id, Millis(0)),
                 target: view.name.clone(),
@@ -72,13 +72,13 @@
     scheduler
 }
 
-/// One request queued and placed, with time going on by a millisecond.
-fn place(criterion: &mut Criterion) {
+/// Queues and places one request per millisecond of simulated time.
+fn placement(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("place");
     for targets in [16, 64, 256, 1_000] {
         for policy in [Policy::LeastConnections, Policy::Predictive] {
             let views = views(targets, 10_000_000);
-            let mut scheduler = loaded(policy, &views);
+            let mut scheduler = loaded_scheduler(policy, &views);
             let mut now = Millis(1_000);
             let mut id = 10_000_000;
             let name = BenchmarkId::new(policy.to_string(), targets);
@@ -95,12 +95,12 @@
     group.finish();
 }
 
-/// A call that finds no room, with requests of many customers queued.
-fn full(criterion: &mut Criterion) {
+/// Tries to place queued requests of many customers while no target has room.
+fn full_pool(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("full");
     for targets in [16, 64, 256, 1_000] {
         let views = views(targets, 10_000);
-        let mut scheduler = loaded(Policy::Predictive, &views);
+        let mut scheduler = loaded_scheduler(Policy::Predictive, &views);
         let mut now = Millis(1_000);
         for id in 0..2_000 {
             scheduler.push(now, request(10_000_000 + id, now)).ok();
@@ -115,7 +115,7 @@
     group.finish();
 }
 
-/// One request queued behind others and the first taken.
+/// Queues a request behind others and takes the first one.
 fn queue(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("queue");
     for length in [100, 1_000, 10_000] {
@@ -138,17 +138,17 @@
     group.finish();
 }
 
-/// One output length learned.
-fn length(criterion: &mut Criterion) {
+/// Records one output length.
+fn output_length(criterion: &mut Criterion) {
     let template = Name::new("template");
     criterion.bench_function("length", |bencher| {
         bencher.iter_batched_ref(
             OutputLengths::new,
-            |lengths| lengths.ended(&template, black_box(700)),
+            |lengths| lengths.record_complete(&template, black_box(700)),
             BatchSize::SmallInput,
         );
     });
 }
 
-criterion_group!(benches, place, full, queue, length);
+criterion_group!(benches, placement, full_pool, queue, output_length);
 criterion_main!(benches);
--- a/filbertpaddle-core/src/isolated_queue.rs
+++ b/filbertpaddle-core/src/isolated_queue.rs
@@ -1,4 +1,7 @@
-//! Queued requests that must not run beside just any other work.
+//! Queue of slot requests that may not share a target with arbitrary other work.
+//!
+//! A crash of the target must point to one suspect request, so suspects run on
+//! targets without other suspects.
 
 use std::collections::VecDeque;
 
@@ -8,14 +11,15 @@
 use crate::clock::Millis;
 use crate::queue::Entry;
 
-/// Requests whose request is a suspect or already runs often enough, by digest.
+/// Slot requests, by digest, that are suspected of crashing targets or whose
+/// digest already runs as many times as allowed.
 #[derive(Clone, Debug, Default)]
 pub struct IsolatedQueue {
     waiting: IndexMap<u64, VecDeque<Entry>>,
 }
 
 impl IsolatedQueue {
-    /// Adds a request behind the others of its digest.
+    /// Adds a request after the others with the same digest.
     pub fn push(&mut self, entry: Entry) {
         self.waiting
             .entry(entry.request.digest)
@@ -23,7 +27,7 @@
             .push_back(entry);
     }
 
-    /// Returns up to `count` requests to try, one of each digest.
+    /// Returns the first request of up to `count` digests.
     pub fn heads(&self, count: usize) -> Vec<&Entry> {
         self.waiting
             .values()
@@ -32,8 +36,9 @@
             .collect()
     }
 
-    /// Takes the first request of a digest, which then waits behind the others.
-    pub fn take(&mut self, digest: u64) -> Option<Entry> {
+    /// Removes and returns the first request of a digest, and moves the digest
+    /// behind all others.
+    pub fn pop(&mut self, digest: u64) -> Option<Entry> {
         let mut entries = self.waiting.shift_remove(&digest)?;
         let entry = entries.pop_front();
         if !entries.is_empty() {
@@ -42,38 +47,38 @@
         entry
     }
 
-    /// Removes all requests of a digest.
-    pub fn take_all(&mut self, digest: u64) -> VecDeque<Entry> {
+    /// Removes and returns all requests of a digest.
+    pub fn remove_digest(&mut self, digest: u64) -> VecDeque<Entry> {
         self.waiting.shift_remove(&digest).unwrap_or_default()
     }
 
-    /// Removes one request.
+    /// Removes and returns one request.
     pub fn remove(&mut self, id: AskId) -> Option<Entry> {
-        self.extract(|entry| entry.request.id == id).pop()
+        self.remove_where(|entry| entry.request.id == id).pop()
     }
 
-    /// Removes and returns the requests whose deadline has come.
+    /// Removes and returns the requests whose deadline has passed.
     pub fn expire(&mut self, now: Millis) -> Vec<Entry> {
-        self.extract(|entry| entry.request.deadline_ms <= now)
+        self.remove_where(|entry| entry.request.deadline_ms <= now)
     }
 
-    /// Number of requests of a digest.
+    /// Returns the number of requests of a digest.
     pub fn count(&self, digest: u64) -> usize {
         self.waiting.get(&digest).map_or(0, VecDeque::len)
     }
 
-    /// Number of requests.
+    /// Returns the number of requests.
     pub fn len(&self) -> usize {
         self.waiting.values().map(VecDeque::len).sum()
     }
 
-    /// Whether nothing waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
     /// Returns the earliest deadline.
-    pub fn first_deadline_ms(&self) -> Option<Millis> {
+    pub fn earliest_deadline_ms(&self) -> Option<Millis> {
         self.waiting
             .values()
             .flatten()
@@ -81,18 +86,18 @@
             .min()
     }
 
-    fn extract<Filter>(&mut self, filter: Filter) -> Vec<Entry>
+    fn remove_where<Predicate>(&mut self, predicate: Predicate) -> Vec<Entry>
     where
-        Filter: Fn(&Entry) -> bool,
+        Predicate: Fn(&Entry) -> bool,
     {
-        let mut taken = Vec::new();
+        let mut all_removed = Vec::new();
         for entries in self.waiting.values_mut() {
-            let (out, kept): (VecDeque<_>, VecDeque<_>) =
-                std::mem::take(entries).into_iter().partition(&filter);
-            taken.extend(out);
+            let (removed, kept): (VecDeque<_>, VecDeque<_>) =
+                std::mem::take(entries).into_iter().partition(&predicate);
+            all_removed.extend(removed);
             *entries = kept;
         }
         self.waiting.retain(|_, entries| !entries.is_empty());
-        taken
+        all_removed
     }
 }
--- a/filbertpaddle-core/src/output_length.rs
+++ b/filbertpaddle-core/src/output_length.rs
@@ -1,29 +1,29 @@
-//! Distribution of output lengths, learned for each template.
+//! Estimates the distribution of output lengths for each template.
 
 use indexmap::IndexMap;
 
 use crate::name::Name;
 
-/// Buckets of a histogram; four to each doubling of the length.
+/// Buckets of a histogram, four for each doubling of the length.
 const BUCKETS: usize = 68;
-/// Samples after which all counts of a histogram are halved.
+/// Samples at which all counts of a histogram are halved, so that old samples fade.
 const WINDOW_SAMPLES: f32 = 512.0;
-/// Samples that the histogram of all templates counts for in each template.
+/// Weight, in samples, of the histogram of all templates as the prior of each one.
 const PRIOR_SAMPLES: f32 = 8.0;
-/// Most templates that are remembered.
-const TEMPLATES: usize = 4_096;
+/// Templates with a histogram of their own; the oldest is dropped beyond this.
+const MAX_TEMPLATES: usize = 4_096;
 
-/// Output lengths of all templates of one pool.
+/// Output lengths of the templates of one pool.
 #[derive(Clone, Debug)]
 pub struct OutputLengths {
-    all: Histogram,
+    overall: Histogram,
     curve: SurvivalCurve,
-    templates: IndexMap<Name, Learned>,
+    templates: IndexMap<Name, TemplateLengths>,
 }
 
-/// What is known of one template.
+/// Samples of one template and the curve derived from them.
 #[derive(Clone, Debug)]
-struct Learned {
+struct TemplateLengths {
     own: Histogram,
     curve: SurvivalCurve,
 }
@@ -35,154 +35,165 @@
 }
 
 impl OutputLengths {
-    /// Creates distributions that expect every bucket of lengths alike.
+    /// Creates distributions in which all length buckets are equally likely.
     pub fn new() -> Self {
-        let all = Histogram::log_uniform();
+        let overall = Histogram::log_uniform();
         Self {
-            curve: all.curve(&Histogram::empty()),
-            all,
+            curve: overall.curve(&Histogram::empty()),
+            overall,
             templates: IndexMap::new(),
         }
     }
 
-    /// Learns an output that ended by itself after `tokens` tokens.
-    pub fn ended(&mut self, template: &Name, tokens: u32) {
-        self.learn(template, |histogram| histogram.add(tokens));
+    /// Records an output that ended by itself after `tokens` tokens.
+    pub fn record_complete(&mut self, template: &Name, tokens: u32) {
+        self.record(template, |histogram| histogram.add(tokens));
     }
 
-    /// Learns an output that was cut off from outside after `tokens` tokens.
+    /// Records an output that was stopped from outside after `tokens` tokens.
     ///
-    /// The sample is spread over the greater lengths as the curve has them.
-    pub fn cut(&mut self, template: &Name, tokens: u32) {
+    /// Its full length is unknown (a right-censored sample), so the sample is
+    /// distributed over the longer lengths in proportion to the survival curve.
+    pub fn record_censored(&mut self, template: &Name, tokens: u32) {
         let curve = self.curve(template).clone();
-        self.learn(template, |histogram| histogram.add_cut(tokens, &curve));
+        self.record(template, |histogram| histogram.add_censored(tokens, &curve));
     }
 
-    /// Returns the lengths to expect of a template.
+    /// Returns the survival curve of a template, or of the pool for an unknown one.
     pub fn curve(&self, template: &Name) -> &SurvivalCurve {
         self.templates
             .get(template)
-            .map_or(&self.curve, |learned| &learned.curve)
+            .map_or(&self.curve, |template_lengths| &template_lengths.curve)
     }
 
-    fn learn<Add>(&mut self, template: &Name, add: Add)
+    fn record<Add>(&mut self, template: &Name, add: Add)
     where
         Add: Fn(&mut Histogram),
     {
-        add(&mut self.all);
-        self.curve = self.all.curve(&Histogram::empty());
-        if self.templates.len() >= TEMPLATES && !self.templates.contains_key(template) {
+        add(&mut self.overall);
+        self.curve = self.overall.curve(&Histogram::empty());
+        if self.templates.len() >= MAX_TEMPLATES && !self.templates.contains_key(template) {
             self.templates.shift_remove_index(0);
         }
-        let learned = self
-            .templates
-            .entry(template.clone())
-            .or_insert_with(|| Learned {
-                own: Histogram::empty(),
-                curve: self.curve.clone(),
-            });
-        add(&mut learned.own);
-        learned.curve = self.all.curve(&learned.own);
+        let template_lengths =
+            self.templates
+                .entry(template.clone())
+                .or_insert_with(|| TemplateLengths {
+                    own: Histogram::empty(),
+                    curve: self.curve.clone(),
+                });
+        add(&mut template_lengths.own);
+        template_lengths.curve = self.overall.curve(&template_lengths.own);
     }
 }
 
-/// The chance of an output to reach a length.
+/// Probability that an output reaches a length.
 #[derive(Clone, Debug)]
 pub struct SurvivalCurve {
-    reach: [f32; BUCKETS + 1],
+    survivors: [f32; BUCKETS + 1],
 }
 
 impl SurvivalCurve {
-    /// Returns the chance that an output of `out` tokens so far reaches `length`.
-    pub fn reach(&self, out: u32, length: u32) -> f32 {
-        if length <= out {
+    /// Returns the probability that an output with `generated` tokens so far reaches
+    /// `length` tokens.
+    pub fn survival(&self, generated: u32, length: u32) -> f32 {
+        if length <= generated {
             return 1.0;
         }
-        let base = self.count(out);
-        if base <= f32::EPSILON {
+        let at_generated = self.survivors_at(generated);
+        if at_generated <= f32::EPSILON {
             return 0.5;
         }
-        (self.count(length) / base).clamp(0.0, 1.0)
+        (self.survivors_at(length) / at_generated).clamp(0.0, 1.0)
     }
 
-    /// Returns the expected number of tokens still to come after `out`.
-    pub fn remaining_tokens(&self, out: u32, max_tokens: u32) -> f32 {
-        let first = bucket(out);
+    /// Returns the expected number of tokens after the first `generated`, up to a
+    /// length of `max_tokens`.
+    pub fn expected_remaining_tokens(&self, generated: u32, max_tokens: u32) -> f32 {
+        let first = bucket_index(generated);
         (first..BUCKETS)
-            .map(|index| (lower(index).max(out), lower(index + 1).min(max_tokens)))
+            .map(|index| {
+                (
+                    bucket_start(index).max(generated),
+                    bucket_start(index + 1).min(max_tokens),
+                )
+            })
             .filter(|(from, to)| from < to)
             .map(|(from, to)| {
-                let mean = 0.5 * (self.reach(out, from) + self.reach(out, to));
-                mean * (to - from) as f32
+                let mean_survival =
+                    0.5 * (self.survival(generated, from) + self.survival(generated, to));
+                mean_survival * (to - from) as f32
             })
             .sum()
     }
 
-    fn count(&self, length: u32) -> f32 {
-        let index = bucket(length);
-        let from = lower(index);
-        let width = lower(index + 1) - from;
-        let part = (length - from).min(width) as f32 / width as f32;
-        self.reach[index] - (self.reach[index] - self.reach[index + 1]) * part
+    fn survivors_at(&self, length: u32) -> f32 {
+        let index = bucket_index(length);
+        let from = bucket_start(index);
+        let bucket_width = bucket_start(index + 1) - from;
+        let fraction = (length - from).min(bucket_width) as f32 / bucket_width as f32;
+        self.survivors[index] - (self.survivors[index] - self.survivors[index + 1]) * fraction
     }
 }
 
-/// Decaying counts; `reach[i]` counts the outputs of at least `lower(i)` tokens.
+/// Decaying counts of output lengths.
+///
+/// `survivors[i]` counts the outputs of at least `bucket_start(i)` tokens.
 #[derive(Clone, Debug)]
 struct Histogram {
-    reach: [f32; BUCKETS + 1],
+    survivors: [f32; BUCKETS + 1],
 }
 
 impl Histogram {
     fn empty() -> Self {
         Self {
-            reach: [0.0; BUCKETS + 1],
+            survivors: [0.0; BUCKETS + 1],
         }
     }
 
     fn log_uniform() -> Self {
-        let mut reach = [0.0; BUCKETS + 1];
-        reach
+        let mut survivors = [0.0; BUCKETS + 1];
+        survivors
             .iter_mut()
             .enumerate()
             .for_each(|(index, count)| *count = (BUCKETS - index) as f32 / BUCKETS as f32);
-        Self { reach }
+        Self { survivors }
     }
 
-    /// Returns the curve of `own` samples with these as its prior.
+    /// Returns the curve of the samples in `own`, with this histogram as the prior.
     fn curve(&self, own: &Self) -> SurvivalCurve {
-        let scale = PRIOR_SAMPLES / self.reach[0];
-        let mut reach = self.reach;
-        reach
+        let scale = PRIOR_SAMPLES / self.survivors[0];
+        let mut survivors = self.survivors;
+        survivors
             .iter_mut()
-            .zip(own.reach)
+            .zip(own.survivors)
             .for_each(|(count, own)| *count = *count * scale + own);
-        SurvivalCurve { reach }
+        SurvivalCurve { survivors }
     }
 
     fn add(&mut self, tokens: u32) {
         self.decay();
-        self.reach[..=bucket(tokens)]
+        self.survivors[..=bucket_index(tokens)]
             .iter_mut()
             .for_each(|count| *count += 1.0);
     }
 
-    fn add_cut(&mut self, tokens: u32, curve: &SurvivalCurve) {
+    fn add_censored(&mut self, tokens: u32, curve: &SurvivalCurve) {
         self.decay();
-        self.reach[..BUCKETS]
+        self.survivors[..BUCKETS]
             .iter_mut()
             .enumerate()
-            .for_each(|(index, count)| *count += curve.reach(tokens, lower(index)));
+            .for_each(|(index, count)| *count += curve.survival(tokens, bucket_start(index)));
     }
 
     fn decay(&mut self) {
-        if self.reach[0] >= WINDOW_SAMPLES {
-            self.reach.iter_mut().for_each(|count| *count *= 0.5);
+        if self.survivors[0] >= WINDOW_SAMPLES {
+            self.survivors.iter_mut().for_each(|count| *count *= 0.5);
         }
     }
 }
 
-fn bucket(length: u32) -> usize {
+fn bucket_index(length: u32) -> usize {
     if length < 4 {
         return length as usize;
     }
@@ -192,7 +203,7 @@
     index.min(BUCKETS - 1)
 }
 
-fn lower(index: usize) -> u32 {
+fn bucket_start(index: usize) -> u32 {
     if index < 4 {
         return index as u32;
     }
--- a/filbertpaddle-core/src/placement.rs
+++ b/filbertpaddle-core/src/placement.rs
@@ -1,4 +1,4 @@
-//! Choice of the target for one request.
+//! Choice of the target for one slot request.
 
 use indexmap::IndexMap;
 
@@ -13,129 +13,149 @@
 use crate::target_state::TargetState;
 use crate::token_gap::GapModel;
 
-/// How much fuller a target may be than the emptiest to be chosen for a prefix
-/// it holds, as a part of its limits.
-const PREFIX_SLACK: f32 = 0.15;
-/// Standard deviations of memory kept free at stall weights of 0 and 100.
-const DEVIATIONS: (f32, f32) = (1.5, 2.5);
-/// Part of the token gap's bound that the mean may reach at stall weights of
+/// Difference in utilisation up to which a target with the prefix cached is
+/// preferred to the least utilised one.
+const PREFIX_UTILISATION_SLACK: f32 = 0.15;
+/// Memory headroom in standard deviations of the forecast, at stall weights of 0
+/// and 100.
+const HEADROOM_DEVIATIONS: (f32, f32) = (1.5, 2.5);
+/// Fraction of the token gap limit that the mean gap may reach, at stall weights of
 /// 0 and 100.
-const GAP_PART: (f64, f64) = (0.55, 0.7);
-/// Attempts that a target takes whatever its token gap, so that a slow target
-/// is not left idle.
-const GAP_BATCH: usize = 8;
+const MEAN_GAP_FRACTION: (f64, f64) = (0.55, 0.7);
+/// Batch size from which the token gap limit applies. Smaller batches ignore it, so
+/// that a slow target is not left idle.
+const MIN_GAP_LIMITED_BATCH: usize = 8;
 
-/// Bounds that a target is filled to.
+/// Limits up to which a target is filled.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct FillLimits {
     deviations: f32,
     gap_ms: f64,
 }
 
-impl Limits {
-    /// Returns the bounds that a deployment's settings request for.
+impl FillLimits {
+    /// Returns the limits that follow from the settings of a deployment.
     pub fn new(settings: &Settings) -> Self {
         let weight = f32::from(settings.stall_weight_percent.min(100)) / 100.0;
-        let gap_part = GAP_PART.0 + f64::from(weight) * (GAP_PART.1 - GAP_PART.0);
+        let mean_gap_fraction =
+            MEAN_GAP_FRACTION.0 + f64::from(weight) * (MEAN_GAP_FRACTION.1 - MEAN_GAP_FRACTION.0);
         Self {
-            deviations: DEVIATIONS.0 + weight * (DEVIATIONS.1 - DEVIATIONS.0),
-            gap_ms: f64::from(settings.token_gap_ms) * gap_part,
+            deviations: HEADROOM_DEVIATIONS.0
+                + weight * (HEADROOM_DEVIATIONS.1 - HEADROOM_DEVIATIONS.0),
+            gap_ms: f64::from(settings.token_gap_ms) * mean_gap_fraction,
         }
     }
 }
 
-/// What was learned of the whole pool.
+/// Estimates and limits shared by all targets of a pool.
 #[derive(Clone, Copy, Debug)]
-pub struct Knowledge<'a> {
-    /// Token gap over batch size.
-    pub line: &'a GapModel,
-    /// Output lengths.
-    pub lengths: &'a OutputLengths,
-    /// Bounds to fill targets to.
-    pub limits: Limits,
+pub struct PoolEstimates<'a> {
+    /// Token gap as a function of the batch size.
+    pub gap_model: &'a GapModel,
+    /// Output lengths of the templates.
+    pub output_lengths: &'a OutputLengths,
+    /// Limits up to which targets are filled.
+    pub limits: FillLimits,
 }
 
-/// Chooses among targets that may take the request; `None` if none has room.
+/// Chooses the target with the lowest predicted utilisation; `None` if none has room.
 ///
-/// The emptiest by prediction is chosen, or one hardly fuller that holds the
-/// request's prefix.
+/// A target that has the request's prefix cached is preferred if its utilisation is
+/// only slightly higher.
 pub fn predictive<'a>(
     now: Millis,
     request: &Ask,
-    open: &[&'a TargetView],
-    engines: &mut IndexMap<Name, TargetState>,
-    known: &Knowledge<'_>,
+    candidates: &[&'a TargetView],
+    target_states: &mut IndexMap<Name, TargetState>,
+    pool: &PoolEstimates<'_>,
 ) -> Option<&'a TargetView> {
-    let mut more = MemoryForecast::default();
-    more.add(&target_state::attempt_memory(request, 0, known.lengths));
+    let mut added = MemoryForecast::default();
+    added.add(&target_state::attempt_memory(
+        request,
+        0,
+        pool.output_lengths,
+    ));
     let mut best: Option<(f32, &TargetView)> = None;
-    let mut best_holder: Option<(f32, &TargetView)> = None;
-    for view in open {
-        let engine = engines
+    let mut best_with_prefix: Option<(f32, &TargetView)> = None;
+    for view in candidates {
+        let state = target_states
             .entry(view.name.clone())
             .or_insert_with(|| TargetState::new(now));
-        let Some(fill) = fill(now, request, &more, view, engine, known) else {
+        let Some(utilisation) = utilisation(now, request, &added, view, state, pool) else {
             continue;
         };
-        if best.is_none_or(|(least, _)| fill < least) {
-            best = Some((fill, view));
+        if best.is_none_or(|(least, _)| utilisation < least) {
+            best = Some((utilisation, view));
         }
-        let holds = request.prefix != 0 && engine.prefixes.contains(now, request.prefix);
-        if holds && best_holder.is_none_or(|(least, _)| fill < least) {
-            best_holder = Some((fill, view));
+        let has_prefix = request.prefix != 0 && state.prefixes.contains(now, request.prefix);
+        if has_prefix && best_with_prefix.is_none_or(|(least, _)| utilisation < least) {
+            best_with_prefix = Some((utilisation, view));
         }
     }
     let (least, emptiest) = best?;
-    match best_holder {
-        Some((fill, holder)) if fill <= least + PREFIX_SLACK => Some(holder),
+    match best_with_prefix {
+        Some((utilisation, with_prefix)) if utilisation <= least + PREFIX_UTILISATION_SLACK => {
+            Some(with_prefix)
+        }
         _ => Some(emptiest),
     }
 }
 
-/// Returns the part of a target's limits that it would use with the request added;
-/// `None` if that is more than all. A target with nothing running always has
-/// room, since work that is too large for it will not fit later either.
-fn fill(
+/// Returns the fraction of a target's limits that is used with the request added.
+///
+/// Returns `None` if the target exceeds its limits or may not start work now. An idle
+/// target always has room, since work that is too large for it will not fit later
+/// either.
+fn utilisation(
     now: Millis,
     request: &Ask,
-    more: &MemoryForecast,
+    added: &MemoryForecast,
     view: &TargetView,
-    engine: &mut TargetState,
-    known: &Knowledge<'_>,
+    state: &mut TargetState,
+    pool: &PoolEstimates<'_>,
 ) -> Option<f32> {
-    if !engine.is_open(now) {
+    if !state.accepts_start(now) {
         return None;
     }
-    let gap = match engine.batch() {
-        0..GAP_BATCH => 0.0,
-        _ => (engine.gap_ms(1, known.line) / known.limits.gap_ms) as f32,
+    let gap_utilisation = match state.batch_size() {
+        0..MIN_GAP_LIMITED_BATCH => 0.0,
+        _ => (state.gap_ms(1, pool.gap_model) / pool.limits.gap_ms) as f32,
     };
-    let memory = match view.capacity_tokens {
+    let memory_utilisation = match view.capacity_tokens {
         0 => 0.0,
         capacity => {
-            let fixed = engine.correction_tokens() + engine.shared_tokens_with(request);
-            let forecast = engine.forecast(now, known.line, known.lengths).with(more);
-            let peak = forecast.peak_tokens(known.limits.deviations) + fixed;
+            let fixed = state.correction_tokens() + state.shared_tokens_with(request);
+            let forecast = state
+                .forecast(now, pool.gap_model, pool.output_lengths)
+                .combined_with(added);
+            let peak = forecast.peak_tokens(pool.limits.deviations) + fixed;
             peak.max(0.0) / capacity as f32
         }
     };
-    let fill = gap.max(memory);
-    let fits = fill <= 1.0 || engine.batch() == 0;
-    fits.then_some(fill)
+    let utilisation = gap_utilisation.max(memory_utilisation);
+    let fits = utilisation <= 1.0 || state.batch_size() == 0;
+    fits.then_some(utilisation)
 }
 
 /// Chooses the target with the fewest running attempts.
 pub fn least_connections<'a>(
-    open: &[&'a TargetView],
-    engines: &IndexMap<Name, TargetState>,
+    candidates: &[&'a TargetView],
+    target_states: &IndexMap<Name, TargetState>,
 ) -> Option<&'a TargetView> {
-    let batch = |view: &TargetView| engines.get(&view.name).map_or(0, TargetState::batch);
-    open.iter().copied().min_by_key(|view| batch(view))
+    let batch_size = |view: &TargetView| {
+        target_states
+            .get(&view.name)
+            .map_or(0, TargetState::batch_size)
+    };
+    candidates
+        .iter()
+        .copied()
+        .min_by_key(|view| batch_size(view))
 }
 
-/// Chooses the targets in turn; `turn` counts the choices made.
-pub fn round_robin<'a>(turn: &mut usize, open: &[&'a TargetView]) -> Option<&'a TargetView> {
-    let index = turn.checked_rem(open.len())?;
+/// Chooses the targets in turn; `turn` is the number of choices made so far.
+pub fn round_robin<'a>(turn: &mut usize, candidates: &[&'a TargetView]) -> Option<&'a TargetView> {
+    let index = turn.checked_rem(candidates.len())?;
     *turn = turn.wrapping_add(1);
-    open.get(index).copied()
+    candidates.get(index).copied()
 }
--- a/filbertpaddle-core/src/policy.rs
+++ b/filbertpaddle-core/src/policy.rs
@@ -1,9 +1,9 @@
-//! Ways to choose a target, and the settings that weigh them.
+//! Placement policies and their settings.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How a target is chosen for queued work.
+/// Rule by which a target is chosen for queued work.
 #[derive(
     Clone,
     Copy,
@@ -31,20 +31,20 @@
     Predictive,
 }
 
-/// What a deployment weighs against each other.
+/// Placement settings of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// How a target is chosen.
+    /// Rule by which a target is chosen.
     pub policy: Policy,
     /// Weight of preemptions and stall time against the tail of the token gap,
     /// from 0 (only the gap counts) to 100 (only preemptions count).
     pub stall_weight_percent: u8,
-    /// Token gap that 95 in 100 tokens are to stay under.
+    /// Goal for the 95th percentile of the token gap.
     pub token_gap_ms: u32,
-    /// Most requests held in the queue of one pool.
+    /// Longest queue of one pool, in requests.
     pub queue_limit: u32,
-    /// Wait that raises a request by one step of priority.
+    /// Time in the queue that raises a request by one priority.
     pub ageing_ms: u32,
 }
 
--- a/filbertpaddle-core/src/queue.rs
+++ b/filbertpaddle-core/src/queue.rs
@@ -1,4 +1,5 @@
-//! Queue with priorities, ageing and fair shares of tokens between customers.
+//! Queue of slot requests with priorities, ageing and weighted fair sharing of
+//! tokens between customers.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -13,79 +14,80 @@
 use crate::name::Name;
 use crate::template::Priority;
 
-/// Parts of a token in which shares are counted.
-const SHARE_SCALE: u64 = 1_000;
-/// Most customers without queued requests that are remembered.
-const IDLE_LANES: usize = 1_024;
+/// Units of service per token at weight one, so that integer division by a weight
+/// keeps its precision.
+const UNITS_PER_TOKEN: u64 = 1_000;
+/// Number of customers above which idle ones are dropped.
+const MAX_IDLE_CUSTOMERS: usize = 1_024;
 
 /// A queued request.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// The request.
+    /// The queued request.
     pub request: Ask,
-    /// Tokens of prompt and output that it is expected to take.
+    /// Expected prompt and output tokens.
     pub cost_tokens: u64,
 }
 
-/// The requests of one pool that wait for a slot.
+/// Requests of one pool that wait for a slot.
 #[derive(Clone, Debug)]
 pub struct Queue {
     fair: bool,
     ageing_ms: u64,
-    lanes: IndexMap<Name, Lane>,
-    places: IndexMap<AskId, (Name, Priority)>,
+    customers: IndexMap<Name, CustomerQueue>,
+    locations: IndexMap<AskId, (Name, Priority)>,
     deadlines: BTreeSet<(Millis, AskId)>,
-    virtual_now: u64,
+    virtual_time: u64,
 }
 
-/// The requests of one customer.
+/// Requests of one customer, and the service that the customer has received.
 #[derive(Clone, Debug, Default)]
-struct Lane {
-    served: u64,
-    levels: BTreeMap<Priority, Level>,
+struct CustomerQueue {
+    weighted_service: u64,
+    levels: BTreeMap<Priority, PriorityLevel>,
 }
 
-/// The requests of one customer at one priority, in order of arrival.
+/// Requests of one customer at one priority, in order of arrival.
 #[derive(Clone, Debug, Default)]
-struct Level {
-    served_ms: Millis,
+struct PriorityLevel {
+    last_taken_ms: Millis,
     queued_tokens: u64,
     entries: VecDeque<Entry>,
 }
 
 impl Queue {
-    /// Creates an empty queue in which a wait of `ageing_ms` lifts a request by
-    /// one step of priority.
+    /// Creates an empty queue in which each `ageing_ms` of waiting raises a request
+    /// by one priority.
     pub fn new(ageing_ms: u32) -> Self {
         Self {
             fair: true,
             ageing_ms: u64::from(ageing_ms.max(1)),
-            lanes: IndexMap::new(),
-            places: IndexMap::new(),
+            customers: IndexMap::new(),
+            locations: IndexMap::new(),
             deadlines: BTreeSet::new(),
-            virtual_now: 0,
+            virtual_time: 0,
         }
     }
 
-    /// Creates an empty queue that knows only the order of arrival.
-    pub fn in_order() -> Self {
+    /// Creates an empty first-in, first-out queue, without priorities or fair shares.
+    pub fn fifo() -> Self {
         Self {
             fair: false,
             ..Self::new(1)
         }
     }
 
-    /// Number of queued requests.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.locations.len()
     }
 
-    /// Whether nothing is queued.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.locations.is_empty()
     }
 
-    /// Adds a request behind those of its customer and priority.
+    /// Adds a request after those of the same customer and priority.
     pub fn push(&mut self, entry: Entry) {
         let request = &entry.request;
         let (customer, priority) = if self.fair {
@@ -93,31 +95,35 @@
         } else {
             Default::default()
         };
-        self.places.insert(request.id, (customer.clone(), priority));
+        self.locations
+            .insert(request.id, (customer.clone(), priority));
         self.deadlines.insert((request.deadline_ms, request.id));
-        let virtual_now = self.virtual_now;
-        let lane = self.lanes.entry(customer).or_default();
-        if lane.levels.is_empty() {
-            lane.served = lane.served.max(virtual_now);
+        let virtual_time = self.virtual_time;
+        let customer_queue = self.customers.entry(customer).or_default();
+        if customer_queue.levels.is_empty() {
+            customer_queue.weighted_service = customer_queue.weighted_service.max(virtual_time);
         }
-        let level = lane.levels.entry(priority).or_default();
+        let level = customer_queue.levels.entry(priority).or_default();
         level.queued_tokens += entry.cost_tokens;
         level.entries.push_back(entry);
     }
 
-    /// Returns up to `count` requests in the order in which to try them, each the
-    /// first of its customer and priority.
+    /// Returns up to `count` requests in the order in which to try them.
+    ///
+    /// Each is the first of its customer and priority.
     pub fn heads(&self, now: Millis, count: usize) -> Vec<&Entry> {
-        let mut heads: Vec<_> = self
-            .lanes
-            .values()
-            .flat_map(|lane| {
-                lane.levels
-                    .values()
-                    .filter_map(move |level| Some((lane, level, level.entries.front()?)))
-            })
-            .map(|(lane, level, entry)| (self.rank(now, lane, level, entry), entry))
-            .collect();
+        let mut heads: Vec<_> =
+            self.customers
+                .values()
+                .flat_map(|customer_queue| {
+                    customer_queue.levels.values().filter_map(move |level| {
+                        Some((customer_queue, level, level.entries.front()?))
+                    })
+                })
+                .map(|(customer_queue, level, entry)| {
+                    (self.rank(now, customer_queue, level, entry), entry)
+                })
+                .collect();
         if heads.len() > count && count > 0 {
             heads.select_nth_unstable_by_key(count - 1, |(rank, _)| *rank);
             heads.truncate(count);
@@ -126,118 +132,135 @@
         heads.into_iter().map(|(_, entry)| entry).collect()
     }
 
-    /// Ranks the first request of a level; the lowest rank goes first.
+    /// Returns the rank of the first request of a level; the lowest goes first.
     ///
-    /// Age counts from the last service of the level, so that a long backlog
-    /// of one customer does not lift it above the fresh requests of others.
+    /// Ageing starts no earlier than the last time a request was taken from the
+    /// level. Otherwise the long backlog of one customer would rank above recent
+    /// requests of the others.
     fn rank(
         &self,
         now: Millis,
-        lane: &Lane,
-        level: &Level,
+        customer_queue: &CustomerQueue,
+        level: &PriorityLevel,
         entry: &Entry,
     ) -> (Reverse<u64>, u64, Millis, AskId) {
         let request = &entry.request;
-        let since = request.arrived_ms.max(level.served_ms);
-        let step = if self.fair {
-            u64::from(request.priority.0) + now.since(since).0 / self.ageing_ms
+        let ageing_start_ms = request.arrived_ms.max(level.last_taken_ms);
+        let effective_priority = if self.fair {
+            u64::from(request.priority.0) + now.since(ageing_start_ms).0 / self.ageing_ms
         } else {
             0
         };
-        (Reverse(step), lane.served, request.arrived_ms, request.id)
+        (
+            Reverse(effective_priority),
+            customer_queue.weighted_service,
+            request.arrived_ms,
+            request.id,
+        )
     }
 
-    /// Takes a request to run it and charges its customer.
+    /// Removes a request to run it and charges its customer.
     pub fn take(&mut self, now: Millis, id: AskId) -> Option<Entry> {
-        let (customer, priority) = self.places.get(&id)?.clone();
+        let (customer, priority) = self.locations.get(&id)?.clone();
         let entry = self.remove(id)?;
-        let lane = self.lanes.get_mut(&customer)?;
-        self.virtual_now = self.virtual_now.max(lane.served);
-        lane.served += share(entry.cost_tokens, entry.request.weight);
-        if let Some(level) = lane.levels.get_mut(&priority) {
-            level.served_ms = now;
+        let customer_queue = self.customers.get_mut(&customer)?;
+        self.virtual_time = self.virtual_time.max(customer_queue.weighted_service);
+        customer_queue.weighted_service += weighted_units(entry.cost_tokens, entry.request.weight);
+        if let Some(level) = customer_queue.levels.get_mut(&priority) {
+            level.last_taken_ms = now;
         }
-        self.prune();
+        self.prune_idle();
         Some(entry)
     }
 
-    /// Removes a request without charge.
+    /// Removes a request without a charge to its customer.
     pub fn remove(&mut self, id: AskId) -> Option<Entry> {
-        let (customer, priority) = self.places.swap_remove(&id)?;
-        let lane = self.lanes.get_mut(&customer)?;
-        let level = lane.levels.get_mut(&priority)?;
-        let place = level
+        let (customer, priority) = self.locations.swap_remove(&id)?;
+        let customer_queue = self.customers.get_mut(&customer)?;
+        let level = customer_queue.levels.get_mut(&priority)?;
+        let index = level
             .entries
             .iter()
             .position(|entry| entry.request.id == id)?;
-        let entry = level.entries.remove(place)?;
+        let entry = level.entries.remove(index)?;
         level.queued_tokens -= entry.cost_tokens;
         self.deadlines.remove(&(entry.request.deadline_ms, id));
         if level.entries.is_empty() {
-            lane.levels.remove(&priority);
+            customer_queue.levels.remove(&priority);
         }
         Some(entry)
     }
 
-    /// Charges a customer for work that did not come from this queue.
+    /// Charges a customer for work that was not taken from this queue.
     pub fn charge(&mut self, customer: &Name, weight: u32, tokens: u64) {
         self.settle(customer, weight, 0, tokens);
     }
 
-    /// Corrects a customer's charge once the tokens it took are known.
+    /// Replaces an expected charge by the tokens that the work actually used.
     pub fn settle(&mut self, customer: &Name, weight: u32, charged_tokens: u64, tokens: u64) {
-        if let Some(lane) = self.lanes.get_mut(customer) {
-            lane.served =
-                (lane.served + share(tokens, weight)).saturating_sub(share(charged_tokens, weight));
+        if let Some(customer_queue) = self.customers.get_mut(customer) {
+            customer_queue.weighted_service = (customer_queue.weighted_service
+                + weighted_units(tokens, weight))
+            .saturating_sub(weighted_units(charged_tokens, weight));
         }
     }
 
-    /// Removes and returns the requests whose deadline has come.
+    /// Removes and returns the requests whose deadline has passed.
     pub fn expire(&mut self, now: Millis) -> Vec<Entry> {
-        let late: Vec<AskId> = self
+        let expired_ids: Vec<AskId> = self
             .deadlines
             .iter()
             .take_while(|(deadline_ms, _)| *deadline_ms <= now)
             .map(|(_, id)| *id)
             .collect();
-        late.into_iter().filter_map(|id| self.remove(id)).collect()
+        expired_ids
+            .into_iter()
+            .filter_map(|id| self.remove(id))
+            .collect()
     }
 
     /// Returns the earliest deadline.
-    pub fn first_deadline_ms(&self) -> Option<Millis> {
+    pub fn earliest_deadline_ms(&self) -> Option<Millis> {
         self.deadlines.first().map(|(deadline_ms, _)| *deadline_ms)
     }
 
-    /// Returns the tokens that go before a new request of this customer and
-    /// priority: the whole queue's, or fewer where its fair share comes first.
-    pub fn ahead_tokens(&self, customer: &Name, priority: Priority, weight: u32) -> u64 {
-        let all: u64 = self.lanes.values().map(|lane| lane.tokens(priority)).sum();
+    /// Returns the queued tokens that are placed before a new request.
+    ///
+    /// Counts requests of the same or a higher priority: all of them, or those
+    /// that the customer's fair share lets go first if that is fewer tokens.
+    pub fn tokens_ahead(&self, customer: &Name, priority: Priority, weight: u32) -> u64 {
+        let all: u64 = self
+            .customers
+            .values()
+            .map(|customer_queue| customer_queue.tokens(priority))
+            .sum();
         let own = self
-            .lanes
+            .customers
             .get(customer)
-            .map_or(0, |lane| lane.tokens(priority));
+            .map_or(0, |customer_queue| customer_queue.tokens(priority));
         let own_weight = u64::from(weight.max(1));
         let others: u64 = self
-            .lanes
+            .customers
             .iter()
             .filter(|(name, _)| *name != customer)
-            .filter_map(|(_, lane)| lane.weight(priority))
+            .filter_map(|(_, customer_queue)| customer_queue.weight(priority))
             .sum();
         let fair = own.saturating_mul(own_weight + others) / own_weight;
         all.min(fair)
     }
 
-    fn prune(&mut self) {
-        if self.lanes.len() <= IDLE_LANES {
+    fn prune_idle(&mut self) {
+        if self.customers.len() <= MAX_IDLE_CUSTOMERS {
             return;
         }
-        let virtual_now = self.virtual_now;
-        self.lanes
-            .retain(|_, lane| !lane.levels.is_empty() || lane.served > virtual_now);
+        let virtual_time = self.virtual_time;
+        self.customers.retain(|_, customer_queue| {
+            !customer_queue.levels.is_empty() || customer_queue.weighted_service > virtual_time
+        });
     }
 }
 
-impl Lane {
+impl CustomerQueue {
     fn tokens(&self, priority: Priority) -> u64 {
         self.levels
             .range(priority..)
@@ -253,6 +276,6 @@
     }
 }
 
-fn share(tokens: u64, weight: u32) -> u64 {
-    tokens.saturating_mul(SHARE_SCALE) / u64::from(weight.max(1))
+fn weighted_units(tokens: u64, weight: u32) -> u64 {
+    tokens.saturating_mul(UNITS_PER_TOKEN) / u64::from(weight.max(1))
 }
--- a/filbertpaddle-core/src/scheduler.rs
+++ b/filbertpaddle-core/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! Order of queued work and choice of its target, for one pool.
+//! Scheduler of one pool: orders slot requests and chooses their targets.
 
 use indexmap::IndexMap;
 
@@ -16,8 +16,8 @@
 use crate::outcome::Reason;
 use crate::output_length::OutputLengths;
 use crate::placement;
-use crate::placement::Knowledge;
-use crate::placement::Limits;
+use crate::placement::FillLimits;
+use crate::placement::PoolEstimates;
 use crate::placement_rate::PlacementRate;
 use crate::policy::Policy;
 use crate::policy::Settings;
@@ -29,31 +29,31 @@
 use crate::target_state::TargetState;
 use crate::token_gap::GapModel;
 
-/// Requests that are tried before a call yields nothing.
-const LOOKAHEAD: usize = 4;
-/// How often queued work is tried again while nothing else happens, since the
-/// memory of what runs is predicted to change.
-const POLL: Millis = Millis(50);
+/// Requests tried in a call before it returns nothing.
+const MAX_TRIED_REQUESTS: usize = 4;
+/// Interval at which queued work is retried without an event, since the forecast
+/// memory of running work changes with time.
+const POLL_INTERVAL: Millis = Millis(50);
 
-/// Reconciler the requests of one pool and chooses their targets.
+/// Orders the slot requests of one pool and chooses their targets.
 ///
-/// The owner calls [`Self::next_placement`] until it yields `None` after each event and
-/// answers every placement with [`Self::record_start`] before it calls again. The
-/// scheduler never places on a target without a free slot in its view.
+/// After each event the owner calls [`Self::next_placement`] until it returns `None`,
+/// and confirms every placement with [`Self::record_start`] before the next call. The
+/// scheduler never places a request on a target without a free slot in its view.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     settings: Settings,
     queue: Queue,
-    apart: IsolatedQueue,
-    refused: Vec<Refusal>,
-    backlog: PlacementRate,
-    line: GapModel,
-    lengths: OutputLengths,
+    isolated: IsolatedQueue,
+    pending_refusals: Vec<Refusal>,
+    placement_rate: PlacementRate,
+    gap_model: GapModel,
+    output_lengths: OutputLengths,
     suspects: Suspects,
-    engines: IndexMap<Name, TargetState>,
+    target_states: IndexMap<Name, TargetState>,
     slots: IndexMap<SlotId, Name>,
-    copies: IndexMap<u64, usize>,
-    turn: usize,
+    running_copies: IndexMap<u64, usize>,
+    round_robin_turn: usize,
 }
 
 impl Scheduler {
@@ -61,21 +61,21 @@
     pub fn new(settings: Settings) -> Self {
         let queue = match settings.policy {
             Policy::Predictive => Queue::new(settings.ageing_ms),
-            Policy::RoundRobin | Policy::LeastConnections => Queue::in_order(),
+            Policy::RoundRobin | Policy::LeastConnections => Queue::fifo(),
         };
         Self {
             settings,
             queue,
-            apart: IsolatedQueue::default(),
-            refused: Vec::new(),
-            backlog: PlacementRate::default(),
-            line: GapModel::new(),
-            lengths: OutputLengths::new(),
+            isolated: IsolatedQueue::default(),
+            pending_refusals: Vec::new(),
+            placement_rate: PlacementRate::default(),
+            gap_model: GapModel::new(),
+            output_lengths: OutputLengths::new(),
             suspects: Suspects::new(),
-            engines: IndexMap::new(),
+            target_states: IndexMap::new(),
             slots: IndexMap::new(),
-            copies: IndexMap::new(),
-            turn: 0,
+            running_copies: IndexMap::new(),
+            round_robin_turn: 0,
         }
     }
 
@@ -83,19 +83,20 @@
     ///
     /// # Errors
     ///
-    /// Refuses at once, with when to come back, if the queue is full, the
-    /// deadline cannot be met or the request has crashed too many targets.
+    /// Returns a refusal if the queue is full, the deadline cannot be met or the
+    /// request is quarantined. It says when to retry, except for a quarantine.
     pub fn push(&mut self, now: Millis, request: Ask) -> Result<(), Refusal> {
-        let ahead_tokens =
+        let tokens_ahead =
             self.queue
-                .ahead_tokens(&request.customer, request.priority, request.weight);
-        let patience = request.deadline_ms.since(now);
-        if let Err(reason) = self.admit(now, &request, ahead_tokens, patience) {
+                .tokens_ahead(&request.customer, request.priority, request.weight);
+        let max_wait = request.deadline_ms.since(now);
+        if let Err(reason) = self.admit(now, &request, tokens_ahead, max_wait) {
             let retry = reason != Reason::Quarantined;
             return Err(Refusal {
                 id: request.id,
                 reason,
-                retry_after_ms: retry.then(|| self.backlog.retry_after(ahead_tokens, patience)),
+                retry_after_ms: retry
+                    .then(|| self.placement_rate.retry_after(tokens_ahead, max_wait)),
             });
         }
         let cost_tokens = self.cost_tokens(&request);
@@ -104,7 +105,7 @@
             cost_tokens,
         };
         if self.suspects.status(entry.request.digest) == QuarantineStatus::Suspect {
-            self.apart.push(entry);
+            self.isolated.push(entry);
         } else {
             self.queue.push(entry);
         }
@@ -115,67 +116,68 @@
         &mut self,
         now: Millis,
         request: &Ask,
-        ahead_tokens: u64,
-        patience: Millis,
+        tokens_ahead: u64,
+        max_wait: Millis,
     ) -> Result<(), Reason> {
         self.suspects.touch(now, request.digest);
-        let standing = self.suspects.status(request.digest);
-        if standing == QuarantineStatus::Blocked {
+        let status = self.suspects.status(request.digest);
+        if status == QuarantineStatus::Blocked {
             return Err(Reason::Quarantined);
         }
-        if standing == QuarantineStatus::Suspect && self.apart.count(request.digest) > 0 {
+        if status == QuarantineStatus::Suspect && self.isolated.count(request.digest) > 0 {
             return Err(Reason::Overloaded);
         }
         if self.queued() >= self.settings.queue_limit as usize {
             return Err(Reason::Overloaded);
         }
-        if patience == Millis::ZERO {
+        if max_wait == Millis::ZERO {
             return Err(Reason::Deadline);
         }
-        let predicted = self.settings.policy == Policy::Predictive;
-        if predicted && self.backlog.wait(ahead_tokens) > patience {
+        let is_predictive = self.settings.policy == Policy::Predictive;
+        if is_predictive && self.placement_rate.expected_wait(tokens_ahead) > max_wait {
             return Err(Reason::Overloaded);
         }
         Ok(())
     }
 
     fn cost_tokens(&self, request: &Ask) -> u64 {
-        let curve = self.lengths.curve(&request.template);
-        let out_tokens = curve.remaining_tokens(0, request.max_tokens) as u64;
+        let curve = self.output_lengths.curve(&request.template);
+        let out_tokens = curve.expected_remaining_tokens(0, request.max_tokens) as u64;
         u64::from(request.prompt_tokens) + out_tokens
     }
 
-    /// Removes a queued request whose asker has gone; `None` if it is not queued.
+    /// Removes a queued request that its requester has cancelled; `None` if it is not
+    /// queued.
     pub fn cancel(&mut self, id: AskId) -> Option<Ask> {
         self.queue
             .remove(id)
-            .or_else(|| self.apart.remove(id))
+            .or_else(|| self.isolated.remove(id))
             .map(|entry| entry.request)
     }
 
-    /// Takes the next request that can be placed now.
+    /// Removes the next request that can be placed now and returns its placement.
     pub fn next_placement(&mut self, now: Millis, targets: &[TargetView]) -> Option<Placement> {
         if targets.iter().all(|view| view.free_slots == 0) {
             return None;
         }
-        self.set_apart(now);
-        self.next_apart(now, targets)
+        self.isolate_restricted(now);
+        self.next_isolated(now, targets)
             .or_else(|| self.next_queued(now, targets))
     }
 
-    fn next_apart(&mut self, now: Millis, targets: &[TargetView]) -> Option<Placement> {
+    fn next_isolated(&mut self, now: Millis, targets: &[TargetView]) -> Option<Placement> {
         let heads: Vec<Ask> = self
-            .apart
-            .heads(LOOKAHEAD)
+            .isolated
+            .heads(MAX_TRIED_REQUESTS)
             .into_iter()
-            .filter(|entry| self.may_copy(&entry.request) && entry.request.deadline_ms > now)
+            .filter(|entry| self.may_run_copy(&entry.request) && entry.request.deadline_ms > now)
             .map(|entry| entry.request.clone())
             .collect();
         for head in heads {
-            let Some(target) = self.choose(now, &head, targets) else {
+            let Some(target) = self.choose_target(now, &head, targets) else {
                 continue;
             };
-            let entry = self.apart.take(head.digest)?;
+            let entry = self.isolated.pop(head.digest)?;
             let request = entry.request;
             self.queue
                 .charge(&request.customer, request.weight, entry.cost_tokens);
@@ -190,18 +192,19 @@
     fn next_queued(&mut self, now: Millis, targets: &[TargetView]) -> Option<Placement> {
         let heads: Vec<Ask> = self
             .queue
-            .heads(now, LOOKAHEAD)
+            .heads(now, MAX_TRIED_REQUESTS)
             .into_iter()
             .filter(|entry| entry.request.deadline_ms > now)
             .map(|entry| entry.request.clone())
             .collect();
         for head in heads {
-            let Some(target) = self.choose(now, &head, targets) else {
+            let Some(target) = self.choose_target(now, &head, targets) else {
                 continue;
             };
             let entry = self.queue.take(now, head.id)?;
             let waiting = !self.queue.is_empty();
-            self.backlog.placed(now, entry.cost_tokens, waiting);
+            self.placement_rate
+                .record_placement(now, entry.cost_tokens, waiting);
             return Some(Placement {
                 ask: entry.request,
                 target,
@@ -210,74 +213,90 @@
         None
     }
 
-    /// Moves requests aside that must not run beside just any other work.
-    fn set_apart(&mut self, now: Millis) {
+    /// Moves the first requests that may not share a target with arbitrary work to the
+    /// isolated queue, and refuses those that are blocked.
+    fn isolate_restricted(&mut self, now: Millis) {
         loop {
-            let aside: Vec<AskId> = self
+            let restricted_ids: Vec<AskId> = self
                 .queue
-                .heads(now, LOOKAHEAD)
+                .heads(now, MAX_TRIED_REQUESTS)
                 .into_iter()
-                .filter(|entry| !self.may_run(&entry.request))
+                .filter(|entry| !self.may_share_target(&entry.request))
                 .map(|entry| entry.request.id)
                 .collect();
-            if aside.is_empty() {
+            if restricted_ids.is_empty() {
                 return;
             }
-            for entry in aside.into_iter().filter_map(|id| self.queue.remove(id)) {
+            for entry in restricted_ids
+                .into_iter()
+                .filter_map(|id| self.queue.remove(id))
+            {
                 if self.suspects.status(entry.request.digest) == QuarantineStatus::Blocked {
-                    self.refused.push(quarantined(entry.request.id));
+                    self.pending_refusals
+                        .push(quarantine_refusal(entry.request.id));
                 } else {
-                    self.apart.push(entry);
+                    self.isolated.push(entry);
                 }
             }
         }
     }
 
-    fn may_run(&self, request: &Ask) -> bool {
-        let standing = self.suspects.status(request.digest);
-        let free = matches!(
-            standing,
+    fn may_share_target(&self, request: &Ask) -> bool {
+        let status = self.suspects.status(request.digest);
+        let is_unrestricted = matches!(
+            status,
             QuarantineStatus::Unknown | QuarantineStatus::Cleared
         );
-        free && self.may_copy(request)
+        is_unrestricted && self.may_run_copy(request)
     }
 
-    fn may_copy(&self, request: &Ask) -> bool {
-        let running = self.copies.get(&request.digest).copied().unwrap_or(0);
+    fn may_run_copy(&self, request: &Ask) -> bool {
+        let running = self
+            .running_copies
+            .get(&request.digest)
+            .copied()
+            .unwrap_or(0);
         request.digest == 0 || running < self.suspects.max_copies(request.digest)
     }
 
-    fn choose(&mut self, now: Millis, request: &Ask, targets: &[TargetView]) -> Option<Name> {
+    fn choose_target(
+        &mut self,
+        now: Millis,
+        request: &Ask,
+        targets: &[TargetView],
+    ) -> Option<Name> {
         let suspect = self.suspects.status(request.digest) == QuarantineStatus::Suspect;
-        let open: Vec<&TargetView> = targets
+        let candidates: Vec<&TargetView> = targets
             .iter()
-            .filter(|view| view.free_slots > 0 && !self.is_avoided(now, &view.name))
+            .filter(|view| view.free_slots > 0 && !self.is_in_backoff(now, &view.name))
             .filter(|view| !suspect || !self.runs_suspect(&view.name))
             .collect();
         let view = match self.settings.policy {
-            Policy::RoundRobin => placement::round_robin(&mut self.turn, &open),
-            Policy::LeastConnections => placement::least_connections(&open, &self.engines),
+            Policy::RoundRobin => placement::round_robin(&mut self.round_robin_turn, &candidates),
+            Policy::LeastConnections => {
+                placement::least_connections(&candidates, &self.target_states)
+            }
             Policy::Predictive => {
-                let known = Knowledge {
-                    line: &self.line,
-                    lengths: &self.lengths,
-                    limits: Limits::new(&self.settings),
+                let pool = PoolEstimates {
+                    gap_model: &self.gap_model,
+                    output_lengths: &self.output_lengths,
+                    limits: FillLimits::new(&self.settings),
                 };
-                placement::predictive(now, request, &open, &mut self.engines, &known)
+                placement::predictive(now, request, &candidates, &mut self.target_states, &pool)
             }
         };
         view.map(|view| view.name.clone())
     }
 
-    fn is_avoided(&self, now: Millis, target: &Name) -> bool {
-        self.engines
+    fn is_in_backoff(&self, now: Millis, target: &Name) -> bool {
+        self.target_states
             .get(target)
-            .is_some_and(|engine| engine.is_avoided(now))
+            .is_some_and(|state| state.is_in_backoff(now))
     }
 
     fn runs_suspect(&self, target: &Name) -> bool {
-        self.engines.get(target).is_some_and(|engine| {
-            engine
+        self.target_states.get(target).is_some_and(|state| {
+            state
                 .running()
                 .any(|running| self.suspects.uncleared_crashes(running.request.digest) > 0)
         })
@@ -285,50 +304,59 @@
 
     /// Records that a slot was granted for a placement.
     ///
-    /// A successor also records what it learns to be running this way.
+    /// A new owner also records in this way the work that it finds running.
     pub fn record_start(&mut self, now: Millis, slot: SlotId, placement: &Placement) {
         let request = placement.ask.clone();
         let cost_tokens = self.cost_tokens(&request);
         if request.digest != 0 {
-            *self.copies.entry(request.digest).or_insert(0) += 1;
+            *self.running_copies.entry(request.digest).or_insert(0) += 1;
         }
         self.slots.insert(slot, placement.target.clone());
-        self.engines
+        self.target_states
             .entry(placement.target.clone())
             .or_insert_with(|| TargetState::new(now))
-            .start(now, slot, request, cost_tokens, &self.line, &self.lengths);
+            .start(
+                now,
+                slot,
+                request,
+                cost_tokens,
+                &self.gap_model,
+                &self.output_lengths,
+            );
     }
 
-    /// Records that a slot's use has ended after `tokens` tokens of output.
+    /// Records that the use of a slot ended after `tokens` tokens of output.
     pub fn record_end(&mut self, now: Millis, slot: SlotId, tokens: u32, ending: Ending) {
         let Some(target) = self.slots.swap_remove(&slot) else {
             return;
         };
-        let Some(engine) = self.engines.get_mut(&target) else {
+        let Some(state) = self.target_states.get_mut(&target) else {
             return;
         };
-        let Some(running) = engine.end(now, slot, tokens, &self.line) else {
+        let Some(running) = state.end(now, slot, tokens, &self.gap_model) else {
             return;
         };
         let request = &running.request;
         match ending {
             Ending::Complete => {
-                engine.learn_gap(&running, tokens, &mut self.line);
-                self.lengths.ended(&request.template, tokens);
+                state.record_gap(&running, tokens, &mut self.gap_model);
+                self.output_lengths
+                    .record_complete(&request.template, tokens);
                 self.suspects.record_answer(now, request.digest);
             }
             Ending::Cancelled | Ending::Unknown if tokens > 0 => {
-                self.lengths.cut(&request.template, tokens);
+                self.output_lengths
+                    .record_censored(&request.template, tokens);
             }
             Ending::Failed => {
-                let crash = suspect::crash_id(&target, engine.crash(now, &running));
+                let crash = suspect::crash_id(&target, state.record_crash_time(now, &running));
                 self.suspects.record_crash(now, request.digest, crash);
-                engine.avoid(now);
+                state.start_backoff(now);
             }
-            Ending::Refused => engine.avoid(now),
+            Ending::Refused => state.start_backoff(now),
             Ending::Cancelled | Ending::Unknown | Ending::Unsent => {}
         }
-        let taken_tokens = match ending {
+        let used_tokens = match ending {
             Ending::Unsent | Ending::Refused => 0,
             _ => u64::from(request.prompt_tokens) + u64::from(tokens),
         };
@@ -336,123 +364,127 @@
             &request.customer,
             request.weight,
             running.cost_tokens,
-            taken_tokens,
+            used_tokens,
         );
         self.release_copy(request.digest);
-        self.refuse_condemned(request.digest);
+        self.refuse_blocked(request.digest);
     }
 
     fn release_copy(&mut self, digest: u64) {
-        let Some(count) = self.copies.get_mut(&digest) else {
+        let Some(count) = self.running_copies.get_mut(&digest) else {
             return;
         };
         *count -= 1;
         if *count == 0 {
-            self.copies.swap_remove(&digest);
+            self.running_copies.swap_remove(&digest);
         }
     }
 
-    fn refuse_condemned(&mut self, digest: u64) {
+    fn refuse_blocked(&mut self, digest: u64) {
         if self.suspects.status(digest) != QuarantineStatus::Blocked {
             return;
         }
-        let refused = self.apart.take_all(digest);
-        self.refused
-            .extend(refused.iter().map(|entry| quarantined(entry.request.id)));
+        let refused = self.isolated.remove_digest(digest);
+        self.pending_refusals.extend(
+            refused
+                .iter()
+                .map(|entry| quarantine_refusal(entry.request.id)),
+        );
     }
 
     /// Records a load report, which may be late or repeated.
     pub fn record_load(&mut self, now: Millis, target: &Name, load: &Load) {
-        if let Some(engine) = self.engines.get_mut(target) {
-            engine.report(now, load, &self.line);
+        if let Some(state) = self.target_states.get_mut(target) {
+            state.update_memory_correction(now, load, &self.gap_model);
         }
     }
 
-    /// Records a cache event, which may be late or follow a gap.
-    pub fn record_cache_event(&mut self, now: Millis, target: &Name, prefix: u64, held: bool) {
-        let Some(engine) = self.engines.get_mut(target) else {
+    /// Records a prefix cache event, which may be late or follow lost events.
+    pub fn record_cache_event(&mut self, now: Millis, target: &Name, prefix: u64, cached: bool) {
+        let Some(state) = self.target_states.get_mut(target) else {
             return;
         };
-        if held {
-            engine.prefixes.insert(now, prefix);
+        if cached {
+            state.prefixes.insert(now, prefix);
         } else {
-            engine.prefixes.remove(prefix);
+            state.prefixes.remove(prefix);
         }
     }
 
-    /// Forgets what was learned of a target that left or began a new life.
+    /// Resets the state of a target that left the pool or restarted.
     ///
-    /// Slots that run there stay recorded until they end.
+    /// Slots in use there stay recorded until they end.
     pub fn reset_target(&mut self, now: Millis, target: &Name) {
-        let Some(engine) = self.engines.get_mut(target) else {
+        let Some(state) = self.target_states.get_mut(target) else {
             return;
         };
-        if engine.batch() == 0 {
-            self.engines.swap_remove(target);
+        if state.batch_size() == 0 {
+            self.target_states.swap_remove(target);
         } else {
-            engine.reset(now);
+            state.reset(now);
         }
     }
 
-    /// Joins what another node knows of a request that was part of crashes.
+    /// Merges another node's record of a request that was running during crashes.
     pub fn merge_crash_record(&mut self, now: Millis, digest: u64, record: &suspect::CrashRecord) {
         self.suspects.merge(now, digest, record);
-        self.refuse_condemned(digest);
+        self.refuse_blocked(digest);
     }
 
-    /// The requests that were part of crashes, to pass them on.
+    /// Returns the requests that were running during crashes, for replication to other
+    /// nodes.
     pub fn suspects(&self) -> &Suspects {
         &self.suspects
     }
 
-    /// Removes the requests that get no slot any more: their deadline has come or
-    /// their request has crashed too many targets.
+    /// Removes the requests that no longer get a slot and returns their refusals: the
+    /// deadline has passed or the request is quarantined.
     pub fn take_refusals(&mut self, now: Millis) -> Vec<Refusal> {
-        let late = self.queue.expire(now).into_iter();
-        let late_apart = self.apart.expire(now).into_iter();
-        let refusals: Vec<_> = late
-            .chain(late_apart)
+        let expired = self.queue.expire(now).into_iter();
+        let expired_isolated = self.isolated.expire(now).into_iter();
+        let refusals: Vec<_> = expired
+            .chain(expired_isolated)
             .map(|entry| Refusal {
                 id: entry.request.id,
                 reason: Reason::Deadline,
                 retry_after_ms: Some(self.retry_after(&entry.request)),
             })
             .collect();
-        self.refused.extend(refusals);
-        std::mem::take(&mut self.refused)
+        self.pending_refusals.extend(refusals);
+        std::mem::take(&mut self.pending_refusals)
     }
 
     fn retry_after(&self, request: &Ask) -> Millis {
-        let ahead_tokens =
+        let tokens_ahead =
             self.queue
-                .ahead_tokens(&request.customer, request.priority, request.weight);
-        let patience = request.deadline_ms.since(request.arrived_ms);
-        self.backlog.retry_after(ahead_tokens, patience)
+                .tokens_ahead(&request.customer, request.priority, request.weight);
+        let max_wait = request.deadline_ms.since(request.arrived_ms);
+        self.placement_rate.retry_after(tokens_ahead, max_wait)
     }
 
-    /// Returns when to call [`Self::take_refusals`] and [`Self::next_placement`] without an
-    /// event in between; `None` if nothing is queued.
+    /// Returns when to call [`Self::take_refusals`] and [`Self::next_placement`] if no
+    /// event occurs before; `None` if nothing is queued.
     pub fn next_wake(&self, now: Millis) -> Option<Millis> {
-        if !self.refused.is_empty() {
+        if !self.pending_refusals.is_empty() {
             return Some(now);
         }
         [
-            self.queue.first_deadline_ms(),
-            self.apart.first_deadline_ms(),
+            self.queue.earliest_deadline_ms(),
+            self.isolated.earliest_deadline_ms(),
         ]
         .into_iter()
         .flatten()
         .min()
-        .map(|deadline_ms| deadline_ms.clamp(now, now + POLL))
+        .map(|deadline_ms| deadline_ms.clamp(now, now + POLL_INTERVAL))
     }
 
-    /// Number of queued requests.
+    /// Returns the number of queued requests.
     pub fn queued(&self) -> usize {
-        self.queue.len() + self.apart.len()
+        self.queue.len() + self.isolated.len()
     }
 }
 
-fn quarantined(id: AskId) -> Refusal {
+fn quarantine_refusal(id: AskId) -> Refusal {
     Refusal {
         id,
         reason: Reason::Quarantined,
--- a/filbertpaddle-core/src/target_state.rs
+++ b/filbertpaddle-core/src/target_state.rs
@@ -1,4 +1,5 @@
-//! What the scheduler knows of one target and of the work that runs there.
+//! Scheduler state of one target: running work, memory forecast, cached prefixes and
+//! backoff after failures.
 
 use std::collections::VecDeque;
 
@@ -16,81 +17,83 @@
 use crate::token_gap::ProgressSnapshot;
 use crate::token_gap::TokenProgress;
 
-/// Age at which a forecast is computed anew.
-const FORECAST_AGE: Millis = Millis(200);
-/// How long a burst of work that starts together lasts.
-const BURST_LENGTH: Millis = Millis(5);
-/// Time between two bursts.
+/// Age at which a forecast is recomputed.
+const FORECAST_MAX_AGE: Millis = Millis(200);
+/// Time within which work belongs to the same start burst.
+const BURST_DURATION: Millis = Millis(5);
+/// Shortest time between the starts of two bursts.
 const BURST_INTERVAL: Millis = Millis(500);
-/// Tokens of prompts after which a burst takes no more work.
-const BURST_TOKENS: u32 = 1_024;
-/// Batch below which work starts at any time.
-const BURST_BATCH: usize = 8;
-/// How long a target that failed or refused work gets no more of it.
-const AVOIDANCE: Millis = Millis(1_000);
-/// How long ended work is kept to compare with late reports.
-const ENDED_AGE: Millis = Millis::from_secs(5);
-/// Most ended work that is kept to compare with late reports.
-const ENDED: usize = 128;
-/// Part of a new report in the correction.
-const CORRECTION_PART: f32 = 0.3;
-
-/// Work that runs on a target.
+/// Prompt tokens after which a burst accepts no more work.
+const MAX_BURST_PROMPT_TOKENS: u32 = 1_024;
+/// Batch size below which work may start outside a burst.
+const UNLIMITED_START_BATCH: usize = 8;
+/// Time for which a target gets no work after it failed or refused some.
+const FAILURE_BACKOFF: Millis = Millis(1_000);
+/// Time for which ended work is kept for comparison with late load reports.
+const ENDED_RETENTION: Millis = Millis::from_secs(5);
+/// Ended attempts kept for comparison with late load reports.
+const MAX_ENDED: usize = 128;
+/// Weight of a new report in the moving average of the memory correction.
+const CORRECTION_SMOOTHING: f32 = 0.3;
+
+/// Attempt that runs on a target.
 #[derive(Clone, Debug)]
-pub struct Running {
-    /// The request that was placed.
+pub struct RunningAttempt {
+    /// The placed request.
     pub request: Ask,
-    /// Tokens charged to its customer.
+    /// Tokens charged to the customer at placement.
     pub cost_tokens: u64,
     start: ProgressSnapshot,
 }
 
-/// Work that has ended, as far as late reports may still count it.
+/// Ended attempt that late load reports may still count.
 #[derive(Clone, Copy, Debug)]
-struct Ended {
+struct EndedAttempt {
     start_ms: Millis,
     end_ms: Millis,
     tokens: u64,
 }
 
-/// A prefix that running work shares.
+/// Prefix shared by running attempts.
 #[derive(Clone, Copy, Debug, Default)]
-struct Shared {
+struct SharedPrefix {
     users: usize,
     tokens: u32,
 }
 
-/// Work that started together, so that few steps of the batch carry prompts.
+/// Attempts that start together.
+///
+/// Starts are grouped so that few steps of the batch include prompt processing.
 #[derive(Clone, Copy, Debug, Default)]
-struct Burst {
+struct StartBurst {
     start_ms: Millis,
     prompt_tokens: u32,
 }
 
-/// One target as the scheduler sees it.
+/// State of one target.
 #[derive(Clone, Debug)]
 pub struct TargetState {
-    /// Prefixes it is taken to hold.
+    /// Prefixes that the target is assumed to have cached.
     pub prefixes: CachedPrefixes,
-    burst: Burst,
-    avoided_until_ms: Millis,
+    burst: StartBurst,
+    backoff_until_ms: Millis,
     crashed_ms: Option<Millis>,
     progress: TokenProgress,
-    running: IndexMap<SlotId, Running>,
-    shared: IndexMap<u64, Shared>,
-    ended: VecDeque<Ended>,
+    running: IndexMap<SlotId, RunningAttempt>,
+    shared: IndexMap<u64, SharedPrefix>,
+    ended: VecDeque<EndedAttempt>,
     forecast: MemoryForecast,
     forecast_ms: Option<Millis>,
     correction_tokens: f32,
 }
 
 impl TargetState {
-    /// Creates a target first seen at `now`, with nothing running.
+    /// Creates the state of a target without running work at `now`.
     pub fn new(now: Millis) -> Self {
         Self {
             prefixes: CachedPrefixes::default(),
-            burst: Burst::default(),
-            avoided_until_ms: Millis::ZERO,
+            burst: StartBurst::default(),
+            backoff_until_ms: Millis::ZERO,
             crashed_ms: None,
             progress: TokenProgress::new(now),
             running: IndexMap::new(),
@@ -102,7 +105,8 @@
         }
     }
 
-    /// Forgets all but the work that runs.
+    /// Resets all estimates and the backoff, and keeps the running attempts and the
+    /// time of the last crash.
     pub fn reset(&mut self, now: Millis) {
         let running = std::mem::take(&mut self.running);
         let shared = std::mem::take(&mut self.shared);
@@ -111,7 +115,7 @@
         self.crashed_ms = crashed_ms;
         self.running = running;
         self.shared = shared;
-        let restarted = self.progress.mark();
+        let restarted = self.progress.snapshot();
         for running in self.running.values_mut() {
             let at_ms = running.start.at_ms;
             running.start = restarted;
@@ -119,33 +123,34 @@
         }
     }
 
-    /// Number of attempts that run.
-    pub fn batch(&self) -> usize {
+    /// Returns the number of running attempts.
+    pub fn batch_size(&self) -> usize {
         self.running.len()
     }
 
-    /// The work that runs.
-    pub fn running(&self) -> impl Iterator<Item = &Running> {
+    /// Returns the running attempts.
+    pub fn running(&self) -> impl Iterator<Item = &RunningAttempt> {
         self.running.values()
     }
 
-    /// Adds work that starts now.
+    /// Adds an attempt that starts at `now`.
     pub fn start(
         &mut self,
         now: Millis,
         slot: SlotId,
         request: Ask,
         cost_tokens: u64,
-        line: &GapModel,
-        lengths: &OutputLengths,
+        gap_model: &GapModel,
+        output_lengths: &OutputLengths,
     ) {
-        self.advance(now, line);
+        self.advance(now, gap_model);
         self.prefixes.insert(now, request.prefix);
-        self.share(&request);
+        self.add_shared_prefix(&request);
         self.join_burst(now, &request);
-        self.forecast.add(&attempt_memory(&request, 0, lengths));
-        let start = self.progress.mark();
-        let running = Running {
+        self.forecast
+            .add(&attempt_memory(&request, 0, output_lengths));
+        let start = self.progress.snapshot();
+        let running = RunningAttempt {
             request,
             cost_tokens,
             start,
@@ -154,59 +159,61 @@
     }
 
     fn join_burst(&mut self, now: Millis, request: &Ask) {
-        if now.since(self.burst.start_ms) > BURST_LENGTH {
+        if now.since(self.burst.start_ms) > BURST_DURATION {
             self.burst.start_ms = now;
             self.burst.prompt_tokens = 0;
         }
-        self.burst.prompt_tokens += own_tokens(request);
+        self.burst.prompt_tokens += unshared_prompt_tokens(request);
     }
 
-    /// Whether work may start now, either with the last burst or well after it.
-    pub fn is_open(&self, now: Millis) -> bool {
+    /// Returns whether work may start now: as part of the current burst, long enough
+    /// after it, or in a small batch.
+    pub fn accepts_start(&self, now: Millis) -> bool {
         let since = now.since(self.burst.start_ms);
-        if since <= BURST_LENGTH {
-            return self.burst.prompt_tokens < BURST_TOKENS;
+        if since <= BURST_DURATION {
+            return self.burst.prompt_tokens < MAX_BURST_PROMPT_TOKENS;
         }
-        self.batch() < BURST_BATCH || since >= BURST_INTERVAL
+        self.batch_size() < UNLIMITED_START_BATCH || since >= BURST_INTERVAL
     }
 
-    /// Removes work that has ended after `tokens` tokens.
+    /// Removes an attempt that ended after `tokens` tokens of output.
     pub fn end(
         &mut self,
         now: Millis,
         slot: SlotId,
         tokens: u32,
-        line: &GapModel,
-    ) -> Option<Running> {
-        self.advance(now, line);
+        gap_model: &GapModel,
+    ) -> Option<RunningAttempt> {
+        self.advance(now, gap_model);
         let running = self.running.swap_remove(&slot)?;
         self.forecast_ms = None;
-        self.unshare(&running.request);
-        if self.ended.len() >= ENDED {
+        self.remove_shared_prefix(&running.request);
+        if self.ended.len() >= MAX_ENDED {
             self.ended.pop_front();
         }
-        self.ended.push_back(Ended {
+        self.ended.push_back(EndedAttempt {
             start_ms: running.start.at_ms,
             end_ms: now,
-            tokens: u64::from(own_tokens(&running.request)) + u64::from(tokens),
+            tokens: u64::from(unshared_prompt_tokens(&running.request)) + u64::from(tokens),
         });
         Some(running)
     }
 
-    /// Notes that the target failed or refused work.
-    pub fn avoid(&mut self, now: Millis) {
-        self.avoided_until_ms = now + AVOIDANCE;
+    /// Starts the backoff after the target failed or refused work.
+    pub fn start_backoff(&mut self, now: Millis) {
+        self.backoff_until_ms = now + FAILURE_BACKOFF;
     }
 
-    /// Whether the target failed or refused work a short while ago.
-    pub fn is_avoided(&self, now: Millis) -> bool {
-        now < self.avoided_until_ms
+    /// Returns whether the backoff after a failure or refusal is still in effect.
+    pub fn is_in_backoff(&self, now: Millis) -> bool {
+        now < self.backoff_until_ms
     }
 
-    /// Returns when the crash that ended this work was first noticed.
+    /// Returns when the crash that ended this attempt was first noticed.
     ///
-    /// Work that started before a noticed crash ended by that same crash.
-    pub fn crash(&mut self, now: Millis, running: &Running) -> Millis {
+    /// Attempts that started before a noticed crash are attributed to that crash, so
+    /// one crash is not counted several times.
+    pub fn record_crash_time(&mut self, now: Millis, running: &RunningAttempt) -> Millis {
         let known = self
             .crashed_ms
             .filter(|crashed_ms| running.start.at_ms <= *crashed_ms);
@@ -215,40 +222,44 @@
         crashed_ms
     }
 
-    /// Learns the token gap from work that ended by itself.
-    pub fn learn_gap(&mut self, running: &Running, tokens: u32, line: &mut GapModel) {
-        self.progress.learn(&running.start, tokens, line);
+    /// Updates the token gap with an attempt that ended by itself.
+    pub fn record_gap(&mut self, running: &RunningAttempt, tokens: u32, gap_model: &mut GapModel) {
+        self.progress
+            .record_output(&running.start, tokens, gap_model);
     }
 
-    /// Returns the token gap to expect with `more` attempts added, in milliseconds.
-    pub fn gap_ms(&self, more: usize, line: &GapModel) -> f64 {
-        self.progress.gap_ms(self.batch() + more, line)
+    /// Returns the expected token gap with `more` attempts added, in milliseconds.
+    pub fn gap_ms(&self, more: usize, gap_model: &GapModel) -> f64 {
+        self.progress.gap_ms(self.batch_size() + more, gap_model)
     }
 
-    /// Returns the memory of the batch, computed anew where it is old.
+    /// Returns the memory forecast of the batch, recomputed if it is outdated.
     pub fn forecast(
         &mut self,
         now: Millis,
-        line: &GapModel,
-        lengths: &OutputLengths,
+        gap_model: &GapModel,
+        output_lengths: &OutputLengths,
     ) -> &MemoryForecast {
         let fresh = self
             .forecast_ms
-            .is_some_and(|at_ms| now.since(at_ms) < FORECAST_AGE);
+            .is_some_and(|at_ms| now.since(at_ms) < FORECAST_MAX_AGE);
         if !fresh {
-            self.advance(now, line);
+            self.advance(now, gap_model);
             self.forecast = MemoryForecast::default();
             for running in self.running.values() {
                 let out_tokens = self.progress.tokens_since(&running.start);
-                self.forecast
-                    .add(&attempt_memory(&running.request, out_tokens, lengths));
+                self.forecast.add(&attempt_memory(
+                    &running.request,
+                    out_tokens,
+                    output_lengths,
+                ));
             }
             self.forecast_ms = Some(now);
         }
         &self.forecast
     }
 
-    /// Tokens of the prefixes that running work and an added request share.
+    /// Returns the tokens of all shared prefixes with `request` added.
     pub fn shared_tokens_with(&self, request: &Ask) -> f32 {
         let more = if request.prefix == 0 || self.shared.contains_key(&request.prefix) {
             0
@@ -263,7 +274,7 @@
         (tokens + more) as f32
     }
 
-    fn share(&mut self, request: &Ask) {
+    fn add_shared_prefix(&mut self, request: &Ask) {
         if request.prefix == 0 {
             return;
         }
@@ -272,7 +283,7 @@
         shared.tokens = request.prefix_tokens;
     }
 
-    fn unshare(&mut self, request: &Ask) {
+    fn remove_shared_prefix(&mut self, request: &Ask) {
         let Some(shared) = self.shared.get_mut(&request.prefix) else {
             return;
         };
@@ -282,27 +293,31 @@
         }
     }
 
-    /// Tokens in memory beyond those of the work known here, by late reports.
+    /// Returns the average difference between the tokens in load reports and the tokens
+    /// of the known attempts.
     pub fn correction_tokens(&self) -> f32 {
         self.correction_tokens
     }
 
-    /// Compares a late report with what was known to run when it was taken.
-    pub fn report(&mut self, now: Millis, load: &Load, line: &GapModel) {
-        self.advance(now, line);
+    /// Compares a load report with the attempts that ran when it was taken, and updates
+    /// the memory correction.
+    ///
+    /// Reports older than the retention of ended attempts are ignored.
+    pub fn update_memory_correction(&mut self, now: Millis, load: &Load, gap_model: &GapModel) {
+        self.advance(now, gap_model);
         let lag_ms = now.since(load.taken_ms);
-        if lag_ms >= ENDED_AGE {
+        if lag_ms >= ENDED_RETENTION {
             return;
         }
-        let gained_since = (lag_ms.0 as f64 / self.gap_ms(0, line)) as u32;
+        let generated_since = (lag_ms.0 as f64 / self.gap_ms(0, gap_model)) as u32;
         let running: u64 = self
             .running
             .values()
             .filter(|running| running.start.at_ms <= load.taken_ms)
             .map(|running| {
                 let out_tokens = self.progress.tokens_since(&running.start);
-                let then = out_tokens.saturating_sub(gained_since);
-                u64::from(own_tokens(&running.request)) + u64::from(then)
+                let out_tokens_then = out_tokens.saturating_sub(generated_since);
+                u64::from(unshared_prompt_tokens(&running.request)) + u64::from(out_tokens_then)
             })
             .sum();
         let ended: u64 = self
@@ -313,36 +328,36 @@
             .sum();
         let known = (running + ended) as f32 + self.shared_tokens(0);
         let excess = (load.used_tokens as f32 - known).max(-0.5 * known);
-        self.correction_tokens += CORRECTION_PART * (excess - self.correction_tokens);
+        self.correction_tokens += CORRECTION_SMOOTHING * (excess - self.correction_tokens);
     }
 
-    fn advance(&mut self, now: Millis, line: &GapModel) {
-        self.progress.advance(now, self.running.len(), line);
+    fn advance(&mut self, now: Millis, gap_model: &GapModel) {
+        self.progress.advance(now, self.running.len(), gap_model);
         while self
             .ended
             .front()
-            .is_some_and(|ended| now.since(ended.end_ms) > ENDED_AGE)
+            .is_some_and(|ended| now.since(ended.end_ms) > ENDED_RETENTION)
         {
             self.ended.pop_front();
         }
     }
 }
 
-/// Returns the memory of a request's work after `out_tokens` tokens.
+/// Returns the memory of a request's attempt after `out_tokens` tokens.
 pub fn attempt_memory<'a>(
     request: &Ask,
     out_tokens: u32,
-    lengths: &'a OutputLengths,
+    output_lengths: &'a OutputLengths,
 ) -> memory_forecast::AttemptMemory<'a> {
     memory_forecast::AttemptMemory {
-        prompt_tokens: own_tokens(request),
+        prompt_tokens: unshared_prompt_tokens(request),
         out_tokens: out_tokens.min(request.max_tokens.saturating_sub(1)),
         max_tokens: request.max_tokens,
-        curve: lengths.curve(&request.template),
+        curve: output_lengths.curve(&request.template),
     }
 }
 
-fn own_tokens(request: &Ask) -> u32 {
+fn unshared_prompt_tokens(request: &Ask) -> u32 {
     if request.prefix == 0 {
         return request.prompt_tokens;
     }
--- a/filbertpaddle-core/tests/quarantine.rs
+++ b/filbertpaddle-core/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash their targets, and the innocent beside them.
+//! Quarantine of requests that crash their targets, and service of the others.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -25,11 +25,13 @@
 use proptest::test_runner::RngSeed;
 use strum::VariantArray;
 
-const POISON: u64 = 666;
+const CRASHING_DIGEST: u64 = 666;
 const SLOTS: u32 = 6;
 
-/// Targets that crash when the poison runs on them, and one caller of each
-/// digest that sends it again until it is answered or refused for good.
+/// Pool whose targets crash when they run one of the `crashing` digests.
+///
+/// Each request lost in a crash is sent again, until it is answered or refused as
+/// quarantined.
 struct Pool {
     scheduler: Scheduler,
     now: Millis,
@@ -37,14 +39,14 @@
     targets: Vec<Name>,
     running: BTreeMap<u64, Placement>,
     digests: BTreeMap<AskId, u64>,
-    poisons: Vec<u64>,
+    crashing: Vec<u64>,
     crashes: BTreeMap<u64, usize>,
     answered: BTreeSet<u64>,
     refused: BTreeSet<u64>,
 }
 
 impl Pool {
-    fn new(policy: Policy, targets: usize, poisons: &[u64]) -> Self {
+    fn new(policy: Policy, targets: usize, crashing: &[u64]) -> Self {
         let settings = Settings {
             policy,
             ..Settings::default()
@@ -58,7 +60,7 @@
                 .collect(),
             running: BTreeMap::new(),
             digests: BTreeMap::new(),
-            poisons: poisons.to_vec(),
+            crashing: crashing.to_vec(),
             crashes: BTreeMap::new(),
             answered: BTreeSet::new(),
             refused: BTreeSet::new(),
@@ -119,14 +121,14 @@
         }
     }
 
-    /// Crashes each target that runs the poison.
+    /// Crashes each target that runs a crashing request, and resends the lost requests.
     fn crash(&mut self) {
-        let poisons = self.poisons.clone();
+        let crashing = self.crashing.clone();
         self.now = self.now + Millis(100);
         let crashed: BTreeSet<Name> = self
             .running
             .values()
-            .filter(|placement| poisons.contains(&placement.ask.digest))
+            .filter(|placement| crashing.contains(&placement.ask.digest))
             .map(|placement| placement.target.clone())
             .collect();
         for target in &crashed {
@@ -137,12 +139,12 @@
                 .filter(|p| on_target(p))
                 .map(|p| p.ask.digest)
                 .collect();
-            for poison in poisons.iter().filter(|p| digests.contains(p)) {
-                let crashes = self.crashes.entry(*poison).or_default();
+            for crashing_digest in crashing.iter().filter(|p| digests.contains(p)) {
+                let crashes = self.crashes.entry(*crashing_digest).or_default();
                 *crashes += 1;
                 assert!(
                     *crashes <= CRASH_LIMIT,
-                    "{poison} crashed {crashes} targets"
+                    "{crashing_digest} crashed {crashes} targets"
                 );
             }
         }
@@ -156,13 +158,13 @@
             self.scheduler
                 .record_end(self.now, SlotId(*slot), 3, Ending::Failed);
         }
-        let again: BTreeSet<u64> = lost
+        let resent: BTreeSet<u64> = lost
             .iter()
             .filter_map(|slot| self.running.remove(slot))
             .map(|placement| placement.ask.digest)
             .collect();
         self.now = self.now + Millis(100);
-        for digest in again {
+        for digest in resent {
             self.send(digest);
         }
     }
@@ -171,13 +173,13 @@
         self.running.is_empty() && self.scheduler.queued() == 0
     }
 
-    /// Ends the oldest `count` attempts of the innocent with whole answers.
+    /// Completes the oldest `count` attempts of requests that do not crash targets.
     fn answer(&mut self, count: usize) {
         self.now = self.now + Millis(100);
         let slots: Vec<u64> = self
             .running
             .iter()
-            .filter(|(_, placement)| !self.poisons.contains(&placement.ask.digest))
+            .filter(|(_, placement)| !self.crashing.contains(&placement.ask.digest))
             .map(|(slot, _)| *slot)
             .take(count)
             .collect();
@@ -202,20 +204,20 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// The poison stops after a fixed number of targets however often it is
-    /// sent; everybody else is answered and nobody else is refused.
+    /// A crashing request is blocked after a fixed number of crashes however often it
+    /// is sent. All other requests are answered and none of them is refused.
     #[test]
-    fn poison_stops_and_the_innocent_are_answered(
+    fn crashing_request_is_blocked_and_others_are_answered(
         policy in proptest::sample::select(Policy::VARIANTS),
         targets in 1_usize..8,
         copies in 1_usize..6,
-        innocents in 1_u64..30,
+        harmless in 1_u64..30,
         answers in 0_usize..4,
     ) {
-        let mut pool = Pool::new(policy, targets, &[POISON]);
-        (1..=innocents).for_each(|digest| pool.send(digest));
+        let mut pool = Pool::new(policy, targets, &[CRASHING_DIGEST]);
+        (1..=harmless).for_each(|digest| pool.send(digest));
         for _ in 0..20 {
-            (0..copies).for_each(|_| pool.send(POISON));
+            (0..copies).for_each(|_| pool.send(CRASHING_DIGEST));
             pool.crash();
             pool.answer(answers);
         }
@@ -223,14 +225,14 @@
             pool.crash();
             pool.answer(2);
         }
-        prop_assert!(pool.crashes[&POISON] <= CRASH_LIMIT);
-        prop_assert_eq!(&pool.refused, &BTreeSet::from([POISON]));
-        prop_assert_eq!(pool.answered.len() as u64, innocents);
+        prop_assert!(pool.crashes[&CRASHING_DIGEST] <= CRASH_LIMIT);
+        prop_assert_eq!(&pool.refused, &BTreeSet::from([CRASHING_DIGEST]));
+        prop_assert_eq!(pool.answered.len() as u64, harmless);
     }
 
-    /// Records agree whatever the order in which nodes hear of each other.
+    /// Merged records do not depend on the order in which nodes exchange them.
     #[test]
-    fn records_agree_in_any_order(
+    fn merged_records_agree_in_any_order(
         events in proptest::collection::vec((0_u64..6, any::<bool>()), 1..12),
     ) {
         let records: Vec<CrashRecord> = events
@@ -241,25 +243,28 @@
                 CrashRecord { crashes, cleared }
             })
             .collect();
-        let (mut there, mut back) = (Suspects::new(), Suspects::new());
+        let (mut forward, mut backward) = (Suspects::new(), Suspects::new());
         for record in &records {
-            there.merge(Millis(1), POISON, record);
+            forward.merge(Millis(1), CRASHING_DIGEST, record);
         }
         for record in records.iter().rev().chain(&records) {
-            back.merge(Millis(1), POISON, record);
+            backward.merge(Millis(1), CRASHING_DIGEST, record);
         }
-        prop_assert_eq!(there.status(POISON), back.status(POISON));
-        prop_assert_eq!(there.uncleared_crashes(POISON), back.uncleared_crashes(POISON));
+        prop_assert_eq!(forward.status(CRASHING_DIGEST), backward.status(CRASHING_DIGEST));
+        prop_assert_eq!(
+            forward.uncleared_crashes(CRASHING_DIGEST),
+            backward.uncleared_crashes(CRASHING_DIGEST)
+        );
     }
 }
 
 #[test]
-fn several_poisons_stop_each_within_the_limit() {
-    let poisons = [601, 602, 603, 604];
-    let mut pool = Pool::new(Policy::Predictive, 5, &poisons);
+fn several_crashing_requests_each_stay_within_the_limit() {
+    let crashing = [601, 602, 603, 604];
+    let mut pool = Pool::new(Policy::Predictive, 5, &crashing);
     for round in 0..200 {
         pool.send(round % 10 + 1);
-        pool.send(poisons[round as usize % 4]);
+        pool.send(crashing[round as usize % 4]);
         pool.crash();
         pool.answer(2);
     }
@@ -269,15 +274,15 @@
     }
     let within = pool.crashes.values().all(|count| *count <= CRASH_LIMIT);
     assert!(within, "{:?}", pool.crashes);
-    assert_eq!(pool.refused, BTreeSet::from(poisons));
+    assert_eq!(pool.refused, BTreeSet::from(crashing));
     assert_eq!(pool.answered, (1..=10).collect());
 }
 
 #[test]
 fn suspects_never_share_a_target() {
-    let mut pool = Pool::new(Policy::Predictive, 3, &[POISON]);
+    let mut pool = Pool::new(Policy::Predictive, 3, &[CRASHING_DIGEST]);
     (1..=5).for_each(|digest| pool.send(digest));
-    pool.send(POISON);
+    pool.send(CRASHING_DIGEST);
     pool.crash();
     for name in pool.targets.clone() {
         let suspects = pool
@@ -292,31 +297,32 @@
 }
 
 #[test]
-fn what_another_node_knows_stops_a_queued_request() {
-    let mut pool = Pool::new(Policy::Predictive, 0, &[POISON]);
-    pool.send(POISON);
+fn record_of_another_node_blocks_a_queued_request() {
+    let mut pool = Pool::new(Policy::Predictive, 0, &[CRASHING_DIGEST]);
+    pool.send(CRASHING_DIGEST);
     let record = CrashRecord {
         crashes: (1..=CRASH_LIMIT as u64).collect(),
         cleared: BTreeSet::new(),
     };
-    pool.scheduler.merge_crash_record(pool.now, POISON, &record);
+    pool.scheduler
+        .merge_crash_record(pool.now, CRASHING_DIGEST, &record);
     pool.targets.push(Name::new("late"));
     pool.place();
     assert!(pool.running.is_empty());
-    pool.send(POISON);
-    assert_eq!(pool.refused, BTreeSet::from([POISON]));
+    pool.send(CRASHING_DIGEST);
+    assert_eq!(pool.refused, BTreeSet::from([CRASHING_DIGEST]));
     assert_eq!(pool.scheduler.queued(), 0);
 }
 
 #[test]
-fn memory_of_suspects_is_bounded_and_keeps_the_condemned() {
+fn suspect_records_are_bounded_and_keep_blocked_requests() {
     let mut suspects = Suspects::new();
     for crash in 0..CRASH_LIMIT as u64 {
-        suspects.record_crash(Millis(0), POISON, crash);
+        suspects.record_crash(Millis(0), CRASHING_DIGEST, crash);
     }
     for digest in 0..2 * MAX_SUSPECTS as u64 {
         suspects.record_crash(Millis(digest), 10_000 + digest, digest);
     }
     assert!(suspects.len() <= MAX_SUSPECTS);
-    assert_eq!(suspects.status(POISON), QuarantineStatus::Blocked);
+    assert_eq!(suspects.status(CRASHING_DIGEST), QuarantineStatus::Blocked);
 }
--- a/filbertpaddle-core/tests/queue.rs
+++ b/filbertpaddle-core/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Order, fairness and expiry of the queue.
+//! Order, fairness and expiry of the slot request queue.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
@@ -30,7 +30,7 @@
     }
 }
 
-fn take_first(queue: &mut Queue, now: Millis) -> Option<Entry> {
+fn take_head(queue: &mut Queue, now: Millis) -> Option<Entry> {
     let id = queue.heads(now, 1).first().map(|entry| entry.request.id)?;
     queue.take(now, id)
 }
@@ -40,43 +40,43 @@
     let mut queue = Queue::new(5_000);
     queue.push(entry(1, "a", 0, 10, 0));
     queue.push(entry(2, "a", 3, 10, 0));
-    let first = take_first(&mut queue, Millis(0)).unwrap();
+    let first = take_head(&mut queue, Millis(0)).unwrap();
     assert_eq!(first.request.id, AskId(2));
 }
 
 #[test]
-fn waiting_lifts_low_priority() {
+fn ageing_raises_low_priority() {
     let mut queue = Queue::new(1_000);
     queue.push(entry(1, "a", 0, 10, 0));
     let mut taken = Vec::new();
     for id in 2..8 {
         let now = Millis(id * 1_000);
         queue.push(entry(id, "a", 3, 10, now.0));
-        taken.push(take_first(&mut queue, now).unwrap().request.id);
+        taken.push(take_head(&mut queue, now).unwrap().request.id);
     }
     assert!(taken.contains(&AskId(1)), "starved: {taken:?}");
 }
 
 #[test]
-fn order_of_arrival_ignores_customer_and_priority() {
-    let mut queue = Queue::in_order();
+fn fifo_ignores_customer_and_priority() {
+    let mut queue = Queue::fifo();
     queue.push(entry(1, "a", 0, 10, 0));
     queue.push(entry(2, "b", 9, 10, 1));
     queue.push(entry(3, "a", 5, 10, 2));
-    let ids: Vec<_> = std::iter::from_fn(|| take_first(&mut queue, Millis(3)))
+    let ids: Vec<_> = std::iter::from_fn(|| take_head(&mut queue, Millis(3)))
         .map(|entry| entry.request.id.0)
         .collect();
     assert_eq!(ids, [1, 2, 3]);
 }
 
 #[test]
-fn expiry_returns_each_late_ask_once() {
+fn expiry_returns_each_request_once() {
     let mut queue = Queue::new(1_000);
     queue.push(entry(1, "a", 0, 10, 0));
     queue.push(entry(2, "b", 0, 10, 500));
-    assert_eq!(queue.first_deadline_ms(), Some(Millis(1_000_000)));
-    let late = queue.expire(Millis(1_000_000));
-    assert_eq!(late.len(), 1);
+    assert_eq!(queue.earliest_deadline_ms(), Some(Millis(1_000_000)));
+    let expired = queue.expire(Millis(1_000_000));
+    assert_eq!(expired.len(), 1);
     assert!(queue.expire(Millis(1_000_000)).is_empty());
     assert_eq!(queue.len(), 1);
 }
@@ -92,7 +92,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Two customers with work waiting are served alike but for one request each.
+    /// Two customers with queued work get the same number of tokens, up to the
+    /// cost of one request.
     #[test]
     fn backlogged_customers_share_tokens(
         large in proptest::collection::vec(1_u64..2_000, 40..80),
@@ -108,7 +109,7 @@
         let mut served = [0_u64; 2];
         let mut waiting_small = small.len();
         for step in 0.. {
-            let entry = take_first(&mut queue, Millis(step)).unwrap();
+            let entry = take_head(&mut queue, Millis(step)).unwrap();
             let is_small = entry.request.customer == "small";
             served[usize::from(is_small)] += entry.cost_tokens;
             waiting_small -= usize::from(is_small);
@@ -119,52 +120,53 @@
         }
     }
 
-    /// Every request is served within a bound, however many fresh requests of higher
-    /// priority and of other customers keep coming.
+    /// A request is served within a bound although requests of higher priority and
+    /// of other customers keep arriving.
     #[test]
-    fn nothing_starves(
+    fn no_request_starves(
         costs in proptest::collection::vec(1_u64..500, 200),
         priorities in proptest::collection::vec(0_u8..4, 200),
         customers in proptest::collection::vec(0_usize..6, 200),
     ) {
         let mut queue = Queue::new(100);
-        queue.push(entry(0, "patient", 0, 400, 0));
+        queue.push(entry(0, "waiting", 0, 400, 0));
         let names = ["a", "b", "c", "d", "e", "f"];
         for id in 1..200 {
             let now = Millis(id * 50);
-            let place = id as usize;
-            queue.push(entry(id, names[customers[place]], priorities[place], costs[place], now.0));
-            let taken = take_first(&mut queue, now).unwrap();
-            if taken.request.customer == "patient" {
+            let index = id as usize;
+            queue.push(entry(id, names[customers[index]], priorities[index], costs[index], now.0));
+            let taken = take_head(&mut queue, now).unwrap();
+            if taken.request.customer == "waiting" {
                 return Ok(());
             }
         }
         prop_assert!(false, "starved");
     }
 
-    /// What goes in comes out once, whatever is removed or expires in between.
+    /// Each queued request leaves the queue exactly once, by removal or by being
+    /// taken.
     #[test]
-    fn nothing_is_lost_or_doubled(
+    fn no_request_is_lost_or_duplicated(
         steps in proptest::collection::vec((0_u8..4, 0_u64..30, 0_u8..3), 1..120),
     ) {
         let mut queue = Queue::new(100);
-        let mut inside = std::collections::BTreeSet::new();
+        let mut queued = std::collections::BTreeSet::new();
         for (now, (kind, id, priority)) in steps.into_iter().enumerate() {
             let now = Millis(now as u64);
             match kind {
-                0 | 1 if inside.insert(id) => {
+                0 | 1 if queued.insert(id) => {
                     let customer = if id % 2 == 0 { "even" } else { "odd" };
                     queue.push(entry(id, customer, priority, id + 1, now.0));
                 }
-                2 => prop_assert_eq!(queue.remove(AskId(id)).is_some(), inside.remove(&id)),
+                2 => prop_assert_eq!(queue.remove(AskId(id)).is_some(), queued.remove(&id)),
                 3 => {
-                    if let Some(entry) = take_first(&mut queue, now) {
-                        prop_assert!(inside.remove(&entry.request.id.0));
+                    if let Some(entry) = take_head(&mut queue, now) {
+                        prop_assert!(queued.remove(&entry.request.id.0));
                     }
                 }
                 _ => {}
             }
-            prop_assert_eq!(queue.len(), inside.len());
+            prop_assert_eq!(queue.len(), queued.len());
         }
     }
 }
--- a/filbertpaddle-core/tests/scheduler.rs
+++ b/filbertpaddle-core/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! Placement: limits, memory, prefixes and refusals.
+//! Scheduler: target limits, memory forecast, prefix affinity, refusals and backoff.
 
 use std::collections::BTreeMap;
 
@@ -66,18 +66,18 @@
     );
 }
 
-/// Teaches that outputs of the template end after `tokens` tokens.
-fn teach(scheduler: &mut Scheduler, tokens: u32) {
+/// Records complete outputs of `tokens` tokens for the template.
+fn record_outputs(scheduler: &mut Scheduler, tokens: u32) {
     for id in 0..100 {
         let slot = SlotId(1_000_000 + id);
-        let mut taught = request(1_000_000 + id, Millis(0));
-        taught.digest = 0;
-        start(scheduler, Millis(0), "teacher", taught);
+        let mut sample = request(1_000_000 + id, Millis(0));
+        sample.digest = 0;
+        start(scheduler, Millis(0), "teacher", sample);
         scheduler.record_end(Millis(0), slot, tokens, Ending::Complete);
     }
 }
 
-fn placed(scheduler: &mut Scheduler, now: Millis, views: &[TargetView]) -> usize {
+fn place_all(scheduler: &mut Scheduler, now: Millis, views: &[TargetView]) -> usize {
     let mut count = 0;
     while let Some(placement) = scheduler.next_placement(now, views) {
         let slot = SlotId(placement.ask.id.0);
@@ -89,39 +89,39 @@
 }
 
 #[test]
-fn long_outputs_fill_a_target_with_fewer_attempts() {
+fn longer_outputs_reduce_the_batch_size() {
     let views = [view("a", 64, 8_000)];
     let counts = [20, 600].map(|tokens| {
         let mut scheduler = Scheduler::new(Settings {
             token_gap_ms: 1_000,
             ..Settings::default()
         });
-        teach(&mut scheduler, tokens);
+        record_outputs(&mut scheduler, tokens);
         for id in 0..60 {
             let mut queued = request(id, Millis(0));
             queued.max_tokens = 700;
             queued.prompt_tokens = 10;
             scheduler.push(Millis(0), queued).unwrap();
         }
-        placed(&mut scheduler, Millis(0), &views)
+        place_all(&mut scheduler, Millis(0), &views)
     });
     assert!(counts[0] > 2 * counts[1], "{counts:?}");
     assert!(counts[1] > 3, "{counts:?}");
 }
 
 #[test]
-fn work_that_never_fits_runs_alone() {
+fn work_above_the_capacity_runs_alone() {
     let mut scheduler = scheduler(Policy::Predictive);
     scheduler.push(Millis(0), request(1, Millis(0))).unwrap();
     scheduler.push(Millis(0), request(2, Millis(0))).unwrap();
     let views = [view("a", 64, 50)];
-    assert_eq!(placed(&mut scheduler, Millis(0), &views), 1);
+    assert_eq!(place_all(&mut scheduler, Millis(0), &views), 1);
 }
 
 #[test]
-fn a_report_of_unknown_work_keeps_new_work_out() {
+fn load_report_of_unknown_work_blocks_placement() {
     let mut scheduler = scheduler(Policy::Predictive);
-    teach(&mut scheduler, 20);
+    record_outputs(&mut scheduler, 20);
     start(&mut scheduler, Millis(0), "a", request(1, Millis(0)));
     for step in 1..20 {
         let load = Load {
@@ -137,13 +137,13 @@
         .push(Millis(2_000), request(2, Millis(2_000)))
         .unwrap();
     let views = [view("a", 64, 8_000)];
-    assert_eq!(placed(&mut scheduler, Millis(2_000), &views), 0);
+    assert_eq!(place_all(&mut scheduler, Millis(2_000), &views), 0);
 }
 
 #[test]
-fn a_held_prefix_decides_between_targets_that_are_hardly_different() {
+fn cached_prefix_is_preferred_at_similar_utilisation() {
     let mut scheduler = scheduler(Policy::Predictive);
-    teach(&mut scheduler, 20);
+    record_outputs(&mut scheduler, 20);
     let views = [view("a", 64, 100_000), view("b", 64, 100_000)];
     let with_prefix = |id| Ask {
         prefix: 9,
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_deadline_that_cannot_be_met_is_refused_at_once() {
+fn request_with_unreachable_deadline_is_refused_at_once() {
     let mut scheduler = scheduler(Policy::Predictive);
     let views = [view("a", 1, 0)];
     let mut refusal = None;
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn expired_asks_are_refused_and_wake_is_in_time() {
+fn expired_requests_are_refused_and_wakeup_is_in_time() {
     let mut scheduler = scheduler(Policy::Predictive);
     assert_eq!(scheduler.next_wake(Millis(0)), None);
     scheduler.push(Millis(0), request(1, Millis(0))).unwrap();
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_target_that_refused_work_gets_none_for_a_while() {
+fn target_that_refused_work_is_in_backoff() {
     let mut scheduler = scheduler(Policy::LeastConnections);
     let views = [view("a", 1, 0), view("b", 1, 0)];
     scheduler.push(Millis(0), request(1, Millis(0))).unwrap();
@@ -233,10 +233,10 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// No target gets more than its free slots, and each request ends up exactly
-    /// once in a placement, a refusal or the queue.
+    /// No target gets more work than it has free slots, and each request is counted
+    /// exactly once as placed, refused or queued.
     #[test]
-    fn limits_hold_and_no_ask_is_lost(
+    fn limits_hold_and_no_request_is_lost(
         policy in proptest::sample::select(Policy::VARIANTS),
         limits in proptest::collection::vec(0_u32..5, 1..5),
         capacity_tokens in proptest::sample::select(vec![0_u64, 500, 5_000, 50_000]),
