--- a/filbertpaddle-core/src/output_length.rs
+++ b/filbertpaddle-core/src/output_length.rs
@@ -1,4 +1,4 @@
-//! Estimates the distribution of output lengths for each template.
+//! Estimates of the output length distribution of each template.
 
 use indexmap::IndexMap;
 
--- a/filbertpaddle-core/src/placement.rs
+++ b/filbertpaddle-core/src/placement.rs
@@ -92,12 +92,12 @@
             best_with_prefix = Some((utilisation, view));
         }
     }
-    let (least, emptiest) = best?;
+    let (least, least_utilised) = best?;
     match best_with_prefix {
         Some((utilisation, with_prefix)) if utilisation <= least + PREFIX_UTILISATION_SLACK => {
             Some(with_prefix)
         }
-        _ => Some(emptiest),
+        _ => Some(least_utilised),
     }
 }
 
