--- a/filbertpaddle-core/benches/scheduler.rs
+++ b/filbertpaddle-core/benches/scheduler.rs
@@ -1,4 +1,4 @@
-//! Times the decisions that a pool's owner makes for each request.
+//! Benchmarks of the scheduling decisions that a pool's owner makes for each request.
 
 use std::hint::black_box;
 
@@ -8,8 +8,8 @@
 use criterion::criterion_group;
 use criterion::criterion_main;
 use filbertpaddle_core::clock::Millis;
-use filbertpaddle_core::length::Lengths;
 use filbertpaddle_core::name::Name;
+use filbertpaddle_core::output_length::OutputLengths;
 use filbertpaddle_core::policy::Policy;
 use filbertpaddle_core::policy::Settings;
 use filbertpaddle_core::queue::Entry;
@@ -22,10 +22,10 @@
 use filbertpaddle_core::scheduler::TargetView;
 use filbertpaddle_core::template::Priority;
 
-const BATCH: u64 = 30;
+const BATCH_SIZE: u64 = 30;
 const CUSTOMERS: u64 = 400;
 
-fn ask(id: u64, now: Millis) -> Ask {
+fn request(id: u64, now: Millis) -> Ask {
     Ask {
         id: AskId(id),
         customer: Name::new(format!("customer-{}", id % CUSTOMERS)),
@@ -53,32 +53,32 @@
         .collect()
 }
 
-fn loaded(policy: Policy, views: &[TargetView]) -> Scheduler {
+fn loaded_scheduler(policy: Policy, views: &[TargetView]) -> Scheduler {
     let settings = Settings {
         policy,
         ..Settings::default()
     };
     let mut scheduler = Scheduler::new(settings);
     for (index, view) in views.iter().enumerate() {
-        for attempt in 0..BATCH {
-            let id = index as u64 * BATCH + attempt;
+        for attempt in 0..BATCH_SIZE {
+            let id = index as u64 * BATCH_SIZE + attempt;
             let placement = Placement {
-                ask: ask(id, Millis(0)),
+                ask: request(id, Millis(0)),
                 target: view.name.clone(),
             };
-            scheduler.started(Millis(0), SlotId(id), &placement);
+            scheduler.record_start(Millis(0), SlotId(id), &placement);
         }
     }
     scheduler
 }
 
-/// One ask queued and placed, with time going on by a millisecond.
-fn place(criterion: &mut Criterion) {
+/// Queues and places one request per millisecond of simulated time.
+fn placement(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("place");
     for targets in [16, 64, 256, 1_000] {
         for policy in [Policy::LeastConnections, Policy::Predictive] {
             let views = views(targets, 10_000_000);
-            let mut scheduler = loaded(policy, &views);
+            let mut scheduler = loaded_scheduler(policy, &views);
             let mut now = Millis(1_000);
             let mut id = 10_000_000;
             let name = BenchmarkId::new(policy.to_string(), targets);
@@ -86,8 +86,8 @@
                 bencher.iter(|| {
                     id += 1;
                     now = now + Millis(1);
-                    scheduler.push(now, ask(id, now)).ok();
-                    black_box(scheduler.next(now, &views))
+                    scheduler.push(now, request(id, now)).ok();
+                    black_box(scheduler.next_placement(now, &views))
                 });
             });
         }
@@ -95,33 +95,33 @@
     group.finish();
 }
 
-/// A call that finds no room, with asks of many customers queued.
-fn full(criterion: &mut Criterion) {
+/// Tries to place queued requests of many customers while no target has room.
+fn full_pool(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("full");
     for targets in [16, 64, 256, 1_000] {
         let views = views(targets, 10_000);
-        let mut scheduler = loaded(Policy::Predictive, &views);
+        let mut scheduler = loaded_scheduler(Policy::Predictive, &views);
         let mut now = Millis(1_000);
         for id in 0..2_000 {
-            scheduler.push(now, ask(10_000_000 + id, now)).ok();
+            scheduler.push(now, request(10_000_000 + id, now)).ok();
         }
         group.bench_function(BenchmarkId::from_parameter(targets), |bencher| {
             bencher.iter(|| {
                 now = now + Millis(1);
-                black_box(scheduler.next(now, &views))
+                black_box(scheduler.next_placement(now, &views))
             });
         });
     }
     group.finish();
 }
 
-/// One ask queued behind others and the first taken.
+/// Queues a request behind others and takes the first one.
 fn queue(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("queue");
     for length in [100, 1_000, 10_000] {
         let mut queue = Queue::new(5_000);
         let entry = |id| Entry {
-            ask: ask(id, Millis(id)),
+            request: request(id, Millis(id)),
             cost_tokens: 300 + id % 500,
         };
         (0..length).for_each(|id| queue.push(entry(id)));
@@ -130,7 +130,7 @@
             bencher.iter(|| {
                 id += 1;
                 queue.push(entry(id));
-                let first = queue.heads(Millis(id), 1).first().map(|e| e.ask.id);
+                let first = queue.heads(Millis(id), 1).first().map(|e| e.request.id);
                 first.and_then(|first| queue.take(Millis(id), first))
             });
         });
@@ -138,17 +138,17 @@
     group.finish();
 }
 
-/// One output length learned.
-fn length(criterion: &mut Criterion) {
+/// Records one output length.
+fn output_length(criterion: &mut Criterion) {
     let template = Name::new("template");
     criterion.bench_function("length", |bencher| {
         bencher.iter_batched_ref(
-            Lengths::new,
-            |lengths| lengths.ended(&template, black_box(700)),
+            OutputLengths::new,
+            |lengths| lengths.record_complete(&template, black_box(700)),
             BatchSize::SmallInput,
         );
     });
 }
 
-criterion_group!(benches, place, full, queue, length);
+criterion_group!(benches, placement, full_pool, queue, output_length);
 criterion_main!(benches);
--- a/filbertpaddle-core/tests/scheduler.rs
+++ b/filbertpaddle-core/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! Placement: limits, memory, prefixes and refusals.
+//! Scheduler: target limits, memory forecast, prefix affinity, refusals and backoff.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
 use proptest::test_runner::RngSeed;
 use strum::VariantArray;
 
-fn ask(id: u64, now: Millis) -> Ask {
+fn request(id: u64, now: Millis) -> Ask {
     Ask {
         id: AskId(id),
         customer: Name::new(format!("customer-{}", id % 3)),
@@ -53,28 +53,35 @@
     })
 }
 
-fn start(scheduler: &mut Scheduler, now: Millis, target: &str, ask: Ask) {
-    let slot = SlotId(ask.id.0);
+fn start(scheduler: &mut Scheduler, now: Millis, target: &str, request: Ask) {
+    let slot = SlotId(request.id.0);
     let target = Name::new(target);
-    scheduler.started(now, slot, &Placement { ask, target });
+    scheduler.record_start(
+        now,
+        slot,
+        &Placement {
+            ask: request,
+            target,
+        },
+    );
 }
 
-/// Teaches that outputs of the template end after `tokens` tokens.
-fn teach(scheduler: &mut Scheduler, tokens: u32) {
+/// Records complete outputs of `tokens` tokens for the template.
+fn record_outputs(scheduler: &mut Scheduler, tokens: u32) {
     for id in 0..100 {
         let slot = SlotId(1_000_000 + id);
-        let mut taught = ask(1_000_000 + id, Millis(0));
-        taught.digest = 0;
-        start(scheduler, Millis(0), "teacher", taught);
-        scheduler.ended(Millis(0), slot, tokens, Ending::Complete);
+        let mut sample = request(1_000_000 + id, Millis(0));
+        sample.digest = 0;
+        start(scheduler, Millis(0), "teacher", sample);
+        scheduler.record_end(Millis(0), slot, tokens, Ending::Complete);
     }
 }
 
-fn placed(scheduler: &mut Scheduler, now: Millis, views: &[TargetView]) -> usize {
+fn place_all(scheduler: &mut Scheduler, now: Millis, views: &[TargetView]) -> usize {
     let mut count = 0;
-    while let Some(placement) = scheduler.next(now, views) {
+    while let Some(placement) = scheduler.next_placement(now, views) {
         let slot = SlotId(placement.ask.id.0);
-        scheduler.started(now, slot, &placement);
+        scheduler.record_start(now, slot, &placement);
         count += 1;
         assert!(count <= 1_000, "no end of placements");
     }
@@ -82,40 +89,40 @@
 }
 
 #[test]
-fn long_outputs_fill_a_target_with_fewer_attempts() {
+fn longer_outputs_reduce_the_batch_size() {
     let views = [view("a", 64, 8_000)];
     let counts = [20, 600].map(|tokens| {
         let mut scheduler = Scheduler::new(Settings {
             token_gap_ms: 1_000,
             ..Settings::default()
         });
-        teach(&mut scheduler, tokens);
+        record_outputs(&mut scheduler, tokens);
         for id in 0..60 {
-            let mut queued = ask(id, Millis(0));
+            let mut queued = request(id, Millis(0));
             queued.max_tokens = 700;
             queued.prompt_tokens = 10;
             scheduler.push(Millis(0), queued).unwrap();
         }
-        placed(&mut scheduler, Millis(0), &views)
+        place_all(&mut scheduler, Millis(0), &views)
     });
     assert!(counts[0] > 2 * counts[1], "{counts:?}");
     assert!(counts[1] > 3, "{counts:?}");
 }
 
 #[test]
-fn work_that_never_fits_runs_alone() {
+fn work_above_the_capacity_runs_alone() {
     let mut scheduler = scheduler(Policy::Predictive);
-    scheduler.push(Millis(0), ask(1, Millis(0))).unwrap();
-    scheduler.push(Millis(0), ask(2, Millis(0))).unwrap();
+    scheduler.push(Millis(0), request(1, Millis(0))).unwrap();
+    scheduler.push(Millis(0), request(2, Millis(0))).unwrap();
     let views = [view("a", 64, 50)];
-    assert_eq!(placed(&mut scheduler, Millis(0), &views), 1);
+    assert_eq!(place_all(&mut scheduler, Millis(0), &views), 1);
 }
 
 #[test]
-fn a_report_of_unknown_work_keeps_new_work_out() {
+fn load_report_of_unknown_work_blocks_placement() {
     let mut scheduler = scheduler(Policy::Predictive);
-    teach(&mut scheduler, 20);
-    start(&mut scheduler, Millis(0), "a", ask(1, Millis(0)));
+    record_outputs(&mut scheduler, 20);
+    start(&mut scheduler, Millis(0), "a", request(1, Millis(0)));
     for step in 1..20 {
         let load = Load {
             taken_ms: Millis(step * 100),
@@ -124,53 +131,53 @@
             waiting: 0,
             preemptions: 0,
         };
-        scheduler.reported(Millis(step * 100 + 50), &Name::new("a"), &load);
+        scheduler.record_load(Millis(step * 100 + 50), &Name::new("a"), &load);
     }
     scheduler
-        .push(Millis(2_000), ask(2, Millis(2_000)))
+        .push(Millis(2_000), request(2, Millis(2_000)))
         .unwrap();
     let views = [view("a", 64, 8_000)];
-    assert_eq!(placed(&mut scheduler, Millis(2_000), &views), 0);
+    assert_eq!(place_all(&mut scheduler, Millis(2_000), &views), 0);
 }
 
 #[test]
-fn a_held_prefix_decides_between_targets_that_are_hardly_different() {
+fn cached_prefix_is_preferred_at_similar_utilisation() {
     let mut scheduler = scheduler(Policy::Predictive);
-    teach(&mut scheduler, 20);
+    record_outputs(&mut scheduler, 20);
     let views = [view("a", 64, 100_000), view("b", 64, 100_000)];
     let with_prefix = |id| Ask {
         prefix: 9,
         prefix_tokens: 64,
-        ..ask(id, Millis(0))
+        ..request(id, Millis(0))
     };
     start(&mut scheduler, Millis(0), "b", with_prefix(1));
     scheduler.push(Millis(0), with_prefix(2)).unwrap();
-    let placement = scheduler.next(Millis(0), &views).unwrap();
+    let placement = scheduler.next_placement(Millis(0), &views).unwrap();
     assert_eq!(placement.target, "b");
     for id in 10..200 {
-        start(&mut scheduler, Millis(0), "b", ask(id, Millis(0)));
+        start(&mut scheduler, Millis(0), "b", request(id, Millis(0)));
     }
     scheduler.push(Millis(0), with_prefix(3)).unwrap();
-    let placement = scheduler.next(Millis(0), &views).unwrap();
+    let placement = scheduler.next_placement(Millis(0), &views).unwrap();
     assert_eq!(placement.target, "a", "affinity is bounded by load");
 }
 
 #[test]
-fn a_deadline_that_cannot_be_met_is_refused_at_once() {
+fn request_with_unreachable_deadline_is_refused_at_once() {
     let mut scheduler = scheduler(Policy::Predictive);
     let views = [view("a", 1, 0)];
     let mut refusal = None;
     for id in 0..2_000 {
         let now = Millis(id * 20);
-        if let Err(refused) = scheduler.push(now, ask(id, now)) {
+        if let Err(refused) = scheduler.push(now, request(id, now)) {
             refusal = Some((scheduler.queued(), refused));
             break;
         }
         if id % 10 == 0
-            && let Some(placement) = scheduler.next(now, &views)
+            && let Some(placement) = scheduler.next_placement(now, &views)
         {
-            scheduler.started(now, SlotId(id), &placement);
-            scheduler.ended(now, SlotId(id), 50, Ending::Complete);
+            scheduler.record_start(now, SlotId(id), &placement);
+            scheduler.record_end(now, SlotId(id), 50, Ending::Complete);
         }
     }
     let (queued, refusal) = refusal.unwrap();
@@ -180,34 +187,38 @@
 }
 
 #[test]
-fn expired_asks_are_refused_and_wake_is_in_time() {
+fn expired_requests_are_refused_and_wakeup_is_in_time() {
     let mut scheduler = scheduler(Policy::Predictive);
     assert_eq!(scheduler.next_wake(Millis(0)), None);
-    scheduler.push(Millis(0), ask(1, Millis(0))).unwrap();
+    scheduler.push(Millis(0), request(1, Millis(0))).unwrap();
     assert!(scheduler.next_wake(Millis(0)).unwrap() <= Millis::from_secs(10));
-    assert!(scheduler.expired(Millis(9_999)).is_empty());
-    let refused = scheduler.expired(Millis(10_000));
+    assert!(scheduler.take_refusals(Millis(9_999)).is_empty());
+    let refused = scheduler.take_refusals(Millis(10_000));
     assert_eq!(refused.len(), 1);
     assert_eq!(refused[0].reason, Reason::Deadline);
-    assert!(scheduler.next(Millis(10_000), &[view("a", 1, 0)]).is_none());
+    assert!(
+        scheduler
+            .next_placement(Millis(10_000), &[view("a", 1, 0)])
+            .is_none()
+    );
 }
 
 #[test]
-fn a_target_that_refused_work_gets_none_for_a_while() {
+fn target_that_refused_work_is_in_backoff() {
     let mut scheduler = scheduler(Policy::LeastConnections);
     let views = [view("a", 1, 0), view("b", 1, 0)];
-    scheduler.push(Millis(0), ask(1, Millis(0))).unwrap();
-    let placement = scheduler.next(Millis(0), &views).unwrap();
+    scheduler.push(Millis(0), request(1, Millis(0))).unwrap();
+    let placement = scheduler.next_placement(Millis(0), &views).unwrap();
     assert_eq!(placement.target, "a");
-    scheduler.started(Millis(0), SlotId(1), &placement);
-    scheduler.ended(Millis(5), SlotId(1), 0, Ending::Refused);
-    scheduler.push(Millis(10), ask(2, Millis(10))).unwrap();
-    let placement = scheduler.next(Millis(10), &views).unwrap();
+    scheduler.record_start(Millis(0), SlotId(1), &placement);
+    scheduler.record_end(Millis(5), SlotId(1), 0, Ending::Refused);
+    scheduler.push(Millis(10), request(2, Millis(10))).unwrap();
+    let placement = scheduler.next_placement(Millis(10), &views).unwrap();
     assert_eq!(placement.target, "b");
     scheduler
-        .push(Millis(2_000), ask(3, Millis(2_000)))
+        .push(Millis(2_000), request(3, Millis(2_000)))
         .unwrap();
-    let placement = scheduler.next(Millis(2_000), &views).unwrap();
+    let placement = scheduler.next_placement(Millis(2_000), &views).unwrap();
     assert_eq!(placement.target, "a");
 }
 
@@ -222,10 +233,10 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// No target gets more than its free slots, and each ask ends up exactly
-    /// once in a placement, a refusal or the queue.
+    /// No target gets more work than it has free slots, and each request is counted
+    /// exactly once as placed, refused or queued.
     #[test]
-    fn limits_hold_and_no_ask_is_lost(
+    fn limits_hold_and_no_request_is_lost(
         policy in proptest::sample::select(Policy::VARIANTS),
         limits in proptest::collection::vec(0_u32..5, 1..5),
         capacity_tokens in proptest::sample::select(vec![0_u64, 500, 5_000, 50_000]),
@@ -240,14 +251,14 @@
             match kind {
                 0 | 1 => {
                     pushed += 1;
-                    refused += usize::from(scheduler.push(now, ask(pushed, now)).is_err());
+                    refused += usize::from(scheduler.push(now, request(pushed, now)).is_err());
                 }
                 2 => {
                     if let Some((slot, _)) = running.pop_first() {
-                        scheduler.ended(now, SlotId(slot), tokens, Ending::Complete);
+                        scheduler.record_end(now, SlotId(slot), tokens, Ending::Complete);
                     }
                 }
-                _ => refused += scheduler.expired(now).len(),
+                _ => refused += scheduler.take_refusals(now).len(),
             }
             loop {
                 let views: Vec<_> = names.iter().zip(&limits).enumerate()
@@ -257,10 +268,10 @@
                         Ok(view(name, limit - used, capacity_tokens))
                     })
                     .collect::<Result<_, _>>()?;
-                let Some(placement) = scheduler.next(now, &views) else { break };
+                let Some(placement) = scheduler.next_placement(now, &views) else { break };
                 prop_assert!(placement.ask.deadline_ms > now);
                 let slot = SlotId(placement.ask.id.0);
-                scheduler.started(now, slot, &placement);
+                scheduler.record_start(now, slot, &placement);
                 let target = names.iter().position(|name| placement.target == *name);
                 prop_assert!(running.insert(slot.0, target.unwrap()).is_none());
                 placed += 1;
