--- a/filbertpaddle-core/src/ledger.rs
+++ b/filbertpaddle-core/src/ledger.rs
@@ -9,7 +9,7 @@
 use crate::slot::Key;
 use crate::slot::Source;
 use crate::slot::fence;
-use crate::terms::Terms;
+use crate::timing::Timing;
 
 /// One piece of work that is counted against a target's limit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -67,9 +67,9 @@
     }
 
     /// Returns the limit, if a recent report gives one and grants can be sent.
-    pub fn limit(&self, now: Millis, terms: &Terms) -> Option<&Limit> {
+    pub fn limit(&self, now: Millis, timing: &Timing) -> Option<&Limit> {
         let limit = self.limit.as_ref()?;
-        let is_recent = now.since(limit.taken_ms()) <= terms.report_ms;
+        let is_recent = now.since(limit.taken_ms()) <= timing.report_ms;
         let is_usable = self.portion_per_mille > 0 && !self.is_outbid;
         let is_known = self.is_cleared || !limit.is_cold();
         (is_recent && is_usable && is_known).then_some(limit)
@@ -143,7 +143,7 @@
         clear_ms: Millis,
         report: &Report,
         is_exact: F,
-        terms: &Terms,
+        timing: &Timing,
     ) where
         F: Fn(&Id) -> bool,
     {
@@ -159,10 +159,10 @@
         for key in report.works.iter().filter(|key| !is_exact(&key.holder)) {
             self.add(key.clone(), true);
         }
-        self.drop_ended(report, &is_exact, terms);
+        self.drop_ended(report, &is_exact, timing);
     }
 
-    fn drop_ended<F>(&mut self, report: &Report, is_exact: &F, terms: &Terms)
+    fn drop_ended<F>(&mut self, report: &Report, is_exact: &F, timing: &Timing)
     where
         F: Fn(&Id) -> bool,
     {
@@ -171,7 +171,7 @@
                 slot.seen = true;
                 return true;
             }
-            let settled = |since_ms: Millis| report.taken_ms >= since_ms + terms.settle_ms;
+            let settled = |since_ms: Millis| report.taken_ms >= since_ms + timing.settle_ms;
             let is_over = slot.seen && !is_exact(&slot.key.holder);
             !is_over && !slot.loose_ms.is_some_and(settled)
         });
--- a/filbertpaddle-core/src/lib.rs
+++ b/filbertpaddle-core/src/lib.rs
@@ -49,5 +49,5 @@
 pub mod suspect;
 pub mod sweep;
 pub mod template;
-pub mod terms;
+pub mod timing;
 pub mod transfer;
--- a/filbertpaddle-core/src/member.rs
+++ b/filbertpaddle-core/src/member.rs
@@ -14,7 +14,7 @@
 use crate::slot::Source;
 use crate::slot::fence;
 use crate::standing::Mode;
-use crate::terms::Terms;
+use crate::timing::Timing;
 
 /// Why a node must not send work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
@@ -52,7 +52,7 @@
 /// One node's part in one pool.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    terms: Terms,
+    timing: Timing,
     id: Id,
     mode: Mode,
     session: u32,
@@ -68,9 +68,9 @@
 
 impl Member {
     /// Returns a node that holds no work.
-    pub fn new(terms: Terms, id: Id) -> Self {
+    pub fn new(timing: Timing, id: Id) -> Self {
         Self {
-            terms,
+            timing,
             id,
             mode: Mode::Granted,
             session: 0,
@@ -121,7 +121,7 @@
 
     /// Stamps a message to the owner: the node waits for grants from now on.
     pub fn stamp(&mut self, now: Millis) -> u64 {
-        let accept_ms = self.terms.accept_ms;
+        let accept_ms = self.timing.accept_ms;
         self.stamps.retain(|stamp| now < stamp.sent_ms + accept_ms);
         self.next_stamp += 1;
         self.stamps.push(Stamp {
@@ -178,7 +178,7 @@
         if grant.key.number < self.floor {
             return Err(Refusal::Collected);
         }
-        let accept_ms = self.terms.accept_ms;
+        let accept_ms = self.timing.accept_ms;
         let mut stamps = self.stamps.iter();
         let is_valid =
             stamps.any(|stamp| stamp.number == grant.stamp && now < stamp.sent_ms + accept_ms);
@@ -208,7 +208,7 @@
         let Mode::Share { since_ms } = self.mode else {
             return Err(Refusal::Mode);
         };
-        if now.since(report.taken_ms) > self.terms.report_ms {
+        if now.since(report.taken_ms) > self.timing.report_ms {
             return Err(Refusal::Expired);
         }
         let limit = match report.warm {
@@ -277,7 +277,7 @@
         if self.cleared.contains(target) {
             return true;
         }
-        let is_settled = report.taken_ms >= since_ms + self.terms.settle_ms;
+        let is_settled = report.taken_ms >= since_ms + self.timing.settle_ms;
         let is_sealed = report.fence.is_none_or(|fence| fence >= self.share_fence());
         let is_clear = is_settled && is_sealed && keep_shares(target, report, roster, &self.id);
         if is_clear {
--- a/filbertpaddle-core/src/membership.rs
+++ b/filbertpaddle-core/src/membership.rs
@@ -7,7 +7,7 @@
 use crate::peer::Promise;
 use crate::roster::Id;
 use crate::roster::Roster;
-use crate::terms::Terms;
+use crate::timing::Timing;
 
 /// How long a member may be unheard before it counts as silent.
 pub const SILENT_MS: Millis = Millis::from_secs(4);
@@ -207,7 +207,7 @@
 
 /// Returns whether owners cannot be relied on after a confirmation: the table
 /// cannot be read and somebody is silent, who may be an owner.
-pub fn must_share(now: Millis, confirmation: &Confirmation, terms: &Terms) -> bool {
-    let recent = |asked_ms: Millis| now < asked_ms + terms.confirm_ms;
+pub fn must_share(now: Millis, confirmation: &Confirmation, timing: &Timing) -> bool {
+    let recent = |asked_ms: Millis| now < asked_ms + timing.confirm_ms;
     !confirmation.all_heard && !confirmation.reading_ms.is_some_and(recent)
 }
--- a/filbertpaddle-core/src/owner.rs
+++ b/filbertpaddle-core/src/owner.rs
@@ -15,7 +15,7 @@
 use crate::slot::Held;
 use crate::slot::Key;
 use crate::slot::Source;
-use crate::terms::Terms;
+use crate::timing::Timing;
 
 /// Requests that are tried before none is granted.
 const LOOKAHEAD: usize = 8;
@@ -62,7 +62,7 @@
 /// One pool of targets as its owner sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Owner {
-    terms: Terms,
+    timing: Timing,
     epoch: u64,
     since_ms: Millis,
     roster: Roster,
@@ -77,10 +77,10 @@
     /// Takes over a pool.
     ///
     /// `now` must not be earlier than when the record came to name this owner.
-    pub fn new(terms: Terms, epoch: u64, now: Millis, roster: Roster) -> Self {
+    pub fn new(timing: Timing, epoch: u64, now: Millis, roster: Roster) -> Self {
         let peers = roster.peers().iter().cloned().map(Peer::new).collect();
         Self {
-            terms,
+            timing,
             epoch,
             since_ms: now,
             roster,
@@ -271,19 +271,19 @@
     /// Takes in a target's report.
     pub fn on_report(&mut self, now: Millis, target: &Name, report: &Report) {
         let clear_ms = self.clear_ms();
-        let terms = self.terms;
+        let timing = self.timing;
         let epoch = self.epoch;
         let peers = &self.peers;
         let is_exact = |id: &Id| {
             let peer = peers.iter().find(|peer| peer.id == *id);
-            peer.is_some_and(|peer| peer.is_exact(now, &terms))
+            peer.is_some_and(|peer| peer.is_exact(now, &timing))
         };
         if let Some(ledger) = self
             .ledgers
             .iter_mut()
             .find(|ledger| ledger.target == *target)
         {
-            ledger.on(epoch, clear_ms, report, is_exact, &terms);
+            ledger.on(epoch, clear_ms, report, is_exact, &timing);
         }
     }
 
@@ -292,12 +292,12 @@
     /// Either the record named it a short while ago, or every member knew no
     /// newer record a short while ago, its successor among them.
     pub fn stands(&self, now: Millis) -> bool {
-        let recent = |asked_ms: Millis| now < asked_ms + self.terms.confirm_ms;
+        let recent = |asked_ms: Millis| now < asked_ms + self.timing.confirm_ms;
         self.confirmed_ms.is_some_and(recent)
             || self
                 .peers
                 .iter()
-                .all(|peer| peer.is_bound(now, &self.terms))
+                .all(|peer| peer.is_bound(now, &self.timing))
     }
 
     /// Grants what can be granted now.
@@ -373,7 +373,7 @@
         };
         self.next_number += 1;
         let stamp = self.peer(&key.holder).map_or(0, |peer| peer.stamp);
-        let terms = self.terms;
+        let timing = self.timing;
         let ledger = &mut self.ledgers[index];
         ledger.add(key.clone(), false);
         Grant {
@@ -381,7 +381,7 @@
             target: ledger.target.clone(),
             ask: ask.number,
             stamp,
-            cold: ledger.limit(now, &terms).is_none_or(Limit::is_cold),
+            cold: ledger.limit(now, &timing).is_none_or(Limit::is_cold),
         }
     }
 
@@ -403,7 +403,7 @@
 
     /// Returns how many more slots a target has, the first of them for `holder`.
     fn ledger_room(&self, now: Millis, ledger: &Ledger, holder: Option<&Id>) -> u32 {
-        let Some(limit) = ledger.limit(now, &self.terms) else {
+        let Some(limit) = ledger.limit(now, &self.timing) else {
             return 0;
         };
         let reserved = match limit.is_cold() {
@@ -421,7 +421,7 @@
     fn reserved(&self, now: Millis, ledger: &Ledger, limit: u32, holder: Option<&Id>) -> u32 {
         self.peers
             .iter()
-            .filter(|peer| !peer.is_exact(now, &self.terms))
+            .filter(|peer| !peer.is_exact(now, &self.timing))
             .map(|peer| {
                 let used = ledger.used_by(&peer.id);
                 let granted = used + u32::from(holder == Some(&peer.id));
@@ -440,8 +440,8 @@
     fn clear_ms(&self) -> Millis {
         let all_told = self.peers.iter().all(|peer| peer.heard);
         match all_told {
-            true => self.since_ms + self.terms.settle_ms,
-            false => self.since_ms + self.terms.quarantine_ms(),
+            true => self.since_ms + self.timing.settle_ms,
+            false => self.since_ms + self.timing.quarantine_ms(),
         }
     }
 
--- a/filbertpaddle-core/src/peer.rs
+++ b/filbertpaddle-core/src/peer.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Millis;
 use crate::roster::Id;
-use crate::terms::Terms;
+use crate::timing::Timing;
 
 /// A member's word that it uses no share for a while, given while it knew no
 /// newer version of the record than the owner.
@@ -54,15 +54,15 @@
     ///
     /// The owner may be paused between this check and its send, so the promise
     /// has to cover the whole time in which the grant can be accepted.
-    pub fn is_bound(&self, now: Millis, terms: &Terms) -> bool {
+    pub fn is_bound(&self, now: Millis, timing: &Timing) -> bool {
         self.promise
-            .is_some_and(|promise| promise.made_ms + terms.promise_ms >= now + terms.accept_ms)
+            .is_some_and(|promise| promise.made_ms + timing.promise_ms >= now + timing.accept_ms)
     }
 
     /// Returns whether the owner's count of the member's work is complete.
-    pub fn is_exact(&self, now: Millis, terms: &Terms) -> bool {
+    pub fn is_exact(&self, now: Millis, timing: &Timing) -> bool {
         let session = self.promise.map(|promise| promise.session);
-        self.is_bound(now, terms) && self.collected == session
+        self.is_bound(now, timing) && self.collected == session
     }
 
     /// Returns whether the member should be asked what it holds.
--- a/filbertpaddle-core/src/standing.rs
+++ b/filbertpaddle-core/src/standing.rs
@@ -1,7 +1,7 @@
 //! Whether a node works under owners or uses its fixed shares.
 
 use crate::clock::Millis;
-use crate::terms::Terms;
+use crate::timing::Timing;
 
 /// How a node may send work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -18,7 +18,7 @@
 /// A node's own promise and mode.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Standing {
-    terms: Terms,
+    timing: Timing,
     mode: Mode,
     promised_until_ms: Millis,
     session: u32,
@@ -26,9 +26,9 @@
 
 impl Standing {
     /// Returns a node that has just started.
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(timing: Timing) -> Self {
         Self {
-            terms,
+            timing,
             mode: Mode::Granted,
             promised_until_ms: Millis::ZERO,
             session: 0,
@@ -53,7 +53,7 @@
         if self.mode != Mode::Granted {
             return None;
         }
-        self.promised_until_ms = now + self.terms.promise_ms;
+        self.promised_until_ms = now + self.timing.promise_ms;
         Some(self.session)
     }
 
--- a/filbertpaddle-core/src/terms.rs
+++ b/filbertpaddle-core/src/timing.rs
@@ -5,10 +5,10 @@
 /// Time limits on which the safety of cold targets rests.
 ///
 /// All are spans on one node's monotonic clock. Nodes must agree on them, and
-/// their clocks may differ in rate by less than [`Terms::settle_ms`] over the
+/// their clocks may differ in rate by less than [`Timing::settle_ms`] over the
 /// sum of the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct Timing {
     /// How long a member that has promised uses no share.
     pub promise_ms: Millis,
     /// How long after its request was sent a grant may be accepted.
@@ -21,7 +21,7 @@
     pub report_ms: Millis,
 }
 
-impl Default for Terms {
+impl Default for Timing {
     fn default() -> Self {
         Self {
             promise_ms: Millis(8_000),
@@ -33,7 +33,7 @@
     }
 }
 
-impl Terms {
+impl Timing {
     /// Returns how long a deposed owner's grants may still reach a target
     /// after its successor has learnt of the change.
     ///
--- a/filbertpaddle-core/tests/owner_model/world.rs
+++ b/filbertpaddle-core/tests/owner_model/world.rs
@@ -27,12 +27,12 @@
 use filbertpaddle_core::slot::fence;
 use filbertpaddle_core::standing::Mode;
 use filbertpaddle_core::standing::Standing;
-use filbertpaddle_core::terms::Terms;
+use filbertpaddle_core::timing::Timing;
 
 const TARGET: Name = Name::new_static("u");
 const START: Millis = Millis(10);
 const TICK: Millis = Millis(1);
-const TERMS: Terms = Terms {
+const TIMING: Timing = Timing {
     promise_ms: Millis(2),
     accept_ms: Millis(1),
     settle_ms: Millis(1),
@@ -247,19 +247,19 @@
             .map(|index| Node {
                 id: id(index),
                 is_paused: false,
-                standing: Standing::new(TERMS),
-                member: Member::new(TERMS, id(index)),
+                standing: Standing::new(TIMING),
+                member: Member::new(TIMING, id(index)),
                 owner: None,
                 unsent: Vec::new(),
             })
             .collect();
-        let mut owner = Owner::new(TERMS, 1, Millis::ZERO, roster(setup.members));
+        let mut owner = Owner::new(TIMING, 1, Millis::ZERO, roster(setup.members));
         owner.add_target(&TARGET);
         for node in &mut nodes {
             let session = node.standing.promise(START).unwrap();
             // The successor's last promise was made before it took over.
             let made_ms = match setup.deposed && node.id == id(1) {
-                true => Millis(START.0 - TERMS.quarantine_ms().0),
+                true => Millis(START.0 - TIMING.quarantine_ms().0),
                 false => START,
             };
             owner.on_promise(&node.id, Promise { session, made_ms });
@@ -282,12 +282,12 @@
         };
         owner.on_report(START, &TARGET, &world.report(setup));
         if setup.deposed {
-            let since_ms = Millis(START.0 - TERMS.quarantine_ms().0);
+            let since_ms = Millis(START.0 - TIMING.quarantine_ms().0);
             owner.on_confirm(since_ms);
             world.epoch = 2;
             world.named = 1;
             let node = &mut nodes[1];
-            let mut successor = Owner::new(TERMS, 2, since_ms, roster(setup.members));
+            let mut successor = Owner::new(TIMING, 2, since_ms, roster(setup.members));
             successor.add_target(&TARGET);
             hear_oneself(node, &mut successor, START);
             node.owner = Some(successor);
@@ -347,7 +347,7 @@
         let mut world = self.clone();
         for node in &mut world.nodes {
             let mut unsent = node.unsent.iter();
-            let is_overdue = unsent.any(|(since_ms, _)| *since_ms + TERMS.settle_ms <= self.now);
+            let is_overdue = unsent.any(|(since_ms, _)| *since_ms + TIMING.settle_ms <= self.now);
             if is_overdue && !node.is_paused {
                 if world.budget.pauses == 0 {
                     return;
@@ -361,7 +361,7 @@
         let now = world.now;
         // Reports that can have no effect any more are dropped.
         world.messages.retain(|message| match &**message {
-            Message::Report(_, report) => now.since(report.taken_ms) <= TERMS.report_ms,
+            Message::Report(_, report) => now.since(report.taken_ms) <= TIMING.report_ms,
             _ => true,
         });
         next.push(world);
@@ -393,7 +393,7 @@
             world.release(&key);
         } else {
             world.fence = world.fence.max(key.fence());
-            let is_late = since_ms + TERMS.settle_ms < self.now;
+            let is_late = since_ms + TIMING.settle_ms < self.now;
             world.works.push(Work { key, is_late });
             world.works.sort_by(|a, b| a.key.cmp(&b.key));
         }
@@ -464,7 +464,7 @@
                         budget.shares -= 1;
                         node.standing.enter_share(self.now);
                         if setup.fault == Some(Fault::ShareIgnoresRunning) {
-                            node.member = Member::new(TERMS, node.id.clone());
+                            node.member = Member::new(TIMING, node.id.clone());
                         }
                         let session = node.standing.session();
                         node.member.on_mode(node.standing.mode(), session);
@@ -598,7 +598,7 @@
             _ => roster(setup.members),
         };
         let node = Arc::make_mut(&mut world.nodes[usize::from(index)]);
-        let mut owner = Owner::new(TERMS, world.epoch, self.now, members);
+        let mut owner = Owner::new(TIMING, world.epoch, self.now, members);
         owner.add_target(&TARGET);
         hear_oneself(node, &mut owner, self.now);
         node.owner = Some(owner);
@@ -658,7 +658,7 @@
         }
         let mut report = report.clone();
         if setup.fault == Some(Fault::ShareWithoutReport) {
-            report.taken_ms = self.now + TERMS.settle_ms;
+            report.taken_ms = self.now + TIMING.settle_ms;
             report.works.clear();
         }
         let roster = roster(setup.members);
--- a/filbertpaddle-core/tests/recount.rs
+++ b/filbertpaddle-core/tests/recount.rs
@@ -12,7 +12,7 @@
 use filbertpaddle_core::roster::Roster;
 use filbertpaddle_core::slot::Grant;
 use filbertpaddle_core::slot::Held;
-use filbertpaddle_core::terms::Terms;
+use filbertpaddle_core::timing::Timing;
 
 const TARGET: Name = Name::new_static("engine-1");
 const LIMIT: u32 = 1;
@@ -52,7 +52,7 @@
             sharers: vec![member()],
             ..Roster::default()
         };
-        let mut owner = Owner::new(Terms::default(), 1, Millis::ZERO, roster);
+        let mut owner = Owner::new(Timing::default(), 1, Millis::ZERO, roster);
         owner.add_target(&TARGET);
         let mut bench = Self {
             owner,
@@ -123,7 +123,7 @@
         assert_eq!(bench.pass(Millis::from_secs(10), Vec::new()), []);
     }
     bench.recount(&[]);
-    let granted = bench.pass(Terms::default().settle_ms, Vec::new());
+    let granted = bench.pass(Timing::default().settle_ms, Vec::new());
     assert_eq!(granted.len(), 1, "the slot is free again");
 }
 
--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -9,7 +9,7 @@
 use filbertpaddle_core::roster::Id;
 use filbertpaddle_core::standing::Mode;
 use filbertpaddle_core::standing::Standing;
-use filbertpaddle_core::terms::Terms;
+use filbertpaddle_core::timing::Timing;
 use filbertpaddle_platform::client::Client;
 use filbertpaddle_platform::protocol::Vm;
 use filbertpaddle_platform::protocol::VmRole;
@@ -77,7 +77,7 @@
 /// Starts a coordinator.
 pub(crate) fn start(parts: Parts) -> Address<Coordinator> {
     let now = parts.clock.now();
-    let terms = Terms::default();
+    let terms = Timing::default();
     let state = Coordinator {
         id: id(&parts.own),
         own: parts.own,
@@ -125,7 +125,7 @@
     pub(crate) service: Service,
     pub(crate) clock: Clock,
     pub(crate) log: Logger,
-    pub(crate) terms: Terms,
+    pub(crate) terms: Timing,
     pub(crate) placement: policy::Settings,
     pub(crate) standing: Standing,
     pub(crate) record: Record,
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -16,7 +16,7 @@
 use filbertpaddle_core::slot;
 use filbertpaddle_core::slot::Held;
 use filbertpaddle_core::slot::Source;
-use filbertpaddle_core::terms::Terms;
+use filbertpaddle_core::timing::Timing;
 use filbertpaddle_wire::grant;
 use filbertpaddle_wire::grant::Denial;
 use filbertpaddle_wire::grant::End;
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 pub(crate) struct Pool {
     pub(crate) name: Name,
-    pub(crate) terms: Terms,
+    pub(crate) terms: Timing,
     pub(crate) member: Member,
     pub(crate) owner: Option<Owner>,
     pub(crate) placer: Placer,
@@ -89,7 +89,7 @@
 }
 
 impl Pool {
-    pub(crate) fn new(name: Name, terms: Terms, id: Id, placement: policy::Settings) -> Self {
+    pub(crate) fn new(name: Name, terms: Timing, id: Id, placement: policy::Settings) -> Self {
         Self {
             name,
             terms,
