--- a/filbertpaddle-core/src/standing.rs
+++ b/filbertpaddle-core/src/grant_mode.rs
@@ -17,14 +17,14 @@
 
 /// A node's own promise and mode.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Standing {
+pub struct ModeState {
     timing: Timing,
     mode: Mode,
     promised_until_ms: Millis,
     session: u32,
 }
 
-impl Standing {
+impl ModeState {
     /// Returns a node that has just started.
     pub fn new(timing: Timing) -> Self {
         Self {
@@ -59,13 +59,13 @@
 
     /// Returns whether the node is free of its promise, and so may enter share
     /// mode.
-    pub fn is_free(&self, now: Millis) -> bool {
+    pub fn may_share(&self, now: Millis) -> bool {
         now >= self.promised_until_ms
     }
 
     /// Enters share mode if no promise forbids it; returns whether it did.
     pub fn enter_share(&mut self, now: Millis) -> bool {
-        if self.mode != Mode::Granted || !self.is_free(now) {
+        if self.mode != Mode::Granted || !self.may_share(now) {
             return false;
         }
         self.mode = Mode::Share { since_ms: now };
--- a/filbertpaddle-core/src/member.rs
+++ b/filbertpaddle-core/src/member.rs
@@ -1,6 +1,7 @@
 //! A node that sends work to the targets of one pool.
 
 use crate::clock::Millis;
+use crate::grant_mode::Mode;
 use crate::name::Name;
 use crate::owner::Ask;
 use crate::owner::Collect;
@@ -13,7 +14,6 @@
 use crate::slot::Key;
 use crate::slot::Source;
 use crate::slot::fence;
-use crate::standing::Mode;
 use crate::timing::Timing;
 
 /// Why a node must not send work.
--- a/filbertpaddle-core/tests/owner_model/world.rs
+++ b/filbertpaddle-core/tests/owner_model/world.rs
@@ -12,6 +12,8 @@
 use std::sync::Arc;
 
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::grant_mode::Mode;
+use filbertpaddle_core::grant_mode::ModeState;
 use filbertpaddle_core::member::Member;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::owner::Collect;
@@ -25,8 +27,6 @@
 use filbertpaddle_core::slot::Key;
 use filbertpaddle_core::slot::Source;
 use filbertpaddle_core::slot::fence;
-use filbertpaddle_core::standing::Mode;
-use filbertpaddle_core::standing::Standing;
 use filbertpaddle_core::timing::Timing;
 
 const TARGET: Name = Name::new_static("u");
@@ -150,7 +150,7 @@
 struct Node {
     id: Id,
     is_paused: bool,
-    standing: Standing,
+    mode_state: ModeState,
     member: Member,
     owner: Option<Owner>,
     unsent: Vec<(Millis, Key)>,
@@ -222,7 +222,7 @@
 
 /// An owner hears the member on its own node at once.
 fn hear_oneself(node: &mut Node, owner: &mut Owner, now: Millis) {
-    let Some(session) = node.standing.promise(now) else {
+    let Some(session) = node.mode_state.promise(now) else {
         return;
     };
     let made_ms = now;
@@ -247,7 +247,7 @@
             .map(|index| Node {
                 id: id(index),
                 is_paused: false,
-                standing: Standing::new(TIMING),
+                mode_state: ModeState::new(TIMING),
                 member: Member::new(TIMING, id(index)),
                 owner: None,
                 unsent: Vec::new(),
@@ -256,7 +256,7 @@
         let mut owner = Owner::new(TIMING, 1, Millis::ZERO, roster(setup.members));
         owner.add_target(&TARGET);
         for node in &mut nodes {
-            let session = node.standing.promise(START).unwrap();
+            let session = node.mode_state.promise(START).unwrap();
             // The successor's last promise was made before it took over.
             let made_ms = match setup.deposed && node.id == id(1) {
                 true => Millis(START.0 - TIMING.quarantine_ms().0),
@@ -373,7 +373,7 @@
         for unsent in 0..node.unsent.len() {
             self.send(setup, index, unsent, next);
         }
-        if node.standing.mode() == Mode::Granted {
+        if node.mode_state.mode() == Mode::Granted {
             for owner in 0..setup.members {
                 self.ask(index, owner, next);
             }
@@ -438,7 +438,7 @@
                 Some(owner) => fence(owner.epoch(), Source::Granted),
                 None => 0,
             };
-            let share = match node.standing.mode() {
+            let share = match node.mode_state.mode() {
                 Mode::Granted => 0,
                 Mode::Share { .. } => node.member.share_fence(),
             };
@@ -449,7 +449,7 @@
         if let Some(owner) = &mut changed.owner {
             owner.on_report(self.now, &TARGET, &report);
         }
-        if node.standing.mode() != Mode::Granted {
+        if node.mode_state.mode() != Mode::Granted {
             world.post(Message::Report(index, report));
         }
         next.push(world);
@@ -457,17 +457,17 @@
 
     fn change_mode(&self, setup: &Setup, index: u8, next: &mut Vec<Self>) {
         let node = &self.nodes[usize::from(index)];
-        match node.standing.mode() {
+        match node.mode_state.mode() {
             Mode::Granted => {
-                if self.budget.shares > 0 && node.standing.is_free(self.now) {
+                if self.budget.shares > 0 && node.mode_state.may_share(self.now) {
                     self.change(index, "enters share mode", next, |node, budget| {
                         budget.shares -= 1;
-                        node.standing.enter_share(self.now);
+                        node.mode_state.enter_share(self.now);
                         if setup.fault == Some(Fault::ShareIgnoresRunning) {
                             node.member = Member::new(TIMING, node.id.clone());
                         }
-                        let session = node.standing.session();
-                        node.member.on_mode(node.standing.mode(), session);
+                        let session = node.mode_state.session();
+                        node.member.on_mode(node.mode_state.mode(), session);
                     });
                 }
                 for owner in 0..setup.members {
@@ -477,9 +477,9 @@
             Mode::Share { .. } if self.budget.returns > 0 => {
                 self.change(index, "leaves share mode", next, |node, budget| {
                     budget.returns -= 1;
-                    node.standing.leave_share();
-                    let session = node.standing.session();
-                    node.member.on_mode(node.standing.mode(), session);
+                    node.mode_state.leave_share();
+                    let session = node.mode_state.session();
+                    node.member.on_mode(node.mode_state.mode(), session);
                 });
             }
             Mode::Share { .. } => {}
@@ -502,7 +502,7 @@
         }
         let mut world = self.clone();
         let node = Arc::make_mut(&mut world.nodes[usize::from(index)]);
-        let Some(session) = node.standing.promise(self.now) else {
+        let Some(session) = node.mode_state.promise(self.now) else {
             return;
         };
         world.step = format!("{} promises", node.id.name);
@@ -653,7 +653,7 @@
     }
 
     fn receive_report(&mut self, setup: &Setup, node: &mut Node, report: &Report) {
-        if node.standing.mode() == Mode::Granted || self.budget.works == 0 {
+        if node.mode_state.mode() == Mode::Granted || self.budget.works == 0 {
             return;
         }
         let mut report = report.clone();
--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -1,14 +1,14 @@
 //! Ties a node's pools to its data centre: record, relay, heartbeats, targets.
 
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::grant_mode::Mode;
+use filbertpaddle_core::grant_mode::ModeState;
 use filbertpaddle_core::membership;
 use filbertpaddle_core::membership::Confirmation;
 use filbertpaddle_core::membership::Relay;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::policy;
 use filbertpaddle_core::roster::Id;
-use filbertpaddle_core::standing::Mode;
-use filbertpaddle_core::standing::Standing;
 use filbertpaddle_core::timing::Timing;
 use filbertpaddle_platform::client::Client;
 use filbertpaddle_platform::protocol::Vm;
@@ -89,7 +89,7 @@
         log: parts.log,
         terms,
         placement: parts.placement,
-        standing: Standing::new(terms),
+        standing: ModeState::new(terms),
         record: Record::default(),
         read_ms: None,
         is_writing: false,
@@ -127,7 +127,7 @@
     pub(crate) log: Logger,
     pub(crate) terms: Timing,
     pub(crate) placement: policy::Settings,
-    pub(crate) standing: Standing,
+    pub(crate) standing: ModeState,
     pub(crate) record: Record,
     pub(crate) read_ms: Option<Millis>,
     pub(crate) is_writing: bool,
--- a/filbertpaddle/src/coordinator_inputs.rs
+++ b/filbertpaddle/src/coordinator_inputs.rs
@@ -1,11 +1,11 @@
 //! What a coordinator is told, and how it takes it in.
 
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::grant_mode::Mode;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::outcome::Reason;
 use filbertpaddle_core::report::Report;
 use filbertpaddle_core::roster::Id;
-use filbertpaddle_core::standing::Mode;
 use filbertpaddle_platform::client::Client;
 use filbertpaddle_platform::protocol::Vm;
 use filbertpaddle_target::protocol::LoadReport;
--- a/filbertpaddle/src/heart.rs
+++ b/filbertpaddle/src/heart.rs
@@ -1,6 +1,7 @@
 //! A node's heartbeats to its data centre's relay.
 
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::grant_mode::ModeState;
 use filbertpaddle_core::membership;
 use filbertpaddle_core::membership::Answer;
 use filbertpaddle_core::membership::Beat;
@@ -8,7 +9,6 @@
 use filbertpaddle_core::roster::Id;
 use filbertpaddle_core::roster::Member;
 use filbertpaddle_core::roster::Roster;
-use filbertpaddle_core::standing::Standing;
 
 /// How long an unanswered relay is waited for before the next is tried.
 const RELAY_TIMEOUT_MS: Millis = Millis(1_500);
@@ -63,7 +63,7 @@
         now: Millis,
         roster: &Roster,
         data_centre: &str,
-        standing: &mut Standing,
+        standing: &mut ModeState,
         may_promise: bool,
     ) -> Option<(Member, Beat)> {
         let interval_ms = membership::interval_ms(roster.members.len());
