--- a/filbertpaddle-core/benches/scheduler.rs
+++ b/filbertpaddle-core/benches/scheduler.rs
@@ -14,20 +14,20 @@
 use filbertpaddle_core::policy::Settings;
 use filbertpaddle_core::queue::Entry;
 use filbertpaddle_core::queue::Queue;
-use filbertpaddle_core::scheduler::Ask;
-use filbertpaddle_core::scheduler::AskId;
 use filbertpaddle_core::scheduler::Placement;
+use filbertpaddle_core::scheduler::RequestId;
 use filbertpaddle_core::scheduler::Scheduler;
 use filbertpaddle_core::scheduler::SlotId;
+use filbertpaddle_core::scheduler::SlotRequest;
 use filbertpaddle_core::scheduler::TargetView;
 use filbertpaddle_core::template::Priority;
 
 const BATCH: u64 = 30;
 const CUSTOMERS: u64 = 400;
 
-fn ask(id: u64, now: Millis) -> Ask {
-    Ask {
-        id: AskId(id),
+fn ask(id: u64, now: Millis) -> SlotRequest {
+    SlotRequest {
+        id: RequestId(id),
         customer: Name::new(format!("customer-{}", id % CUSTOMERS)),
         template: Name::new(format!("template-{}", id % CUSTOMERS)),
         priority: Priority((id % 3) as u8),
@@ -63,7 +63,7 @@
         for attempt in 0..BATCH {
             let id = index as u64 * BATCH + attempt;
             let placement = Placement {
-                ask: ask(id, Millis(0)),
+                request: ask(id, Millis(0)),
                 target: view.name.clone(),
             };
             scheduler.started(Millis(0), SlotId(id), &placement);
--- a/filbertpaddle-core/examples/embed.rs
+++ b/filbertpaddle-core/examples/embed.rs
@@ -8,11 +8,11 @@
 use filbertpaddle_core::delivery::Event;
 use filbertpaddle_core::delivery::Promise;
 use filbertpaddle_core::policy::Settings;
-use filbertpaddle_core::scheduler::Ask;
-use filbertpaddle_core::scheduler::AskId;
 use filbertpaddle_core::scheduler::Ending;
+use filbertpaddle_core::scheduler::RequestId;
 use filbertpaddle_core::scheduler::Scheduler;
 use filbertpaddle_core::scheduler::SlotId;
+use filbertpaddle_core::scheduler::SlotRequest;
 use filbertpaddle_core::scheduler::TargetView;
 use filbertpaddle_core::template::Priority;
 
@@ -33,8 +33,11 @@
     let mut targets = [target("engine-1"), target("engine-2")];
     let mut slots = Vec::new();
     while let Some(placement) = scheduler.next(now, &targets) {
-        println!("ask {} goes to {}", placement.ask.id.0, placement.target);
-        let slot = SlotId(placement.ask.id.0);
+        println!(
+            "ask {} goes to {}",
+            placement.request.id.0, placement.target
+        );
+        let slot = SlotId(placement.request.id.0);
         scheduler.started(now, slot, &placement);
         slots.push(slot);
         for target in &mut targets {
@@ -50,9 +53,9 @@
     }
 }
 
-fn ask(number: u64, now: Millis) -> Ask {
-    Ask {
-        id: AskId(number),
+fn ask(number: u64, now: Millis) -> SlotRequest {
+    SlotRequest {
+        id: RequestId(number),
         customer: "school".into(),
         template: "school/summary".into(),
         priority: Priority(0),
--- a/filbertpaddle-core/src/apart.rs
+++ b/filbertpaddle-core/src/apart.rs
@@ -4,9 +4,9 @@
 
 use indexmap::IndexMap;
 
-use crate::ask::Id as AskId;
 use crate::clock::Millis;
 use crate::queue::Entry;
+use crate::slot_request::RequestId;
 
 /// Asks whose request is a suspect or already runs often enough, by digest.
 #[derive(Clone, Debug, Default)]
@@ -48,7 +48,7 @@
     }
 
     /// Removes one ask.
-    pub fn remove(&mut self, id: AskId) -> Option<Entry> {
+    pub fn remove(&mut self, id: RequestId) -> Option<Entry> {
         self.extract(|entry| entry.ask.id == id).pop()
     }
 
--- a/filbertpaddle-core/src/engine.rs
+++ b/filbertpaddle-core/src/engine.rs
@@ -4,9 +4,6 @@
 
 use indexmap::IndexMap;
 
-use crate::ask::Ask;
-use crate::ask::Load;
-use crate::ask::SlotId;
 use crate::clock::Millis;
 use crate::length::Lengths;
 use crate::memory;
@@ -15,6 +12,9 @@
 use crate::pace::Mark;
 use crate::pace::Progress;
 use crate::prefix::Held;
+use crate::slot_request::Load;
+use crate::slot_request::SlotId;
+use crate::slot_request::SlotRequest;
 
 /// Age at which a forecast is computed anew.
 const FORECAST_AGE: Millis = Millis(200);
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct Running {
     /// The ask that was placed.
-    pub ask: Ask,
+    pub ask: SlotRequest,
     /// Tokens charged to its customer.
     pub cost_tokens: u64,
     start: Mark,
@@ -134,7 +134,7 @@
         &mut self,
         now: Millis,
         slot: SlotId,
-        ask: Ask,
+        ask: SlotRequest,
         cost_tokens: u64,
         line: &Line,
         lengths: &Lengths,
@@ -153,7 +153,7 @@
         self.running.insert(slot, running);
     }
 
-    fn join_burst(&mut self, now: Millis, ask: &Ask) {
+    fn join_burst(&mut self, now: Millis, ask: &SlotRequest) {
         if now.since(self.burst.start_ms) > BURST_LENGTH {
             self.burst.start_ms = now;
             self.burst.prompt_tokens = 0;
@@ -238,7 +238,7 @@
     }
 
     /// Tokens of the prefixes that running work and an added ask share.
-    pub fn shared_tokens_with(&self, ask: &Ask) -> f32 {
+    pub fn shared_tokens_with(&self, ask: &SlotRequest) -> f32 {
         let more = if ask.prefix == 0 || self.shared.contains_key(&ask.prefix) {
             0
         } else {
@@ -252,7 +252,7 @@
         (tokens + more) as f32
     }
 
-    fn share(&mut self, ask: &Ask) {
+    fn share(&mut self, ask: &SlotRequest) {
         if ask.prefix == 0 {
             return;
         }
@@ -261,7 +261,7 @@
         shared.tokens = ask.prefix_tokens;
     }
 
-    fn unshare(&mut self, ask: &Ask) {
+    fn unshare(&mut self, ask: &SlotRequest) {
         let Some(shared) = self.shared.get_mut(&ask.prefix) else {
             return;
         };
@@ -318,7 +318,11 @@
 }
 
 /// Returns the memory of an ask's work after `out_tokens` tokens.
-pub fn attempt<'a>(ask: &Ask, out_tokens: u32, lengths: &'a Lengths) -> memory::Attempt<'a> {
+pub fn attempt<'a>(
+    ask: &SlotRequest,
+    out_tokens: u32,
+    lengths: &'a Lengths,
+) -> memory::Attempt<'a> {
     memory::Attempt {
         prompt_tokens: own_tokens(ask),
         out_tokens: out_tokens.min(ask.max_tokens.saturating_sub(1)),
@@ -327,7 +331,7 @@
     }
 }
 
-fn own_tokens(ask: &Ask) -> u32 {
+fn own_tokens(ask: &SlotRequest) -> u32 {
     if ask.prefix == 0 {
         return ask.prompt_tokens;
     }
--- a/filbertpaddle-core/src/lib.rs
+++ b/filbertpaddle-core/src/lib.rs
@@ -5,7 +5,6 @@
 //! knows which transport carries its messages.
 
 pub mod apart;
-pub mod ask;
 pub mod attempt;
 pub mod backlog;
 pub mod batch;
@@ -45,6 +44,7 @@
 pub mod scheduler;
 pub mod service;
 pub mod slot;
+pub mod slot_request;
 pub mod spread;
 pub mod suspect;
 pub mod sweep;
--- a/filbertpaddle-core/src/member.rs
+++ b/filbertpaddle-core/src/member.rs
@@ -3,9 +3,9 @@
 use crate::clock::Millis;
 use crate::grant_mode::Mode;
 use crate::name::Name;
-use crate::owner::Ask;
 use crate::owner::Collect;
 use crate::owner::Holding;
+use crate::owner::SlotRequest;
 use crate::report::Report;
 use crate::roster::Id;
 use crate::roster::Roster;
@@ -132,9 +132,9 @@
     }
 
     /// Returns a request for a slot.
-    pub fn ask(&mut self, now: Millis) -> Ask {
+    pub fn ask(&mut self, now: Millis) -> SlotRequest {
         let stamp = self.stamp(now);
-        Ask {
+        SlotRequest {
             holder: self.id.clone(),
             number: stamp,
             stamp,
--- a/filbertpaddle-core/src/owner.rs
+++ b/filbertpaddle-core/src/owner.rs
@@ -22,7 +22,7 @@
 
 /// A member's request for a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Ask {
+pub struct SlotRequest {
     /// Who asks.
     pub holder: Id,
     /// Number of the request, unique for the holder's life.
@@ -69,7 +69,7 @@
     confirmed_ms: Option<Millis>,
     peers: Vec<Peer>,
     ledgers: Vec<Ledger>,
-    queue: VecDeque<Ask>,
+    queue: VecDeque<SlotRequest>,
     next_number: u64,
 }
 
@@ -230,7 +230,7 @@
     }
 
     /// Queues a request; returns whether its holder may be granted slots now.
-    pub fn on_ask(&mut self, ask: Ask) -> bool {
+    pub fn on_ask(&mut self, ask: SlotRequest) -> bool {
         self.on_stamp(&ask.holder, ask.stamp);
         let Some(peer) = self.peer(&ask.holder) else {
             return false;
@@ -321,12 +321,12 @@
     }
 
     /// Returns whether a request still waits.
-    pub fn is_waiting(&self, ask: &Ask) -> bool {
+    pub fn is_waiting(&self, ask: &SlotRequest) -> bool {
         self.queue.contains(ask)
     }
 
     /// Grants a slot on one target to a request that waits, if there is room.
-    pub fn grant_at(&mut self, now: Millis, target: &Name, ask: &Ask) -> Option<Grant> {
+    pub fn grant_at(&mut self, now: Millis, target: &Name, ask: &SlotRequest) -> Option<Grant> {
         let position = self.queue.iter().position(|other| other == ask)?;
         let index = self
             .ledgers
@@ -364,7 +364,7 @@
             .sum()
     }
 
-    fn grant(&mut self, now: Millis, index: usize, ask: Ask) -> Grant {
+    fn grant(&mut self, now: Millis, index: usize, ask: SlotRequest) -> Grant {
         let key = Key {
             holder: ask.holder,
             epoch: self.epoch,
--- a/filbertpaddle-core/src/placement.rs
+++ b/filbertpaddle-core/src/placement.rs
@@ -2,8 +2,6 @@
 
 use indexmap::IndexMap;
 
-use crate::ask::Ask;
-use crate::ask::TargetView;
 use crate::clock::Millis;
 use crate::engine;
 use crate::engine::Engine;
@@ -12,6 +10,8 @@
 use crate::name::Name;
 use crate::pace::Line;
 use crate::policy::Settings;
+use crate::slot_request::SlotRequest;
+use crate::slot_request::TargetView;
 
 /// How much fuller a target may be than the emptiest to be chosen for a prefix
 /// it holds, as a part of its limits.
@@ -61,7 +61,7 @@
 /// ask's prefix.
 pub fn predictive<'a>(
     now: Millis,
-    ask: &Ask,
+    ask: &SlotRequest,
     open: &[&'a TargetView],
     engines: &mut IndexMap<Name, Engine>,
     known: &Knowledge<'_>,
@@ -97,7 +97,7 @@
 /// room, since work that is too large for it will not fit later either.
 fn fill(
     now: Millis,
-    ask: &Ask,
+    ask: &SlotRequest,
     more: &Forecast,
     view: &TargetView,
     engine: &mut Engine,
--- a/filbertpaddle-core/src/queue.rs
+++ b/filbertpaddle-core/src/queue.rs
@@ -7,10 +7,10 @@
 
 use indexmap::IndexMap;
 
-use crate::ask::Ask;
-use crate::ask::Id as AskId;
 use crate::clock::Millis;
 use crate::name::Name;
+use crate::slot_request::RequestId;
+use crate::slot_request::SlotRequest;
 use crate::template::Priority;
 
 /// Parts of a token in which shares are counted.
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub struct Entry {
     /// The ask.
-    pub ask: Ask,
+    pub ask: SlotRequest,
     /// Tokens of prompt and output that it is expected to take.
     pub cost_tokens: u64,
 }
@@ -33,8 +33,8 @@
     fair: bool,
     ageing_ms: u64,
     lanes: IndexMap<Name, Lane>,
-    places: IndexMap<AskId, (Name, Priority)>,
-    deadlines: BTreeSet<(Millis, AskId)>,
+    places: IndexMap<RequestId, (Name, Priority)>,
+    deadlines: BTreeSet<(Millis, RequestId)>,
     virtual_now: u64,
 }
 
@@ -136,7 +136,7 @@
         lane: &Lane,
         level: &Level,
         entry: &Entry,
-    ) -> (Reverse<u64>, u64, Millis, AskId) {
+    ) -> (Reverse<u64>, u64, Millis, RequestId) {
         let ask = &entry.ask;
         let since = ask.arrived_ms.max(level.served_ms);
         let step = if self.fair {
@@ -148,7 +148,7 @@
     }
 
     /// Takes an ask to run it and charges its customer.
-    pub fn take(&mut self, now: Millis, id: AskId) -> Option<Entry> {
+    pub fn take(&mut self, now: Millis, id: RequestId) -> Option<Entry> {
         let (customer, priority) = self.places.get(&id)?.clone();
         let entry = self.remove(id)?;
         let lane = self.lanes.get_mut(&customer)?;
@@ -162,7 +162,7 @@
     }
 
     /// Removes an ask without charge.
-    pub fn remove(&mut self, id: AskId) -> Option<Entry> {
+    pub fn remove(&mut self, id: RequestId) -> Option<Entry> {
         let (customer, priority) = self.places.swap_remove(&id)?;
         let lane = self.lanes.get_mut(&customer)?;
         let level = lane.levels.get_mut(&priority)?;
@@ -191,7 +191,7 @@
 
     /// Removes and returns the asks whose deadline has come.
     pub fn expire(&mut self, now: Millis) -> Vec<Entry> {
-        let late: Vec<AskId> = self
+        let late: Vec<RequestId> = self
             .deadlines
             .iter()
             .take_while(|(deadline_ms, _)| *deadline_ms <= now)
--- a/filbertpaddle-core/src/scheduler.rs
+++ b/filbertpaddle-core/src/scheduler.rs
@@ -3,14 +3,6 @@
 use indexmap::IndexMap;
 
 use crate::apart::Apart;
-pub use crate::ask::Ask;
-pub use crate::ask::Ending;
-pub use crate::ask::Id as AskId;
-pub use crate::ask::Load;
-pub use crate::ask::Placement;
-pub use crate::ask::Refusal;
-pub use crate::ask::SlotId;
-pub use crate::ask::TargetView;
 use crate::backlog::Backlog;
 use crate::clock::Millis;
 use crate::engine::Engine;
@@ -25,6 +17,14 @@
 use crate::policy::Settings;
 use crate::queue::Entry;
 use crate::queue::Queue;
+pub use crate::slot_request::Ending;
+pub use crate::slot_request::Load;
+pub use crate::slot_request::Placement;
+pub use crate::slot_request::Refusal;
+pub use crate::slot_request::RequestId;
+pub use crate::slot_request::SlotId;
+pub use crate::slot_request::SlotRequest;
+pub use crate::slot_request::TargetView;
 use crate::suspect;
 use crate::suspect::Standing;
 use crate::suspect::Suspects;
@@ -85,7 +85,7 @@
     ///
     /// Refuses at once, with when to come back, if the queue is full, the
     /// deadline cannot be met or the request has crashed too many targets.
-    pub fn push(&mut self, now: Millis, ask: Ask) -> Result<(), Refusal> {
+    pub fn push(&mut self, now: Millis, ask: SlotRequest) -> Result<(), Refusal> {
         let ahead_tokens = self
             .queue
             .ahead_tokens(&ask.customer, ask.priority, ask.weight);
@@ -111,7 +111,7 @@
     fn admit(
         &mut self,
         now: Millis,
-        ask: &Ask,
+        ask: &SlotRequest,
         ahead_tokens: u64,
         patience: Millis,
     ) -> Result<(), Reason> {
@@ -136,14 +136,14 @@
         Ok(())
     }
 
-    fn cost_tokens(&self, ask: &Ask) -> u64 {
+    fn cost_tokens(&self, ask: &SlotRequest) -> u64 {
         let curve = self.lengths.curve(&ask.template);
         let out_tokens = curve.remaining_tokens(0, ask.max_tokens) as u64;
         u64::from(ask.prompt_tokens) + out_tokens
     }
 
     /// Removes a queued ask whose asker has gone; `None` if it is not queued.
-    pub fn cancel(&mut self, id: AskId) -> Option<Ask> {
+    pub fn cancel(&mut self, id: RequestId) -> Option<SlotRequest> {
         self.queue
             .remove(id)
             .or_else(|| self.apart.remove(id))
@@ -161,7 +161,7 @@
     }
 
     fn next_apart(&mut self, now: Millis, targets: &[TargetView]) -> Option<Placement> {
-        let heads: Vec<Ask> = self
+        let heads: Vec<SlotRequest> = self
             .apart
             .heads(LOOKAHEAD)
             .into_iter()
@@ -173,16 +173,16 @@
                 continue;
             };
             let entry = self.apart.take(head.digest)?;
-            let ask = entry.ask;
+            let request = entry.ask;
             self.queue
-                .charge(&ask.customer, ask.weight, entry.cost_tokens);
-            return Some(Placement { ask, target });
+                .charge(&request.customer, request.weight, entry.cost_tokens);
+            return Some(Placement { request, target });
         }
         None
     }
 
     fn next_queued(&mut self, now: Millis, targets: &[TargetView]) -> Option<Placement> {
-        let heads: Vec<Ask> = self
+        let heads: Vec<SlotRequest> = self
             .queue
             .heads(now, LOOKAHEAD)
             .into_iter()
@@ -197,7 +197,7 @@
             let waiting = !self.queue.is_empty();
             self.backlog.placed(now, entry.cost_tokens, waiting);
             return Some(Placement {
-                ask: entry.ask,
+                request: entry.ask,
                 target,
             });
         }
@@ -207,7 +207,7 @@
     /// Moves asks aside that must not run beside just any other work.
     fn set_apart(&mut self, now: Millis) {
         loop {
-            let aside: Vec<AskId> = self
+            let aside: Vec<RequestId> = self
                 .queue
                 .heads(now, LOOKAHEAD)
                 .into_iter()
@@ -227,18 +227,18 @@
         }
     }
 
-    fn may_run(&self, ask: &Ask) -> bool {
+    fn may_run(&self, ask: &SlotRequest) -> bool {
         let standing = self.suspects.standing(ask.digest);
         let free = matches!(standing, Standing::Unknown | Standing::Cleared);
         free && self.may_copy(ask)
     }
 
-    fn may_copy(&self, ask: &Ask) -> bool {
+    fn may_copy(&self, ask: &SlotRequest) -> bool {
         let running = self.copies.get(&ask.digest).copied().unwrap_or(0);
         ask.digest == 0 || running < self.suspects.copies(ask.digest)
     }
 
-    fn choose(&mut self, now: Millis, ask: &Ask, targets: &[TargetView]) -> Option<Name> {
+    fn choose(&mut self, now: Millis, ask: &SlotRequest, targets: &[TargetView]) -> Option<Name> {
         let suspect = self.suspects.standing(ask.digest) == Standing::Suspect;
         let open: Vec<&TargetView> = targets
             .iter()
@@ -278,7 +278,7 @@
     ///
     /// A successor also records what it learns to be running this way.
     pub fn started(&mut self, now: Millis, slot: SlotId, placement: &Placement) {
-        let ask = placement.ask.clone();
+        let ask = placement.request.clone();
         let cost_tokens = self.cost_tokens(&ask);
         if ask.digest != 0 {
             *self.copies.entry(ask.digest).or_insert(0) += 1;
@@ -409,7 +409,7 @@
         std::mem::take(&mut self.refused)
     }
 
-    fn retry_after(&self, ask: &Ask) -> Millis {
+    fn retry_after(&self, ask: &SlotRequest) -> Millis {
         let ahead_tokens = self
             .queue
             .ahead_tokens(&ask.customer, ask.priority, ask.weight);
@@ -439,7 +439,7 @@
     }
 }
 
-fn quarantined(id: AskId) -> Refusal {
+fn quarantined(id: RequestId) -> Refusal {
     Refusal {
         id,
         reason: Reason::Quarantined,
--- a/filbertpaddle-core/src/ask.rs
+++ b/filbertpaddle-core/src/slot_request.rs
@@ -11,7 +11,7 @@
 /// Identifies an ask among all asks of one pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Id(pub u64);
+pub struct RequestId(pub u64);
 
 /// Identifies a granted slot among all slots of one pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -20,9 +20,9 @@
 
 /// A request for one slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Ask {
+pub struct SlotRequest {
     /// Chosen by the owner of the pool.
-    pub id: Id,
+    pub id: RequestId,
     /// Customer whose share is charged.
     pub customer: Name,
     /// Template whose output lengths are learned; unique among customers.
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Placement {
     /// The ask, removed from the queue.
-    pub ask: Ask,
+    pub request: SlotRequest,
     /// Name of the target.
     pub target: Name,
 }
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Refusal {
     /// The refused ask.
-    pub id: Id,
+    pub id: RequestId,
     /// Why it is refused.
     pub reason: Reason,
     /// How long to wait before asking again; `None` if repeating cannot help.
--- a/filbertpaddle-core/tests/quarantine.rs
+++ b/filbertpaddle-core/tests/quarantine.rs
@@ -8,12 +8,12 @@
 use filbertpaddle_core::outcome::Reason;
 use filbertpaddle_core::policy::Policy;
 use filbertpaddle_core::policy::Settings;
-use filbertpaddle_core::scheduler::Ask;
-use filbertpaddle_core::scheduler::AskId;
 use filbertpaddle_core::scheduler::Ending;
 use filbertpaddle_core::scheduler::Placement;
+use filbertpaddle_core::scheduler::RequestId;
 use filbertpaddle_core::scheduler::Scheduler;
 use filbertpaddle_core::scheduler::SlotId;
+use filbertpaddle_core::scheduler::SlotRequest;
 use filbertpaddle_core::scheduler::TargetView;
 use filbertpaddle_core::suspect::CRASH_LIMIT;
 use filbertpaddle_core::suspect::Record;
@@ -36,7 +36,7 @@
     next_id: u64,
     targets: Vec<Name>,
     running: BTreeMap<u64, Placement>,
-    digests: BTreeMap<AskId, u64>,
+    digests: BTreeMap<RequestId, u64>,
     poisons: Vec<u64>,
     crashes: BTreeMap<u64, usize>,
     answered: BTreeSet<u64>,
@@ -67,9 +67,9 @@
 
     fn send(&mut self, digest: u64) {
         self.next_id += 1;
-        self.digests.insert(AskId(self.next_id), digest);
-        let ask = Ask {
-            id: AskId(self.next_id),
+        self.digests.insert(RequestId(self.next_id), digest);
+        let ask = SlotRequest {
+            id: RequestId(self.next_id),
             customer: Name::new(format!("customer-{}", digest % 3)),
             template: Name::new("summary"),
             priority: Priority(0),
@@ -126,7 +126,7 @@
         let crashed: BTreeSet<Name> = self
             .running
             .values()
-            .filter(|placement| poisons.contains(&placement.ask.digest))
+            .filter(|placement| poisons.contains(&placement.request.digest))
             .map(|placement| placement.target.clone())
             .collect();
         for target in &crashed {
@@ -135,7 +135,7 @@
                 .running
                 .values()
                 .filter(|p| on_target(p))
-                .map(|p| p.ask.digest)
+                .map(|p| p.request.digest)
                 .collect();
             for poison in poisons.iter().filter(|p| digests.contains(p)) {
                 let crashes = self.crashes.entry(*poison).or_default();
@@ -159,7 +159,7 @@
         let again: BTreeSet<u64> = lost
             .iter()
             .filter_map(|slot| self.running.remove(slot))
-            .map(|placement| placement.ask.digest)
+            .map(|placement| placement.request.digest)
             .collect();
         self.now = self.now + Millis(100);
         for digest in again {
@@ -177,7 +177,7 @@
         let slots: Vec<u64> = self
             .running
             .iter()
-            .filter(|(_, placement)| !self.poisons.contains(&placement.ask.digest))
+            .filter(|(_, placement)| !self.poisons.contains(&placement.request.digest))
             .map(|(slot, _)| *slot)
             .take(count)
             .collect();
@@ -185,7 +185,7 @@
             self.scheduler
                 .ended(self.now, SlotId(slot), 50, Ending::Complete);
             let placement = self.running.remove(&slot);
-            self.answered.extend(placement.map(|p| p.ask.digest));
+            self.answered.extend(placement.map(|p| p.request.digest));
         }
         self.place();
     }
@@ -283,7 +283,7 @@
         let suspects = pool
             .running
             .values()
-            .filter(|p| p.target == name && pool.scheduler.suspects().level(p.ask.digest) > 0)
+            .filter(|p| p.target == name && pool.scheduler.suspects().level(p.request.digest) > 0)
             .count();
         assert!(suspects <= 1, "{name} runs {suspects}");
     }
--- a/filbertpaddle-core/tests/queue.rs
+++ b/filbertpaddle-core/tests/queue.rs
@@ -4,16 +4,16 @@
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::queue::Entry;
 use filbertpaddle_core::queue::Queue;
-use filbertpaddle_core::scheduler::Ask;
-use filbertpaddle_core::scheduler::AskId;
+use filbertpaddle_core::scheduler::RequestId;
+use filbertpaddle_core::scheduler::SlotRequest;
 use filbertpaddle_core::template::Priority;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 fn entry(id: u64, customer: &str, priority: u8, cost_tokens: u64, arrived_ms: u64) -> Entry {
     Entry {
-        ask: Ask {
-            id: AskId(id),
+        ask: SlotRequest {
+            id: RequestId(id),
             customer: Name::new(customer),
             template: Name::new("template"),
             priority: Priority(priority),
@@ -41,7 +41,7 @@
     queue.push(entry(1, "a", 0, 10, 0));
     queue.push(entry(2, "a", 3, 10, 0));
     let first = take_first(&mut queue, Millis(0)).unwrap();
-    assert_eq!(first.ask.id, AskId(2));
+    assert_eq!(first.ask.id, RequestId(2));
 }
 
 #[test]
@@ -54,7 +54,7 @@
         queue.push(entry(id, "a", 3, 10, now.0));
         taken.push(take_first(&mut queue, now).unwrap().ask.id);
     }
-    assert!(taken.contains(&AskId(1)), "starved: {taken:?}");
+    assert!(taken.contains(&RequestId(1)), "starved: {taken:?}");
 }
 
 #[test]
@@ -156,7 +156,7 @@
                     let customer = if id % 2 == 0 { "even" } else { "odd" };
                     queue.push(entry(id, customer, priority, id + 1, now.0));
                 }
-                2 => prop_assert_eq!(queue.remove(AskId(id)).is_some(), inside.remove(&id)),
+                2 => prop_assert_eq!(queue.remove(RequestId(id)).is_some(), inside.remove(&id)),
                 3 => {
                     if let Some(entry) = take_first(&mut queue, now) {
                         prop_assert!(inside.remove(&entry.ask.id.0));
--- a/filbertpaddle-core/tests/recount.rs
+++ b/filbertpaddle-core/tests/recount.rs
@@ -2,10 +2,10 @@
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
-use filbertpaddle_core::owner::Ask;
 use filbertpaddle_core::owner::Collect;
 use filbertpaddle_core::owner::Holding;
 use filbertpaddle_core::owner::Owner;
+use filbertpaddle_core::owner::SlotRequest;
 use filbertpaddle_core::peer::Promise;
 use filbertpaddle_core::report::Report;
 use filbertpaddle_core::roster::Id;
@@ -78,7 +78,7 @@
     }
 
     fn ask(&mut self, number: u64) -> Vec<Grant> {
-        self.owner.on_ask(Ask {
+        self.owner.on_ask(SlotRequest {
             holder: member(),
             number,
             stamp: number,
--- a/filbertpaddle-core/tests/scheduler.rs
+++ b/filbertpaddle-core/tests/scheduler.rs
@@ -7,22 +7,22 @@
 use filbertpaddle_core::outcome::Reason;
 use filbertpaddle_core::policy::Policy;
 use filbertpaddle_core::policy::Settings;
-use filbertpaddle_core::scheduler::Ask;
-use filbertpaddle_core::scheduler::AskId;
 use filbertpaddle_core::scheduler::Ending;
 use filbertpaddle_core::scheduler::Load;
 use filbertpaddle_core::scheduler::Placement;
+use filbertpaddle_core::scheduler::RequestId;
 use filbertpaddle_core::scheduler::Scheduler;
 use filbertpaddle_core::scheduler::SlotId;
+use filbertpaddle_core::scheduler::SlotRequest;
 use filbertpaddle_core::scheduler::TargetView;
 use filbertpaddle_core::template::Priority;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use strum::VariantArray;
 
-fn ask(id: u64, now: Millis) -> Ask {
-    Ask {
-        id: AskId(id),
+fn ask(id: u64, now: Millis) -> SlotRequest {
+    SlotRequest {
+        id: RequestId(id),
         customer: Name::new(format!("customer-{}", id % 3)),
         template: Name::new("template"),
         priority: Priority((id % 2) as u8),
@@ -53,10 +53,17 @@
     })
 }
 
-fn start(scheduler: &mut Scheduler, now: Millis, target: &str, ask: Ask) {
+fn start(scheduler: &mut Scheduler, now: Millis, target: &str, ask: SlotRequest) {
     let slot = SlotId(ask.id.0);
     let target = Name::new(target);
-    scheduler.started(now, slot, &Placement { ask, target });
+    scheduler.started(
+        now,
+        slot,
+        &Placement {
+            request: ask,
+            target,
+        },
+    );
 }
 
 /// Teaches that outputs of the template end after `tokens` tokens.
@@ -73,7 +80,7 @@
 fn placed(scheduler: &mut Scheduler, now: Millis, views: &[TargetView]) -> usize {
     let mut count = 0;
     while let Some(placement) = scheduler.next(now, views) {
-        let slot = SlotId(placement.ask.id.0);
+        let slot = SlotId(placement.request.id.0);
         scheduler.started(now, slot, &placement);
         count += 1;
         assert!(count <= 1_000, "no end of placements");
@@ -138,7 +145,7 @@
     let mut scheduler = scheduler(Policy::Predictive);
     teach(&mut scheduler, 20);
     let views = [view("a", 64, 100_000), view("b", 64, 100_000)];
-    let with_prefix = |id| Ask {
+    let with_prefix = |id| SlotRequest {
         prefix: 9,
         prefix_tokens: 64,
         ..ask(id, Millis(0))
@@ -258,8 +265,8 @@
                     })
                     .collect::<Result<_, _>>()?;
                 let Some(placement) = scheduler.next(now, &views) else { break };
-                prop_assert!(placement.ask.deadline_ms > now);
-                let slot = SlotId(placement.ask.id.0);
+                prop_assert!(placement.request.deadline_ms > now);
+                let slot = SlotId(placement.request.id.0);
                 scheduler.started(now, slot, &placement);
                 let target = names.iter().position(|name| placement.target == *name);
                 prop_assert!(running.insert(slot.0, target.unwrap()).is_none());
--- a/filbertpaddle-standins/examples/placement/pool.rs
+++ b/filbertpaddle-standins/examples/placement/pool.rs
@@ -7,12 +7,12 @@
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::policy;
-use filbertpaddle_core::scheduler::Ask;
-use filbertpaddle_core::scheduler::AskId;
 use filbertpaddle_core::scheduler::Ending;
 use filbertpaddle_core::scheduler::Load;
+use filbertpaddle_core::scheduler::RequestId;
 use filbertpaddle_core::scheduler::Scheduler;
 use filbertpaddle_core::scheduler::SlotId;
+use filbertpaddle_core::scheduler::SlotRequest;
 use filbertpaddle_core::scheduler::TargetView;
 use filbertpaddle_standins::batch::Step;
 use filbertpaddle_standins::scheduler as engine;
@@ -141,8 +141,8 @@
     fn arrive(&mut self, index: usize) {
         let now = self.now();
         let arrival = &self.arrivals[index];
-        let ask = Ask {
-            id: AskId(index as u64),
+        let ask = SlotRequest {
+            id: RequestId(index as u64),
             customer: arrival.customer.clone(),
             template: arrival.template.clone(),
             priority: arrival.work.priority,
@@ -164,7 +164,7 @@
         let now = self.now();
         self.report.refused += self.scheduler.expired(now).len() as u64;
         while let Some(placement) = self.scheduler.next(now, &self.views) {
-            let index = placement.ask.id.0 as usize;
+            let index = placement.request.id.0 as usize;
             self.scheduler
                 .started(now, SlotId(index as u64), &placement);
             let place = self
--- a/filbertpaddle-standins/src/pool.rs
+++ b/filbertpaddle-standins/src/pool.rs
@@ -10,9 +10,9 @@
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::policy;
 use filbertpaddle_core::scheduler;
-use filbertpaddle_core::scheduler::AskId;
 use filbertpaddle_core::scheduler::Ending;
 use filbertpaddle_core::scheduler::Load;
+use filbertpaddle_core::scheduler::RequestId;
 use filbertpaddle_core::scheduler::Scheduler;
 use filbertpaddle_core::scheduler::SlotId;
 use filbertpaddle_core::scheduler::TargetView;
@@ -59,7 +59,7 @@
 }
 
 enum Command {
-    Acquire(Box<scheduler::Ask>, oneshot::Sender<Option<Grant>>),
+    Acquire(Box<scheduler::SlotRequest>, oneshot::Sender<Option<Grant>>),
     Release(Release),
     Report(usize, Option<LoadReport>),
     Cache(usize, CacheEvent),
@@ -105,8 +105,8 @@
         let (answer, granted) = oneshot::channel();
         let blocks = digests(&ask.kind.prefix(&ask.customer));
         let prompt = ask.prompt();
-        let ask = scheduler::Ask {
-            id: AskId(0),
+        let ask = scheduler::SlotRequest {
+            id: RequestId(0),
             customer: ask.customer.clone(),
             template: Name::new(format!("{}/{}", ask.customer, ask.kind.name)),
             priority: ask.priority(),
@@ -202,7 +202,7 @@
 struct Owner {
     scheduler: Scheduler,
     targets: Vec<Target>,
-    waiting: IndexMap<AskId, oneshot::Sender<Option<Grant>>>,
+    waiting: IndexMap<RequestId, oneshot::Sender<Option<Grant>>>,
     held: IndexMap<SlotId, usize>,
     out: Option<usize>,
     next_id: u64,
@@ -239,10 +239,10 @@
         }
     }
 
-    fn acquire(&mut self, mut ask: scheduler::Ask, answer: oneshot::Sender<Option<Grant>>) {
+    fn acquire(&mut self, mut ask: scheduler::SlotRequest, answer: oneshot::Sender<Option<Grant>>) {
         let now = self.now();
         self.next_id += 1;
-        ask.id = AskId(self.next_id);
+        ask.id = RequestId(self.next_id);
         ask.arrived_ms = now;
         ask.deadline_ms = now + MAX_WAIT_MS;
         let id = ask.id;
@@ -311,7 +311,7 @@
         self.held.insert(slot, index);
         let address = self.targets[index].address;
         let grant = Grant { address, slot };
-        let answer = self.waiting.swap_remove(&placement.ask.id);
+        let answer = self.waiting.swap_remove(&placement.request.id);
         let taken = answer.is_some_and(|answer| answer.send(Some(grant)).is_ok());
         if !taken {
             let ending = Ending::Unsent;
--- a/filbertpaddle/src/placer.rs
+++ b/filbertpaddle/src/placer.rs
@@ -7,14 +7,14 @@
 use filbertpaddle_core::owner::Owner;
 use filbertpaddle_core::policy::Settings;
 use filbertpaddle_core::roster::Id;
-use filbertpaddle_core::scheduler::Ask;
-use filbertpaddle_core::scheduler::AskId;
 use filbertpaddle_core::scheduler::Ending;
 use filbertpaddle_core::scheduler::Load;
 use filbertpaddle_core::scheduler::Placement;
 use filbertpaddle_core::scheduler::Refusal;
+use filbertpaddle_core::scheduler::RequestId;
 use filbertpaddle_core::scheduler::Scheduler;
 use filbertpaddle_core::scheduler::SlotId;
+use filbertpaddle_core::scheduler::SlotRequest;
 use filbertpaddle_core::scheduler::TargetView;
 use filbertpaddle_core::slot::Grant;
 use filbertpaddle_core::slot::Key;
@@ -28,7 +28,7 @@
 /// A request that gets no slot.
 #[derive(Debug)]
 pub(crate) struct Denied {
-    pub(crate) ask: owner::Ask,
+    pub(crate) ask: owner::SlotRequest,
     pub(crate) refusal: Refusal,
 }
 
@@ -51,7 +51,7 @@
 pub(crate) struct Placer {
     settings: Settings,
     scheduler: Scheduler,
-    asks: IndexMap<AskId, owner::Ask>,
+    asks: IndexMap<RequestId, owner::SlotRequest>,
     placed: IndexMap<Key, Placed>,
     capacity_tokens: IndexMap<Name, u64>,
     next_id: u64,
@@ -83,10 +83,10 @@
     pub(crate) fn push(
         &mut self,
         now: Millis,
-        ask: owner::Ask,
+        ask: owner::SlotRequest,
         want: &Want,
     ) -> Result<(), Refusal> {
-        let id = AskId(self.number());
+        let id = RequestId(self.number());
         self.scheduler.push(now, scheduler_ask(now, id, want))?;
         self.asks.insert(id, ask);
         Ok(())
@@ -94,7 +94,7 @@
 
     /// Forgets a request that its holder has given up.
     pub(crate) fn withdraw(&mut self, holder: &Id, number: u64) {
-        let same = |ask: &owner::Ask| ask.holder == *holder && ask.number == number;
+        let same = |ask: &owner::SlotRequest| ask.holder == *holder && ask.number == number;
         let found = self.asks.iter().find(|(_, other)| same(other));
         if let Some(id) = found.map(|(id, _)| *id) {
             self.scheduler.cancel(id);
@@ -110,7 +110,7 @@
             let Some(placement) = self.scheduler.next(now, &views) else {
                 break;
             };
-            let Some(ask) = self.asks.swap_remove(&placement.ask.id) else {
+            let Some(ask) = self.asks.swap_remove(&placement.request.id) else {
                 continue;
             };
             let slot = SlotId(self.number());
@@ -125,8 +125,8 @@
             self.scheduler.ended(now, slot, 0, Ending::Unsent);
             if owner.is_waiting(&ask) {
                 // The target's room is kept for other members; try again later.
-                if self.scheduler.push(now, placement.ask.clone()).is_ok() {
-                    self.asks.insert(placement.ask.id, ask);
+                if self.scheduler.push(now, placement.request.clone()).is_ok() {
+                    self.asks.insert(placement.request.id, ask);
                 }
                 break;
             }
@@ -164,7 +164,7 @@
     pub(crate) fn shared(&mut self, now: Millis, key: &Key, target: &Name, want: &Want) {
         let slot = SlotId(self.number());
         let placement = Placement {
-            ask: scheduler_ask(now, AskId(slot.0), want),
+            request: scheduler_ask(now, RequestId(slot.0), want),
             target: target.clone(),
         };
         self.scheduler.started(now, slot, &placement);
@@ -256,9 +256,9 @@
     }
 }
 
-fn scheduler_ask(now: Millis, id: AskId, want: &Want) -> Ask {
+fn scheduler_ask(now: Millis, id: RequestId, want: &Want) -> SlotRequest {
     let customer = want.template.split('/').next().unwrap_or_default();
-    Ask {
+    SlotRequest {
         id,
         customer: Name::new(customer),
         template: want.template.clone(),
--- a/filbertpaddle/src/pool_owner.rs
+++ b/filbertpaddle/src/pool_owner.rs
@@ -102,7 +102,7 @@
     }
 
     pub(crate) fn on_ask(&mut self, now: Millis, from: &Id, ask: &grant::Ask) {
-        let asked = owner::Ask {
+        let asked = owner::SlotRequest {
             holder: from.clone(),
             number: ask.number,
             stamp: ask.stamp,
