--- a/filbertpaddle-core/src/ledger.rs
+++ b/filbertpaddle-core/src/ledger.rs
@@ -6,8 +6,8 @@
 use crate::report::Report;
 use crate::roster::Id;
 use crate::service::WHOLE_SHARE;
-use crate::slot::Key;
 use crate::slot::Source;
+use crate::slot::WorkKey;
 use crate::slot::fence;
 use crate::timing::Timing;
 
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Slot {
     /// Which work.
-    pub key: Key,
+    pub key: WorkKey,
     /// Whether a report has shown the work at the target.
     pub seen: bool,
     /// Since when its holder no longer answers for the work: it gave the work
@@ -98,7 +98,7 @@
     }
 
     /// Counts work.
-    pub fn add(&mut self, key: Key, seen: bool) {
+    pub fn add(&mut self, key: WorkKey, seen: bool) {
         if self.slots.iter().all(|slot| slot.key != key) {
             self.slots.push(Slot {
                 key,
@@ -109,14 +109,14 @@
     }
 
     /// Forgets work that has ended.
-    pub fn end(&mut self, key: &Key) {
+    pub fn end(&mut self, key: &WorkKey) {
         self.slots.retain(|slot| slot.key != *key);
     }
 
     /// Keeps work counted until a later report no longer shows it.
     pub fn loosen<F>(&mut self, now: Millis, is_loose: F)
     where
-        F: Fn(&Key) -> bool,
+        F: Fn(&WorkKey) -> bool,
     {
         self.slots
             .iter_mut()
@@ -125,9 +125,10 @@
     }
 
     /// Replaces what is counted for a holder, but for grants from `upto` on.
-    pub fn replace(&mut self, epoch: u64, holder: &Id, upto: u64, held: &[Key]) {
-        let is_later =
-            |key: &Key| key.source == Source::Granted && key.epoch == epoch && key.number >= upto;
+    pub fn replace(&mut self, epoch: u64, holder: &Id, upto: u64, held: &[WorkKey]) {
+        let is_later = |key: &WorkKey| {
+            key.source == Source::Granted && key.epoch == epoch && key.number >= upto
+        };
         self.slots
             .retain(|slot| slot.key.holder != *holder || is_later(&slot.key));
         held.iter().for_each(|key| self.add(key.clone(), false));
--- a/filbertpaddle-core/src/member.rs
+++ b/filbertpaddle-core/src/member.rs
@@ -10,9 +10,9 @@
 use crate::roster::Id;
 use crate::roster::Roster;
 use crate::slot::Grant;
-use crate::slot::Held;
-use crate::slot::Key;
+use crate::slot::HeldWork;
 use crate::slot::Source;
+use crate::slot::WorkKey;
 use crate::slot::fence;
 use crate::timing::Timing;
 
@@ -61,8 +61,8 @@
     stamps: Vec<Stamp>,
     next_stamp: u64,
     next_number: u64,
-    works: Vec<Held>,
-    unsent: Vec<Held>,
+    works: Vec<HeldWork>,
+    unsent: Vec<HeldWork>,
     cleared: Vec<Name>,
 }
 
@@ -96,7 +96,7 @@
     }
 
     /// Returns the work that is accepted and not ended.
-    pub fn works(&self) -> &[Held] {
+    pub fn works(&self) -> &[HeldWork] {
         &self.works
     }
 
@@ -168,7 +168,7 @@
     ///
     /// Returns why nothing may be sent under the grant; the slot is then to be
     /// released as ended.
-    pub fn accept(&mut self, now: Millis, grant: &Grant) -> Result<Held, Refusal> {
+    pub fn accept(&mut self, now: Millis, grant: &Grant) -> Result<HeldWork, Refusal> {
         if self.mode != Mode::Granted {
             return Err(Refusal::Mode);
         }
@@ -204,7 +204,7 @@
         target: &Name,
         report: &Report,
         roster: &Roster,
-    ) -> Result<Held, Refusal> {
+    ) -> Result<HeldWork, Refusal> {
         let Mode::Share { since_ms } = self.mode else {
             return Err(Refusal::Mode);
         };
@@ -222,7 +222,7 @@
         if !report.warm && !self.is_cleared(target, since_ms, report, roster) {
             return Err(Refusal::Occupied);
         }
-        let key = Key {
+        let key = WorkKey {
             holder: self.id.clone(),
             epoch: self.epoch,
             source: Source::Share,
@@ -234,12 +234,12 @@
     }
 
     /// Notes that accepted work has reached its target or was given up.
-    pub fn on_sent(&mut self, key: &Key) {
+    pub fn on_sent(&mut self, key: &WorkKey) {
         self.unsent.retain(|held| held.key != *key);
     }
 
     /// Notes that work has ended; returns whether it was held.
-    pub fn on_end(&mut self, key: &Key) -> bool {
+    pub fn on_end(&mut self, key: &WorkKey) -> bool {
         self.on_sent(key);
         let before = self.works.len();
         self.works.retain(|held| held.key != *key);
@@ -252,13 +252,13 @@
         u32::try_from(count.count()).unwrap_or(u32::MAX)
     }
 
-    fn take(&mut self, key: Key, target: &Name, cold: bool) -> Result<Held, Refusal> {
+    fn take(&mut self, key: WorkKey, target: &Name, cold: bool) -> Result<HeldWork, Refusal> {
         // A node that is paused before it sends can then exceed a cold
         // target's limit by one only.
         if cold && self.unsent.iter().any(|held| held.target == *target) {
             return Err(Refusal::Unsent);
         }
-        let held = Held {
+        let held = HeldWork {
             key,
             target: target.clone(),
         };
--- a/filbertpaddle-core/src/owner.rs
+++ b/filbertpaddle-core/src/owner.rs
@@ -12,9 +12,9 @@
 use crate::roster::Id;
 use crate::roster::Roster;
 use crate::slot::Grant;
-use crate::slot::Held;
-use crate::slot::Key;
+use crate::slot::HeldWork;
 use crate::slot::Source;
+use crate::slot::WorkKey;
 use crate::timing::Timing;
 
 /// Requests that are tried before none is granted.
@@ -56,7 +56,7 @@
     /// Number of the owner's next grant when it asked.
     pub upto: u64,
     /// All work that the member has accepted and not ended.
-    pub works: Vec<Held>,
+    pub works: Vec<HeldWork>,
 }
 
 /// One pool of targets as its owner sees it.
@@ -181,13 +181,13 @@
     /// longer shows it, since its end is not known.
     pub fn on_recount(&mut self, now: Millis, holding: &Holding) {
         let epoch = self.epoch;
-        let is_counted = |key: &Key| {
+        let is_counted = |key: &WorkKey| {
             key.holder == holding.holder
                 && key.source == Source::Granted
                 && key.epoch == epoch
                 && key.number < holding.upto
         };
-        let is_held = |key: &Key| holding.works.iter().any(|held| held.key == *key);
+        let is_held = |key: &WorkKey| holding.works.iter().any(|held| held.key == *key);
         for ledger in &mut self.ledgers {
             ledger.loosen(now, |key| is_counted(key) && !is_held(key));
         }
@@ -221,7 +221,7 @@
         }
         for ledger in &mut self.ledgers {
             let works = holding.works.iter();
-            let held: Vec<Key> = works
+            let held: Vec<WorkKey> = works
                 .filter(|held| held.target == ledger.target)
                 .map(|held| held.key.clone())
                 .collect();
@@ -259,7 +259,7 @@
     ///
     /// If the holder does not know that the work has `ended`, the slot stays
     /// counted until a report shows it gone.
-    pub fn on_release(&mut self, now: Millis, key: &Key, ended: bool) {
+    pub fn on_release(&mut self, now: Millis, key: &WorkKey, ended: bool) {
         for ledger in &mut self.ledgers {
             match ended {
                 true => ledger.end(key),
@@ -365,7 +365,7 @@
     }
 
     fn grant(&mut self, now: Millis, index: usize, ask: SlotRequest) -> Grant {
-        let key = Key {
+        let key = WorkKey {
             holder: ask.holder,
             epoch: self.epoch,
             source: Source::Granted,
@@ -379,7 +379,7 @@
         Grant {
             key,
             target: ledger.target.clone(),
-            ask: ask.number,
+            request: ask.number,
             stamp,
             cold: ledger.limit(now, &timing).is_none_or(Limit::is_cold),
         }
--- a/filbertpaddle-core/src/report.rs
+++ b/filbertpaddle-core/src/report.rs
@@ -1,7 +1,7 @@
 //! What a target says of itself.
 
 use crate::clock::Millis;
-use crate::slot::Key;
+use crate::slot::WorkKey;
 
 /// Load of a target as of some time ago.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -25,5 +25,5 @@
     /// Highest fencing number that the target had obeyed, if it checks them.
     pub fence: Option<u64>,
     /// The work that runs or waits.
-    pub works: Vec<Key>,
+    pub works: Vec<WorkKey>,
 }
--- a/filbertpaddle-core/src/slot.rs
+++ b/filbertpaddle-core/src/slot.rs
@@ -8,7 +8,7 @@
 
 /// Identifies one piece of work among all nodes and lives.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Key {
+pub struct WorkKey {
     /// Node that sends the work.
     pub holder: Id,
     /// Epoch of the owner that granted it, or the last one known to a holder
@@ -31,7 +31,7 @@
     Share,
 }
 
-impl Key {
+impl WorkKey {
     /// Returns the fencing number that a target checks.
     ///
     /// Work by share comes after all grants of the epoch and before the next.
@@ -47,9 +47,9 @@
 
 /// Work that a holder has accepted and not ended.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldWork {
     /// Which work.
-    pub key: Key,
+    pub key: WorkKey,
     /// Target it goes to.
     pub target: Name,
 }
@@ -58,11 +58,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Grant {
     /// Which work.
-    pub key: Key,
+    pub key: WorkKey,
     /// Target it may be sent to.
     pub target: Name,
     /// Request of the holder that is answered.
-    pub ask: u64,
+    pub request: u64,
     /// Last stamp of the holder that the owner had heard.
     pub stamp: u64,
     /// Whether the target is cold.
--- a/filbertpaddle-core/tests/owner_model/world.rs
+++ b/filbertpaddle-core/tests/owner_model/world.rs
@@ -24,8 +24,8 @@
 use filbertpaddle_core::roster::Id;
 use filbertpaddle_core::roster::Roster;
 use filbertpaddle_core::slot::Grant;
-use filbertpaddle_core::slot::Key;
 use filbertpaddle_core::slot::Source;
+use filbertpaddle_core::slot::WorkKey;
 use filbertpaddle_core::slot::fence;
 use filbertpaddle_core::timing::Timing;
 
@@ -153,12 +153,12 @@
     mode_state: ModeState,
     member: Member,
     owner: Option<Owner>,
-    unsent: Vec<(Millis, Key)>,
+    unsent: Vec<(Millis, WorkKey)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Work {
-    key: Key,
+    key: WorkKey,
     is_late: bool,
 }
 
@@ -683,7 +683,7 @@
         next.push(world);
     }
 
-    fn release(&mut self, key: &Key) {
+    fn release(&mut self, key: &WorkKey) {
         for node in self.nodes.iter_mut().filter(|node| !node.is_paused) {
             let epoch = node.owner.as_ref().map(Owner::epoch);
             if epoch.is_none_or(|epoch| epoch != key.epoch) {
--- a/filbertpaddle-core/tests/recount.rs
+++ b/filbertpaddle-core/tests/recount.rs
@@ -11,7 +11,7 @@
 use filbertpaddle_core::roster::Id;
 use filbertpaddle_core::roster::Roster;
 use filbertpaddle_core::slot::Grant;
-use filbertpaddle_core::slot::Held;
+use filbertpaddle_core::slot::HeldWork;
 use filbertpaddle_core::timing::Timing;
 
 const TARGET: Name = Name::new_static("engine-1");
@@ -24,7 +24,7 @@
     }
 }
 
-fn report(taken_ms: Millis, works: Vec<filbertpaddle_core::slot::Key>) -> Report {
+fn report(taken_ms: Millis, works: Vec<filbertpaddle_core::slot::WorkKey>) -> Report {
     Report {
         taken_ms,
         incarnation: 1,
@@ -87,7 +87,7 @@
         self.owner.grants(self.now)
     }
 
-    fn pass(&mut self, span: Millis, works: Vec<filbertpaddle_core::slot::Key>) -> Vec<Grant> {
+    fn pass(&mut self, span: Millis, works: Vec<filbertpaddle_core::slot::WorkKey>) -> Vec<Grant> {
         self.now = self.now + span;
         self.keep_standing();
         self.owner
@@ -95,7 +95,7 @@
         self.owner.grants(self.now)
     }
 
-    fn recount(&mut self, works: &[Held]) {
+    fn recount(&mut self, works: &[HeldWork]) {
         for collect in self.owner.recounts() {
             self.owner
                 .on_recount(self.now, &holding(&collect, works.to_vec()));
@@ -103,7 +103,7 @@
     }
 }
 
-fn holding(collect: &Collect, works: Vec<Held>) -> Holding {
+fn holding(collect: &Collect, works: Vec<HeldWork>) -> Holding {
     Holding {
         holder: collect.holder.clone(),
         session: 1,
@@ -144,7 +144,7 @@
     let mut bench = Bench::new();
     let grant = bench.ask(1).remove(0);
     bench.ask(2);
-    let held = Held {
+    let held = HeldWork {
         key: grant.key,
         target: TARGET,
     };
--- a/filbertpaddle/src/attempt.rs
+++ b/filbertpaddle/src/attempt.rs
@@ -2,8 +2,8 @@
 
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::roster::Id;
-use filbertpaddle_core::slot::Key;
 use filbertpaddle_core::slot::Source;
+use filbertpaddle_core::slot::WorkKey;
 
 /// Returns the start of all attempt names of one life of a node.
 pub fn prefix(id: &Id) -> Name {
@@ -13,7 +13,7 @@
 /// Returns the name of an attempt with the slot that it uses.
 ///
 /// Any slot that `attempt` named before is replaced.
-pub fn with_slot(attempt: &str, key: &Key) -> Name {
+pub fn with_slot(attempt: &str, key: &WorkKey) -> Name {
     let base = attempt.split('.').next().unwrap_or(attempt);
     let source = match key.source {
         Source::Granted => 'g',
@@ -26,8 +26,8 @@
 ///
 /// A name of another form yields a slot of a holder that nobody knows, so
 /// that the work is counted all the same.
-pub fn slot(attempt: &Name) -> Key {
-    parse(attempt).unwrap_or_else(|| Key {
+pub fn slot(attempt: &Name) -> WorkKey {
+    parse(attempt).unwrap_or_else(|| WorkKey {
         holder: Id {
             name: attempt.clone(),
             incarnation: 0,
@@ -38,7 +38,7 @@
     })
 }
 
-fn parse(attempt: &str) -> Option<Key> {
+fn parse(attempt: &str) -> Option<WorkKey> {
     let (base, slot) = attempt.split_once('.')?;
     let (node, _) = base.rsplit_once('-')?;
     let (name, incarnation) = node.rsplit_once('-')?;
@@ -46,7 +46,7 @@
         Some(split) => (Source::Granted, split),
         None => (Source::Share, slot.split_once('s')?),
     };
-    Some(Key {
+    Some(WorkKey {
         holder: Id {
             name: name.into(),
             incarnation: hex(incarnation)?,
--- a/filbertpaddle/src/body.rs
+++ b/filbertpaddle/src/body.rs
@@ -5,8 +5,8 @@
 use filbertpaddle_core::roster::Id;
 use filbertpaddle_core::scheduler;
 use filbertpaddle_core::slot;
-use filbertpaddle_core::slot::Held;
-use filbertpaddle_core::slot::Key;
+use filbertpaddle_core::slot::HeldWork;
+use filbertpaddle_core::slot::WorkKey;
 use filbertpaddle_wire::grant;
 use filbertpaddle_wire::grant::Denial;
 
@@ -26,7 +26,7 @@
     }
 }
 
-pub(crate) fn work(target: &Name, key: &Key) -> grant::Work {
+pub(crate) fn work(target: &Name, key: &WorkKey) -> grant::Work {
     grant::Work {
         target: target.clone(),
         epoch: key.epoch,
@@ -35,7 +35,7 @@
     }
 }
 
-pub(crate) fn used(key: &Key) -> grant::Used {
+pub(crate) fn used(key: &WorkKey) -> grant::Used {
     grant::Used {
         epoch: key.epoch,
         source: key.source,
@@ -43,8 +43,8 @@
     }
 }
 
-pub(crate) fn used_key(holder: &Id, used: grant::Used) -> Key {
-    Key {
+pub(crate) fn used_key(holder: &Id, used: grant::Used) -> WorkKey {
+    WorkKey {
         holder: holder.clone(),
         epoch: used.epoch,
         source: used.source,
@@ -52,8 +52,8 @@
     }
 }
 
-pub(crate) fn key(holder: &Id, work: &grant::Work) -> Key {
-    Key {
+pub(crate) fn key(holder: &Id, work: &grant::Work) -> WorkKey {
+    WorkKey {
         holder: holder.clone(),
         epoch: work.epoch,
         source: work.source,
@@ -63,7 +63,7 @@
 
 pub(crate) fn told(holder: &Id, holding: &grant::Holding) -> owner::Holding {
     let works = holding.works.iter();
-    let held = |work: &grant::Work| Held {
+    let held = |work: &grant::Work| HeldWork {
         key: key(holder, work),
         target: work.target.clone(),
     };
@@ -81,7 +81,7 @@
         epoch: granted.key.epoch,
         number: granted.key.number,
         target: granted.target,
-        ask: granted.ask,
+        ask: granted.request,
         stamp: granted.stamp,
         cold: granted.cold,
     }
--- a/filbertpaddle/src/placer.rs
+++ b/filbertpaddle/src/placer.rs
@@ -17,7 +17,7 @@
 use filbertpaddle_core::scheduler::SlotRequest;
 use filbertpaddle_core::scheduler::TargetView;
 use filbertpaddle_core::slot::Grant;
-use filbertpaddle_core::slot::Key;
+use filbertpaddle_core::slot::WorkKey;
 use filbertpaddle_core::suspect::Record;
 use filbertpaddle_core::suspect::Standing;
 use filbertpaddle_target::protocol::LoadReport;
@@ -52,7 +52,7 @@
     settings: Settings,
     scheduler: Scheduler,
     asks: IndexMap<RequestId, owner::SlotRequest>,
-    placed: IndexMap<Key, Placed>,
+    placed: IndexMap<WorkKey, Placed>,
     capacity_tokens: IndexMap<Name, u64>,
     next_id: u64,
     passed_ms: Millis,
@@ -161,7 +161,7 @@
     }
 
     /// Notes work that this node started by its own share.
-    pub(crate) fn shared(&mut self, now: Millis, key: &Key, target: &Name, want: &Want) {
+    pub(crate) fn shared(&mut self, now: Millis, key: &WorkKey, target: &Name, want: &Want) {
         let slot = SlotId(self.number());
         let placement = Placement {
             request: scheduler_ask(now, RequestId(slot.0), want),
@@ -173,7 +173,7 @@
     }
 
     /// Notes how the use of a slot ended.
-    pub(crate) fn ended(&mut self, now: Millis, key: &Key, end: End) {
+    pub(crate) fn ended(&mut self, now: Millis, key: &WorkKey, end: End) {
         if let Some(placed) = self.placed.swap_remove(key) {
             self.scheduler
                 .ended(now, placed.slot, end.tokens, end.ending);
@@ -206,8 +206,8 @@
         let Some(ledger) = ledger else {
             return;
         };
-        let is_counted = |key: &Key| ledger.slots().iter().any(|slot| slot.key == *key);
-        let lost: Vec<Key> = self
+        let is_counted = |key: &WorkKey| ledger.slots().iter().any(|slot| slot.key == *key);
+        let lost: Vec<WorkKey> = self
             .placed
             .iter()
             .filter(|(key, placed)| placed.target == *target && !is_counted(key))
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -14,7 +14,7 @@
 use filbertpaddle_core::roster::Id;
 use filbertpaddle_core::roster::Roster;
 use filbertpaddle_core::slot;
-use filbertpaddle_core::slot::Held;
+use filbertpaddle_core::slot::HeldWork;
 use filbertpaddle_core::slot::Source;
 use filbertpaddle_core::timing::Timing;
 use filbertpaddle_wire::grant;
@@ -349,7 +349,7 @@
         let grant = slot::Grant {
             key: body::used_key(&own, used),
             target: granted.target,
-            ask: granted.ask,
+            request: granted.ask,
             stamp: granted.stamp,
             cold: granted.cold,
         };
@@ -371,12 +371,12 @@
                 let to = from.clone();
                 let message = Message::Release(self.name.clone(), used, End::UNSENT);
                 self.out.push(Out { to, message });
-                self.on_refuse(now, grant.ask);
+                self.on_refuse(now, grant.request);
             }
         }
     }
 
-    fn hand_over(&mut self, now: Millis, mut waiter: Waiter, held: Held) {
+    fn hand_over(&mut self, now: Millis, mut waiter: Waiter, held: HeldWork) {
         let Some(target) = self.targets.get(&held.target) else {
             self.member.on_end(&held.key);
             waiter.asked = None;
--- a/filbertpaddle/src/pools.rs
+++ b/filbertpaddle/src/pools.rs
@@ -7,7 +7,7 @@
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::outcome::Reason;
 use filbertpaddle_core::scheduler::Ending;
-use filbertpaddle_core::slot::Key;
+use filbertpaddle_core::slot::WorkKey;
 use filbertpaddle_wire::grant::End;
 use filbertpaddle_wire::grant::Want;
 use tokio::sync::oneshot;
@@ -53,7 +53,7 @@
     /// Pool of the target.
     pub pool: Name,
     /// Which work.
-    pub key: Key,
+    pub key: WorkKey,
 }
 
 impl Grant {
