--- a/filbertpaddle-core/src/ledger.rs
+++ b/filbertpaddle-core/src/ledger.rs
@@ -4,7 +4,7 @@
 use crate::limit::Limit;
 use crate::name::Name;
 use crate::report::Report;
-use crate::roster::Id;
+use crate::roster::NodeId;
 use crate::service::WHOLE_SHARE;
 use crate::slot::Source;
 use crate::slot::WorkKey;
@@ -51,7 +51,7 @@
     }
 
     /// Returns the work counted for one holder.
-    pub fn used_by(&self, holder: &Id) -> u32 {
+    pub fn used_by(&self, holder: &NodeId) -> u32 {
         let count = self.slots.iter().filter(|slot| slot.key.holder == *holder);
         u32::try_from(count.count()).unwrap_or(u32::MAX)
     }
@@ -125,7 +125,7 @@
     }
 
     /// Replaces what is counted for a holder, but for grants from `upto` on.
-    pub fn replace(&mut self, epoch: u64, holder: &Id, upto: u64, held: &[WorkKey]) {
+    pub fn replace(&mut self, epoch: u64, holder: &NodeId, upto: u64, held: &[WorkKey]) {
         let is_later = |key: &WorkKey| {
             key.source == Source::Granted && key.epoch == epoch && key.number >= upto
         };
@@ -146,7 +146,7 @@
         is_exact: F,
         timing: &Timing,
     ) where
-        F: Fn(&Id) -> bool,
+        F: Fn(&NodeId) -> bool,
     {
         match &mut self.limit {
             Some(limit) if report.taken_ms < limit.taken_ms() => return,
@@ -165,7 +165,7 @@
 
     fn drop_ended<F>(&mut self, report: &Report, is_exact: &F, timing: &Timing)
     where
-        F: Fn(&Id) -> bool,
+        F: Fn(&NodeId) -> bool,
     {
         self.slots.retain_mut(|slot| {
             if report.works.contains(&slot.key) {
--- a/filbertpaddle-core/src/member.rs
+++ b/filbertpaddle-core/src/member.rs
@@ -7,7 +7,7 @@
 use crate::owner::Holding;
 use crate::owner::SlotRequest;
 use crate::report::Report;
-use crate::roster::Id;
+use crate::roster::NodeId;
 use crate::roster::Roster;
 use crate::slot::Grant;
 use crate::slot::HeldWork;
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     timing: Timing,
-    id: Id,
+    id: NodeId,
     mode: Mode,
     session: u32,
     epoch: u64,
@@ -68,7 +68,7 @@
 
 impl Member {
     /// Returns a node that holds no work.
-    pub fn new(timing: Timing, id: Id) -> Self {
+    pub fn new(timing: Timing, id: NodeId) -> Self {
         Self {
             timing,
             id,
@@ -86,7 +86,7 @@
     }
 
     /// Returns which node this is.
-    pub fn id(&self) -> &Id {
+    pub fn id(&self) -> &NodeId {
         &self.id
     }
 
@@ -288,7 +288,7 @@
 }
 
 /// Returns whether a cold target runs no more than its share of every other node.
-fn keep_shares(target: &Name, report: &Report, roster: &Roster, own: &Id) -> bool {
+fn keep_shares(target: &Name, report: &Report, roster: &Roster, own: &NodeId) -> bool {
     let others = report.works.iter().filter(|key| key.holder != *own);
     others.clone().all(|key| {
         let used = others.clone().filter(|other| other.holder == key.holder);
--- a/filbertpaddle-core/src/membership.rs
+++ b/filbertpaddle-core/src/membership.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Millis;
 use crate::peer::Promise;
-use crate::roster::Id;
+use crate::roster::NodeId;
 use crate::roster::Roster;
 use crate::timing::Timing;
 
@@ -75,7 +75,7 @@
 /// What the relay knows of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Heard {
-    id: Id,
+    id: NodeId,
     at_ms: Millis,
     version: u64,
     promise: Option<Promise>,
@@ -104,7 +104,7 @@
     }
 
     /// Takes in a heartbeat and answers it.
-    pub fn on_beat(&mut self, now: Millis, from: &Id, beat: &Beat, roster: &Roster) -> Answer {
+    pub fn on_beat(&mut self, now: Millis, from: &NodeId, beat: &Beat, roster: &Roster) -> Answer {
         self.note(now, from, beat);
         let age = |at_ms: Millis| now.since(at_ms);
         let version = roster.version;
@@ -123,19 +123,19 @@
     /// Returns whether a member has not been heard for a while.
     ///
     /// Nobody counts as silent until this relay has listened that long.
-    pub fn is_silent(&self, now: Millis, id: &Id) -> bool {
+    pub fn is_silent(&self, now: Millis, id: &NodeId) -> bool {
         let heard = self.heard.iter().find(|heard| heard.id == *id);
         let since_ms = heard.map_or(self.started_ms, |heard| heard.at_ms);
         now.since(since_ms) > SILENT_MS
     }
 
     /// Returns whether a member knows a version of the record.
-    pub fn knows(&self, id: &Id, version: u64) -> bool {
+    pub fn knows(&self, id: &NodeId, version: u64) -> bool {
         let heard = self.heard.iter().find(|heard| heard.id == *id);
         heard.is_some_and(|heard| heard.version >= version)
     }
 
-    fn note(&mut self, now: Millis, from: &Id, beat: &Beat) {
+    fn note(&mut self, now: Millis, from: &NodeId, beat: &Beat) {
         // The member had this relay's answer of `echo_ms` when it promised.
         let promise = beat.promise.zip(beat.echo_ms);
         let promise = promise.map(|(session, made_ms)| Promise { session, made_ms });
@@ -156,7 +156,7 @@
         }
     }
 
-    fn told(&self, now: Millis, id: &Id, version: u64) -> Told {
+    fn told(&self, now: Millis, id: &NodeId, version: u64) -> Told {
         let heard = self.heard.iter().find(|heard| heard.id == *id);
         let current = heard.filter(|heard| heard.version <= version);
         let promise = current.and_then(|heard| heard.promise);
@@ -174,7 +174,7 @@
     /// Lower bound of when that reading was asked for, on the member's clock.
     pub reading_ms: Option<Millis>,
     /// Promises of peers, made at these lower bounds on the member's clock.
-    pub promises: Vec<(Id, Promise)>,
+    pub promises: Vec<(NodeId, Promise)>,
     /// Whether the relay had heard every peer a short while ago.
     pub all_heard: bool,
 }
--- a/filbertpaddle-core/src/owner.rs
+++ b/filbertpaddle-core/src/owner.rs
@@ -9,7 +9,7 @@
 use crate::peer::Peer;
 use crate::peer::Promise;
 use crate::report::Report;
-use crate::roster::Id;
+use crate::roster::NodeId;
 use crate::roster::Roster;
 use crate::slot::Grant;
 use crate::slot::HeldWork;
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SlotRequest {
     /// Who asks.
-    pub holder: Id,
+    pub holder: NodeId,
     /// Number of the request, unique for the holder's life.
     pub number: u64,
     /// The holder's stamp when it asked.
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Collect {
     /// The member.
-    pub holder: Id,
+    pub holder: NodeId,
     /// Epoch of the owner that asks.
     pub epoch: u64,
     /// Number of the owner's next grant.
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holding {
     /// The member.
-    pub holder: Id,
+    pub holder: NodeId,
     /// The member's session.
     pub session: u32,
     /// Epoch of the owner that asked.
@@ -146,14 +146,14 @@
     }
 
     /// Notes a member's promise, which it made while it knew no newer record.
-    pub fn on_promise(&mut self, id: &Id, promise: Promise) {
+    pub fn on_promise(&mut self, id: &NodeId, promise: Promise) {
         if let Some(peer) = self.peer_mut(id) {
             peer.promise(promise);
         }
     }
 
     /// Forgets what a member told, since messages between it and here may be lost.
-    pub fn on_disconnect(&mut self, id: &Id) {
+    pub fn on_disconnect(&mut self, id: &NodeId) {
         if let Some(peer) = self.peer_mut(id) {
             peer.collected = None;
         }
@@ -194,7 +194,7 @@
     }
 
     /// Returns whether a member has told all that it held in its session.
-    pub fn has_collected(&self, holder: &Id, session: u32) -> bool {
+    pub fn has_collected(&self, holder: &NodeId, session: u32) -> bool {
         self.peer(holder)
             .is_some_and(|peer| peer.collected == Some(session))
     }
@@ -243,14 +243,14 @@
     }
 
     /// Notes a member's stamp: it still waits for its requests.
-    pub fn on_stamp(&mut self, holder: &Id, stamp: u64) {
+    pub fn on_stamp(&mut self, holder: &NodeId, stamp: u64) {
         if let Some(peer) = self.peer_mut(holder) {
             peer.stamp = peer.stamp.max(stamp);
         }
     }
 
     /// Forgets a request that its holder has given up.
-    pub fn on_withdraw(&mut self, holder: &Id, number: u64) {
+    pub fn on_withdraw(&mut self, holder: &NodeId, number: u64) {
         self.queue
             .retain(|ask| ask.holder != *holder || ask.number != number);
     }
@@ -274,7 +274,7 @@
         let timing = self.timing;
         let epoch = self.epoch;
         let peers = &self.peers;
-        let is_exact = |id: &Id| {
+        let is_exact = |id: &NodeId| {
             let peer = peers.iter().find(|peer| peer.id == *id);
             peer.is_some_and(|peer| peer.is_exact(now, &timing))
         };
@@ -316,7 +316,7 @@
     }
 
     /// Returns the members that may be granted slots.
-    pub fn members(&self) -> &[Id] {
+    pub fn members(&self) -> &[NodeId] {
         self.roster.peers()
     }
 
@@ -392,7 +392,7 @@
             .next()
     }
 
-    fn roomiest(&self, now: Millis, holder: &Id) -> Option<usize> {
+    fn roomiest(&self, now: Millis, holder: &NodeId) -> Option<usize> {
         let ledgers = self.ledgers.iter().enumerate();
         ledgers
             .map(|(index, ledger)| (self.ledger_room(now, ledger, Some(holder)), index))
@@ -402,7 +402,7 @@
     }
 
     /// Returns how many more slots a target has, the first of them for `holder`.
-    fn ledger_room(&self, now: Millis, ledger: &Ledger, holder: Option<&Id>) -> u32 {
+    fn ledger_room(&self, now: Millis, ledger: &Ledger, holder: Option<&NodeId>) -> u32 {
         let Some(limit) = ledger.limit(now, &self.timing) else {
             return 0;
         };
@@ -418,7 +418,7 @@
 
     /// Sums what members may send to a cold target beyond what is counted,
     /// once `holder` has one more slot there.
-    fn reserved(&self, now: Millis, ledger: &Ledger, limit: u32, holder: Option<&Id>) -> u32 {
+    fn reserved(&self, now: Millis, ledger: &Ledger, limit: u32, holder: Option<&NodeId>) -> u32 {
         self.peers
             .iter()
             .filter(|peer| !peer.is_exact(now, &self.timing))
@@ -463,11 +463,11 @@
             .find(|ledger| ledger.target == *target)
     }
 
-    fn peer(&self, id: &Id) -> Option<&Peer> {
+    fn peer(&self, id: &NodeId) -> Option<&Peer> {
         self.peers.iter().find(|peer| peer.id == *id)
     }
 
-    fn peer_mut(&mut self, id: &Id) -> Option<&mut Peer> {
+    fn peer_mut(&mut self, id: &NodeId) -> Option<&mut Peer> {
         self.peers.iter_mut().find(|peer| peer.id == *id)
     }
 }
--- a/filbertpaddle-core/src/peer.rs
+++ b/filbertpaddle-core/src/peer.rs
@@ -1,7 +1,7 @@
 //! What a pool's owner knows of one member.
 
 use crate::clock::Millis;
-use crate::roster::Id;
+use crate::roster::NodeId;
 use crate::timing::Timing;
 
 /// A member's word that it uses no share for a while, given while it knew no
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Peer {
     /// Which member.
-    pub id: Id,
+    pub id: NodeId,
     /// Its latest promise.
     pub promise: Option<Promise>,
     /// Session in which it last told this owner what it holds.
@@ -31,7 +31,7 @@
 
 impl Peer {
     /// Returns a member of which nothing is known.
-    pub fn new(id: Id) -> Self {
+    pub fn new(id: NodeId) -> Self {
         Self {
             id,
             promise: None,
--- a/filbertpaddle-core/src/roster.rs
+++ b/filbertpaddle-core/src/roster.rs
@@ -8,7 +8,7 @@
 
 /// One life of a node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Id {
+pub struct NodeId {
     /// Name of the VM.
     pub name: Name,
     /// Distinguishes two lives of the node; a later life has a higher number.
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
     /// Which life of which node.
-    pub id: Id,
+    pub id: NodeId,
     /// Address for peers, `ip:port`.
     pub address: Name,
 }
@@ -30,7 +30,7 @@
     /// Pool of targets.
     pub pool: Name,
     /// The owning member.
-    pub member: Id,
+    pub member: NodeId,
     /// Fencing number; every change of the member raises it.
     pub epoch: u64,
 }
@@ -43,24 +43,24 @@
     /// Nodes that may own pools and relay, sorted by name.
     pub members: Vec<Member>,
     /// Nodes that divide each target's limit when no owner can be confirmed.
-    pub sharers: Vec<Id>,
+    pub sharers: Vec<NodeId>,
     /// The sharers to be, until every node knows of them.
-    pub next: Option<Next>,
+    pub next: Option<NextSharers>,
     /// Owners, sorted by pool.
     pub owners: Vec<Owner>,
 }
 
 /// Sharers that are not yet known to all.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Next {
+pub struct NextSharers {
     /// Version in which this list last changed.
     pub version: u64,
     /// The nodes.
-    pub sharers: Vec<Id>,
+    pub sharers: Vec<NodeId>,
 }
 
 /// Returns the rendezvous weight of a node for a key.
-pub fn weight(key: &str, id: &Id) -> u64 {
+pub fn weight(key: &str, id: &NodeId) -> u64 {
     let seed = xxh3_64_with_seed(key.as_bytes(), 0);
     xxh3_64_with_seed(id.name.as_bytes(), seed)
 }
@@ -69,7 +69,7 @@
 ///
 /// The parts of all sharers sum to exactly `limit`. A node that is not among
 /// them has none.
-pub fn share(sharers: &[Id], target: &str, limit: u32, id: &Id) -> u32 {
+pub fn share(sharers: &[NodeId], target: &str, limit: u32, id: &NodeId) -> u32 {
     if !sharers.contains(id) {
         return 0;
     }
@@ -85,7 +85,7 @@
 
 impl Roster {
     /// Returns the member that comes first for a key among those that `keep` accepts.
-    pub fn first<F>(&self, key: &str, keep: F) -> Option<&Member>
+    pub fn rendezvous_first<F>(&self, key: &str, keep: F) -> Option<&Member>
     where
         F: Fn(&Member) -> bool,
     {
@@ -105,7 +105,7 @@
     /// While a new list of sharers spreads, this is the smaller of both
     /// parts: nodes that know either version then stay within the limit
     /// together.
-    pub fn share(&self, target: &str, limit: u32, id: &Id) -> u32 {
+    pub fn share(&self, target: &str, limit: u32, id: &NodeId) -> u32 {
         let now = share(&self.sharers, target, limit, id);
         match &self.next {
             Some(next) => now.min(share(&next.sharers, target, limit, id)),
@@ -114,7 +114,7 @@
     }
 
     /// Returns the most that a node may use of a limit under this or the last version.
-    pub fn reserve(&self, target: &str, limit: u32, id: &Id) -> u32 {
+    pub fn reserve(&self, target: &str, limit: u32, id: &NodeId) -> u32 {
         let now = share(&self.sharers, target, limit, id);
         match &self.next {
             Some(next) => now.max(share(&next.sharers, target, limit, id)),
@@ -123,7 +123,7 @@
     }
 
     /// Returns the nodes that may hold or take work: sharers that are not known to be gone.
-    pub fn peers(&self) -> &[Id] {
+    pub fn peers(&self) -> &[NodeId] {
         match &self.next {
             Some(next) => &next.sharers,
             None => &self.sharers,
@@ -150,7 +150,7 @@
     /// Returns the record without a silent node among the members.
     ///
     /// The node keeps its share: it may be cut off and still use it.
-    pub fn retire(&self, id: &Id) -> Self {
+    pub fn retire(&self, id: &NodeId) -> Self {
         let mut roster = self.clone();
         roster.version += 1;
         roster.members.retain(|member| member.id != *id);
@@ -158,7 +158,7 @@
     }
 
     /// Returns the record without a node that has certainly ended.
-    pub fn remove(&self, id: &Id) -> Self {
+    pub fn remove(&self, id: &NodeId) -> Self {
         let mut roster = self.retire(id);
         let mut sharers = self.peers().to_vec();
         sharers.retain(|other| other != id);
@@ -174,12 +174,12 @@
 
     /// Returns the record with the next sharers in force, if `knows` says that
     /// every node concerned knows the version that named them.
-    pub fn settle<F>(&self, knows: F) -> Option<Self>
+    pub fn activate_next_sharers<F>(&self, knows: F) -> Option<Self>
     where
-        F: Fn(&Id, u64) -> bool,
+        F: Fn(&NodeId, u64) -> bool,
     {
         let next = self.next.as_ref()?;
-        let is_gone = |id: &Id| !next.sharers.contains(id);
+        let is_gone = |id: &NodeId| !next.sharers.contains(id);
         let old = self.sharers.iter().filter(|id| !is_gone(id));
         if !old.chain(&next.sharers).all(|id| knows(id, next.version)) {
             return None;
@@ -211,10 +211,13 @@
         // Every owner counts on the promises of all settled sharers, so that
         // one of them may succeed it.
         let is_settled = |member: &Member| self.sharers.contains(&member.id);
-        let Some(first) = self.first(pool, is_settled).map(|member| member.id.clone()) else {
+        let Some(first) = self
+            .rendezvous_first(pool, is_settled)
+            .map(|member| member.id.clone())
+        else {
             return;
         };
-        let is_member = |id: &Id| self.members.iter().any(|member| member.id == *id);
+        let is_member = |id: &NodeId| self.members.iter().any(|member| member.id == *id);
         let owner = self.owner(pool);
         let is_kept = owner.is_some_and(|owner| is_member(&owner.member));
         // The version only grows, so an epoch taken from it is new even for
@@ -234,12 +237,12 @@
         }
     }
 
-    fn set_sharers(&mut self, sharers: Vec<Id>) {
+    fn set_sharers(&mut self, sharers: Vec<NodeId>) {
         if self.sharers.is_empty() {
             self.sharers = sharers;
             return;
         }
-        self.next = Some(Next {
+        self.next = Some(NextSharers {
             version: self.version,
             sharers,
         });
--- a/filbertpaddle-core/src/slot.rs
+++ b/filbertpaddle-core/src/slot.rs
@@ -4,13 +4,13 @@
 use serde::Serialize;
 
 use crate::name::Name;
-use crate::roster::Id;
+use crate::roster::NodeId;
 
 /// Identifies one piece of work among all nodes and lives.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WorkKey {
     /// Node that sends the work.
-    pub holder: Id,
+    pub holder: NodeId,
     /// Epoch of the owner that granted it, or the last one known to a holder
     /// that uses its share.
     pub epoch: u64,
--- a/filbertpaddle-core/tests/owner_model/world.rs
+++ b/filbertpaddle-core/tests/owner_model/world.rs
@@ -21,7 +21,7 @@
 use filbertpaddle_core::owner::Owner;
 use filbertpaddle_core::peer::Promise;
 use filbertpaddle_core::report::Report;
-use filbertpaddle_core::roster::Id;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::roster::Roster;
 use filbertpaddle_core::slot::Grant;
 use filbertpaddle_core::slot::Source;
@@ -148,7 +148,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    id: Id,
+    id: NodeId,
     is_paused: bool,
     mode_state: ModeState,
     member: Member,
@@ -204,9 +204,9 @@
     }
 }
 
-fn id(index: u8) -> Id {
+fn id(index: u8) -> NodeId {
     const NAMES: [&str; 3] = ["a", "b", "c"];
-    Id {
+    NodeId {
         name: Name::new_static(NAMES[usize::from(index)]),
         incarnation: 1,
     }
--- a/filbertpaddle-core/tests/recount.rs
+++ b/filbertpaddle-core/tests/recount.rs
@@ -8,7 +8,7 @@
 use filbertpaddle_core::owner::SlotRequest;
 use filbertpaddle_core::peer::Promise;
 use filbertpaddle_core::report::Report;
-use filbertpaddle_core::roster::Id;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::roster::Roster;
 use filbertpaddle_core::slot::Grant;
 use filbertpaddle_core::slot::HeldWork;
@@ -17,8 +17,8 @@
 const TARGET: Name = Name::new_static("engine-1");
 const LIMIT: u32 = 1;
 
-fn member() -> Id {
-    Id {
+fn member() -> NodeId {
+    NodeId {
         name: "entry-1".into(),
         incarnation: 1,
     }
--- a/filbertpaddle-core/tests/roster.rs
+++ b/filbertpaddle-core/tests/roster.rs
@@ -1,7 +1,7 @@
 //! Fixed shares over changing rosters.
 
-use filbertpaddle_core::roster::Id;
 use filbertpaddle_core::roster::Member;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::roster::Roster;
 use filbertpaddle_core::roster::share;
 use proptest::prelude::any;
@@ -12,14 +12,14 @@
 use proptest::test_runner::RngAlgorithm;
 use proptest::test_runner::RngSeed;
 
-fn id(number: usize) -> Id {
-    Id {
+fn id(number: usize) -> NodeId {
+    NodeId {
         name: format!("entry-{number}").into(),
         incarnation: 1,
     }
 }
 
-fn member(id: Id) -> Member {
+fn member(id: NodeId) -> Member {
     Member {
         id,
         address: "127.0.0.1:1".into(),
@@ -30,7 +30,7 @@
     let joined = (0..members).map(|number| member(id(number)));
     joined.fold(Roster::default(), |roster, member| {
         let roster = roster.join(member);
-        roster.settle(|_, _| true).unwrap_or(roster)
+        roster.activate_next_sharers(|_, _| true).unwrap_or(roster)
     })
 }
 
@@ -70,7 +70,7 @@
             true => settled.remove(&id(0)),
             false => settled.join(member(id(members))),
         };
-        let done = changed.settle(|_, _| true).unwrap_or(changed.clone());
+        let done = changed.activate_next_sharers(|_, _| true).unwrap_or(changed.clone());
         let (old, new) = match settles {
             true => (&changed, &done),
             false => (&settled, &changed),
@@ -102,6 +102,10 @@
 #[test]
 fn sharers_settle_only_when_all_know() {
     let changed = roster(2).join(member(id(2)));
-    assert!(changed.settle(|known, _| *known != id(1)).is_none());
-    assert!(changed.settle(|_, _| true).is_some());
+    assert!(
+        changed
+            .activate_next_sharers(|known, _| *known != id(1))
+            .is_none()
+    );
+    assert!(changed.activate_next_sharers(|_, _| true).is_some());
 }
--- a/filbertpaddle/src/attempt.rs
+++ b/filbertpaddle/src/attempt.rs
@@ -1,12 +1,12 @@
 //! Names of attempts, which tell targets' reports apart.
 
 use filbertpaddle_core::name::Name;
-use filbertpaddle_core::roster::Id;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::slot::Source;
 use filbertpaddle_core::slot::WorkKey;
 
 /// Returns the start of all attempt names of one life of a node.
-pub fn prefix(id: &Id) -> Name {
+pub fn prefix(id: &NodeId) -> Name {
     format!("{}-{:x}", id.name, id.incarnation).into()
 }
 
@@ -28,7 +28,7 @@
 /// that the work is counted all the same.
 pub fn slot(attempt: &Name) -> WorkKey {
     parse(attempt).unwrap_or_else(|| WorkKey {
-        holder: Id {
+        holder: NodeId {
             name: attempt.clone(),
             incarnation: 0,
         },
@@ -47,7 +47,7 @@
         None => (Source::Share, slot.split_once('s')?),
     };
     Some(WorkKey {
-        holder: Id {
+        holder: NodeId {
             name: name.into(),
             incarnation: hex(incarnation)?,
         },
--- a/filbertpaddle/src/body.rs
+++ b/filbertpaddle/src/body.rs
@@ -2,7 +2,7 @@
 
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::owner;
-use filbertpaddle_core::roster::Id;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::scheduler;
 use filbertpaddle_core::slot;
 use filbertpaddle_core::slot::HeldWork;
@@ -43,7 +43,7 @@
     }
 }
 
-pub(crate) fn used_key(holder: &Id, used: grant::Used) -> WorkKey {
+pub(crate) fn used_key(holder: &NodeId, used: grant::Used) -> WorkKey {
     WorkKey {
         holder: holder.clone(),
         epoch: used.epoch,
@@ -52,7 +52,7 @@
     }
 }
 
-pub(crate) fn key(holder: &Id, work: &grant::Work) -> WorkKey {
+pub(crate) fn key(holder: &NodeId, work: &grant::Work) -> WorkKey {
     WorkKey {
         holder: holder.clone(),
         epoch: work.epoch,
@@ -61,7 +61,7 @@
     }
 }
 
-pub(crate) fn told(holder: &Id, holding: &grant::Holding) -> owner::Holding {
+pub(crate) fn told(holder: &NodeId, holding: &grant::Holding) -> owner::Holding {
     let works = holding.works.iter();
     let held = |work: &grant::Work| HeldWork {
         key: key(holder, work),
--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -8,7 +8,7 @@
 use filbertpaddle_core::membership::Relay;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::policy;
-use filbertpaddle_core::roster::Id;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::timing::Timing;
 use filbertpaddle_platform::client::Client;
 use filbertpaddle_platform::protocol::Vm;
@@ -117,7 +117,7 @@
 }
 
 pub(crate) struct Coordinator {
-    pub(crate) id: Id,
+    pub(crate) id: NodeId,
     pub(crate) own: Peer,
     pub(crate) peers: Peers,
     pub(crate) platform: Client,
@@ -339,7 +339,7 @@
         }
     }
 
-    pub(crate) fn on_member(&mut self, now: Millis, from: &Id, message: wire::Message) {
+    pub(crate) fn on_member(&mut self, now: Millis, from: &NodeId, message: wire::Message) {
         match message {
             wire::Message::Beat(beat) => {
                 let roster = &self.record.roster;
@@ -386,7 +386,7 @@
         }
     }
 
-    pub(crate) fn on_grant_message(&mut self, now: Millis, from: &Id, message: grant::Message) {
+    pub(crate) fn on_grant_message(&mut self, now: Millis, from: &NodeId, message: grant::Message) {
         let name = match &message {
             grant::Message::Ask(name, _)
             | grant::Message::Stamp(name, _)
@@ -425,7 +425,7 @@
         }
     }
 
-    fn send_member(&mut self, now: Millis, to: &Id, message: wire::Message) {
+    fn send_member(&mut self, now: Millis, to: &NodeId, message: wire::Message) {
         if *to == self.id {
             let id = self.id.clone();
             self.on_member(now, &id, message);
@@ -435,8 +435,8 @@
     }
 }
 
-pub(crate) fn id(peer: &Peer) -> Id {
-    Id {
+pub(crate) fn id(peer: &Peer) -> NodeId {
+    NodeId {
         name: peer.name.clone(),
         incarnation: peer.incarnation,
     }
--- a/filbertpaddle/src/coordinator_inputs.rs
+++ b/filbertpaddle/src/coordinator_inputs.rs
@@ -5,7 +5,7 @@
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::outcome::Reason;
 use filbertpaddle_core::report::Report;
-use filbertpaddle_core::roster::Id;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_platform::client::Client;
 use filbertpaddle_platform::protocol::Vm;
 use filbertpaddle_target::protocol::LoadReport;
@@ -47,7 +47,7 @@
 pub(crate) struct Leaving {
     pub(crate) platform: Client,
     pub(crate) data_centre: Name,
-    pub(crate) id: Id,
+    pub(crate) id: NodeId,
 }
 
 /// The node holds no work and stops for good.
--- a/filbertpaddle/src/heart.rs
+++ b/filbertpaddle/src/heart.rs
@@ -6,8 +6,8 @@
 use filbertpaddle_core::membership::Answer;
 use filbertpaddle_core::membership::Beat;
 use filbertpaddle_core::membership::Confirmation;
-use filbertpaddle_core::roster::Id;
 use filbertpaddle_core::roster::Member;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::roster::Roster;
 
 /// How long an unanswered relay is waited for before the next is tried.
@@ -20,11 +20,11 @@
 /// The member's side of membership.
 #[derive(Debug)]
 pub struct Heart {
-    relay: Option<Id>,
+    relay: Option<NodeId>,
     echo_ms: Option<Millis>,
     beat_ms: Option<Millis>,
     answered_ms: Millis,
-    avoided: Vec<(Id, Millis)>,
+    avoided: Vec<(NodeId, Millis)>,
     confirmation: Option<Confirmation>,
 }
 
@@ -42,7 +42,7 @@
     }
 
     /// Returns the relay that is asked.
-    pub fn relay(&self) -> Option<&Id> {
+    pub fn relay(&self) -> Option<&NodeId> {
         self.relay.as_ref()
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Takes in the relay's answer.
-    pub fn on_answer(&mut self, now: Millis, from: &Id, answer: &Answer, roster: &Roster) {
+    pub fn on_answer(&mut self, now: Millis, from: &NodeId, answer: &Answer, roster: &Roster) {
         if self.relay.as_ref() != Some(from) {
             return;
         }
@@ -113,8 +113,8 @@
         let avoided = &self.avoided;
         let is_open = |member: &Member| avoided.iter().all(|(id, _)| *id != member.id);
         let first = roster
-            .first(data_centre, is_open)
-            .or_else(|| roster.first(data_centre, |_| true))?;
+            .rendezvous_first(data_centre, is_open)
+            .or_else(|| roster.rendezvous_first(data_centre, |_| true))?;
         if self.relay.as_ref() != Some(&first.id) {
             self.relay = Some(first.id.clone());
             self.echo_ms = None;
--- a/filbertpaddle/src/loan.rs
+++ b/filbertpaddle/src/loan.rs
@@ -4,7 +4,7 @@
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
-use filbertpaddle_core::roster::Id;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_wire::grant::Denial;
 use filbertpaddle_wire::grant::End;
 use filbertpaddle_wire::remote as wire;
@@ -104,7 +104,7 @@
 
 // The name starts with this node's, which holds the slot.
 fn attempt_name(own: &Peer, borrower: &Borrower, grant: &Grant) -> Name {
-    let prefix = attempt::prefix(&Id {
+    let prefix = attempt::prefix(&NodeId {
         name: own.name.clone(),
         incarnation: own.incarnation,
     });
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use eyre::WrapErr;
-use filbertpaddle_core::roster::Id;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_platform::client::Client;
 use filbertpaddle_target::client as target;
 use filbertpaddle_wire::claim;
@@ -207,7 +207,7 @@
 ) -> eyre::Result<Front> {
     let own = &common.own;
     let log = &common.log;
-    let attempt_prefix = attempt::prefix(&Id {
+    let attempt_prefix = attempt::prefix(&NodeId {
         name: own.name.clone(),
         incarnation: own.incarnation,
     });
--- a/filbertpaddle/src/placer.rs
+++ b/filbertpaddle/src/placer.rs
@@ -6,7 +6,7 @@
 use filbertpaddle_core::owner;
 use filbertpaddle_core::owner::Owner;
 use filbertpaddle_core::policy::Settings;
-use filbertpaddle_core::roster::Id;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::scheduler::Ending;
 use filbertpaddle_core::scheduler::Load;
 use filbertpaddle_core::scheduler::Placement;
@@ -93,7 +93,7 @@
     }
 
     /// Forgets a request that its holder has given up.
-    pub(crate) fn withdraw(&mut self, holder: &Id, number: u64) {
+    pub(crate) fn withdraw(&mut self, holder: &NodeId, number: u64) {
         let same = |ask: &owner::SlotRequest| ask.holder == *holder && ask.number == number;
         let found = self.asks.iter().find(|(_, other)| same(other));
         if let Some(id) = found.map(|(id, _)| *id) {
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -11,7 +11,7 @@
 use filbertpaddle_core::policy;
 use filbertpaddle_core::report::Report;
 use filbertpaddle_core::roster;
-use filbertpaddle_core::roster::Id;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::roster::Roster;
 use filbertpaddle_core::slot;
 use filbertpaddle_core::slot::HeldWork;
@@ -67,7 +67,7 @@
 /// A message to another node, or to this one.
 #[derive(Debug)]
 pub(crate) struct Out {
-    pub(crate) to: Id,
+    pub(crate) to: NodeId,
     pub(crate) message: Message,
 }
 
@@ -89,7 +89,7 @@
 }
 
 impl Pool {
-    pub(crate) fn new(name: Name, terms: Timing, id: Id, placement: policy::Settings) -> Self {
+    pub(crate) fn new(name: Name, terms: Timing, id: NodeId, placement: policy::Settings) -> Self {
         Self {
             name,
             terms,
@@ -107,7 +107,7 @@
     }
 
     /// Follows the record.
-    pub(crate) fn on_roster(&mut self, now: Millis, own: &Id, roster: &Roster) {
+    pub(crate) fn on_roster(&mut self, now: Millis, own: &NodeId, roster: &Roster) {
         let named = roster.owner(&self.name).cloned();
         let epoch = named.as_ref().map(|owner| owner.epoch);
         if self.owned_by.as_ref().map(|owner| owner.epoch) != epoch {
@@ -239,7 +239,7 @@
     }
 
     /// Handles a message of another member, or of this one.
-    pub(crate) fn on_message(&mut self, now: Millis, from: &Id, message: Message) {
+    pub(crate) fn on_message(&mut self, now: Millis, from: &NodeId, message: Message) {
         match message {
             Message::Ask(_, ask) => self.on_ask(now, from, &ask),
             Message::Stamp(_, stamp) => {
@@ -311,7 +311,7 @@
         }
     }
 
-    fn on_collect(&mut self, from: &Id, collect: &grant::Collect) {
+    fn on_collect(&mut self, from: &NodeId, collect: &grant::Collect) {
         let collect = owner::Collect {
             holder: from.clone(),
             epoch: collect.epoch,
@@ -334,7 +334,7 @@
         self.out.push(Out { to, message });
     }
 
-    fn on_grant(&mut self, now: Millis, from: &Id, granted: grant::Grant) {
+    fn on_grant(&mut self, now: Millis, from: &NodeId, granted: grant::Grant) {
         let is_owner = |owner: &roster::Owner| owner.member == *from;
         let used = grant::Used {
             epoch: granted.epoch,
--- a/filbertpaddle/src/pool_owner.rs
+++ b/filbertpaddle/src/pool_owner.rs
@@ -4,7 +4,7 @@
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::owner;
 use filbertpaddle_core::report::Report;
-use filbertpaddle_core::roster::Id;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_target::protocol::LoadReport;
 use filbertpaddle_wire::grant;
 use filbertpaddle_wire::grant::Message;
@@ -101,7 +101,7 @@
         }
     }
 
-    pub(crate) fn on_ask(&mut self, now: Millis, from: &Id, ask: &grant::Ask) {
+    pub(crate) fn on_ask(&mut self, now: Millis, from: &NodeId, ask: &grant::Ask) {
         let asked = owner::SlotRequest {
             holder: from.clone(),
             number: ask.number,
--- a/filbertpaddle/src/record.rs
+++ b/filbertpaddle/src/record.rs
@@ -1,6 +1,6 @@
 //! The record of a data centre as a row of the platform's table.
 
-use filbertpaddle_core::roster::Id;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::roster::Roster;
 use filbertpaddle_platform::client::Client;
 use filbertpaddle_platform::protocol::Condition;
@@ -43,7 +43,7 @@
 }
 
 /// Takes a node out of the record, with few tries.
-pub async fn leave(platform: &Client, data_centre: &str, id: &Id) {
+pub async fn leave(platform: &Client, data_centre: &str, id: &NodeId) {
     for _ in 0..LEAVE_TRIES {
         let Ok(record) = read(platform, data_centre).await else {
             return;
--- a/filbertpaddle/src/registrar.rs
+++ b/filbertpaddle/src/registrar.rs
@@ -3,8 +3,8 @@
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::membership::Relay;
 use filbertpaddle_core::name::Name;
-use filbertpaddle_core::roster::Id;
 use filbertpaddle_core::roster::Member;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::roster::Roster;
 
 use crate::peers::Peer;
@@ -19,7 +19,7 @@
 }
 
 /// Returns whether a life of a node is in the record.
-pub(crate) fn is_member(id: &Id, roster: &Roster) -> bool {
+pub(crate) fn is_member(id: &NodeId, roster: &Roster) -> bool {
     roster.members.iter().any(|member| member.id == *id)
 }
 
@@ -36,7 +36,7 @@
     listed: &[Name],
     is_relay: bool,
 ) -> Option<Edit> {
-    let id = Id {
+    let id = NodeId {
         name: own.name.clone(),
         incarnation: own.incarnation,
     };
@@ -60,14 +60,14 @@
 }
 
 fn settle(roster: &Roster, relay: &Relay) -> Option<Edit> {
-    let roster = roster.settle(|id, version| relay.knows(id, version))?;
+    let roster = roster.activate_next_sharers(|id, version| relay.knows(id, version))?;
     Some(Edit {
         roster,
         what: "sharers settled",
     })
 }
 
-fn retire(now: Millis, own: &Id, roster: &Roster, relay: &Relay) -> Option<Edit> {
+fn retire(now: Millis, own: &NodeId, roster: &Roster, relay: &Relay) -> Option<Edit> {
     let members = roster.members.iter();
     let silent = members
         .filter(|member| member.id != *own)
