--- a/filbertpaddle-core/src/membership.rs
+++ b/filbertpaddle-core/src/membership.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between the members of a data centre and their relay.
+//! Failure detection in a data centre: members' heartbeats and the relay's answers.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,16 +9,16 @@
 use crate::roster::Roster;
 use crate::timing::Timing;
 
-/// How long a member may be unheard before it counts as silent.
-pub const SILENT_MS: Millis = Millis::from_secs(4);
-/// Members up to which heartbeats go out at the short interval.
-const SMALL: usize = 16;
+/// Time without a heartbeat after which a member counts as silent.
+pub const HEARTBEAT_TIMEOUT_MS: Millis = Millis::from_secs(4);
+/// Number of members up to which heartbeats are sent at the short interval.
+const SMALL_MEMBERSHIP: usize = 16;
 const SHORT_INTERVAL_MS: Millis = Millis(500);
 const LONG_INTERVAL_MS: Millis = Millis(2_000);
 
 /// Returns the time between two heartbeats of one member.
 pub fn interval_ms(members: usize) -> Millis {
-    match members <= SMALL {
+    match members <= SMALL_MEMBERSHIP {
         true => SHORT_INTERVAL_MS,
         false => LONG_INTERVAL_MS,
     }
@@ -26,17 +26,17 @@
 
 /// A member's heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// When it was sent, on the member's clock.
     #[serde(rename = "t")]
     pub sent_ms: Millis,
     /// `relay_ms` of the last answer that the member received.
     #[serde(rename = "e")]
     pub echo_ms: Option<Millis>,
-    /// Version of the record that the member knows.
+    /// Version of the record that the member holds.
     #[serde(rename = "v")]
     pub version: u64,
-    /// The member's session if it promises to use no share.
+    /// The member's session, if it promises not to use its shares for a while.
     #[serde(rename = "p")]
     pub promise: Option<u32>,
 }
@@ -50,47 +50,47 @@
     /// When the answer was sent, on the relay's clock.
     #[serde(rename = "t")]
     pub relay_ms: Millis,
-    /// Version of the record that was read last.
+    /// Version of the record that the relay read last.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Age of that reading, from when it was asked for.
+    /// Age of that read, counted from when it was requested.
     #[serde(rename = "a")]
-    pub reading_age_ms: Option<Millis>,
-    /// What is known of each peer, in the record's order.
+    pub read_age_ms: Option<Millis>,
+    /// Status of each peer, in the record's order.
     #[serde(rename = "p")]
-    pub peers: Vec<Told>,
+    pub peers: Vec<PeerStatus>,
 }
 
-/// What the relay tells of one peer.
+/// Status of one peer, as the relay reports it to members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Told(
+pub struct PeerStatus(
     /// Session of the last promise.
     pub u32,
     /// Age of the last promise.
     pub Option<Millis>,
-    /// Whether the peer was heard a short while ago.
+    /// Whether a heartbeat of the peer arrived within [`HEARTBEAT_TIMEOUT_MS`].
     pub bool,
 );
 
-/// What the relay knows of one member.
+/// The relay's state of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Heard {
+struct MemberState {
     id: NodeId,
-    at_ms: Millis,
+    heard_ms: Millis,
     version: u64,
     promise: Option<Promise>,
 }
 
-/// The relay's side.
+/// The relay, which receives the heartbeats of all members.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Relay {
     started_ms: Millis,
-    heard: Vec<Heard>,
-    reading_ms: Option<Millis>,
+    members: Vec<MemberState>,
+    read_ms: Option<Millis>,
 }
 
 impl Relay {
-    /// Returns a relay that has heard nobody.
+    /// Returns a relay that has received no heartbeat.
     pub fn new(now: Millis) -> Self {
         Self {
             started_ms: now,
@@ -98,88 +98,98 @@
         }
     }
 
-    /// Notes that a reading of the record was asked for at `asked_ms` and succeeded.
-    pub fn on_reading(&mut self, asked_ms: Millis) {
-        self.reading_ms = self.reading_ms.max(Some(asked_ms));
+    /// Records that a read of the record, requested at `asked_ms`, succeeded.
+    pub fn on_record_read(&mut self, asked_ms: Millis) {
+        self.read_ms = self.read_ms.max(Some(asked_ms));
     }
 
-    /// Takes in a heartbeat and answers it.
-    pub fn on_beat(&mut self, now: Millis, from: &NodeId, beat: &Beat, roster: &Roster) -> Answer {
-        self.note(now, from, beat);
+    /// Records a heartbeat and returns the answer.
+    pub fn on_heartbeat(
+        &mut self,
+        now: Millis,
+        from: &NodeId,
+        heartbeat: &Heartbeat,
+        roster: &Roster,
+    ) -> Answer {
+        self.record_heartbeat(now, from, heartbeat);
         let age = |at_ms: Millis| now.since(at_ms);
         let version = roster.version;
-        let peers = roster.peers().iter().map(|id| self.told(now, id, version));
-        // The promise of a member that knows a newer record is no sign that
-        // the owners of this one stand.
+        let peers = roster
+            .peers()
+            .iter()
+            .map(|id| self.peer_status(now, id, version));
+        // Peers that hold a newer record are reported without a promise:
+        // theirs does not show that this record's owners may still grant.
         Answer {
-            echo_ms: beat.sent_ms,
+            echo_ms: heartbeat.sent_ms,
             relay_ms: now,
             version: roster.version,
-            reading_age_ms: self.reading_ms.map(age),
+            read_age_ms: self.read_ms.map(age),
             peers: peers.collect(),
         }
     }
 
-    /// Returns whether a member has not been heard for a while.
+    /// Returns whether no heartbeat of a member arrived within [`HEARTBEAT_TIMEOUT_MS`].
     ///
-    /// Nobody counts as silent until this relay has listened that long.
+    /// No member counts as silent before this relay has run for that long.
     pub fn is_silent(&self, now: Millis, id: &NodeId) -> bool {
-        let heard = self.heard.iter().find(|heard| heard.id == *id);
-        let since_ms = heard.map_or(self.started_ms, |heard| heard.at_ms);
-        now.since(since_ms) > SILENT_MS
+        let member = self.members.iter().find(|member| member.id == *id);
+        let since_ms = member.map_or(self.started_ms, |member| member.heard_ms);
+        now.since(since_ms) > HEARTBEAT_TIMEOUT_MS
     }
 
-    /// Returns whether a member knows a version of the record.
-    pub fn knows(&self, id: &NodeId, version: u64) -> bool {
-        let heard = self.heard.iter().find(|heard| heard.id == *id);
-        heard.is_some_and(|heard| heard.version >= version)
+    /// Returns whether a member holds at least this version of the record.
+    pub fn has_version(&self, id: &NodeId, version: u64) -> bool {
+        let member = self.members.iter().find(|member| member.id == *id);
+        member.is_some_and(|member| member.version >= version)
     }
 
-    fn note(&mut self, now: Millis, from: &NodeId, beat: &Beat) {
-        // The member had this relay's answer of `echo_ms` when it promised.
-        let promise = beat.promise.zip(beat.echo_ms);
+    fn record_heartbeat(&mut self, now: Millis, from: &NodeId, heartbeat: &Heartbeat) {
+        // The member had received the relay's answer sent at `echo_ms` when it
+        // promised, so that time is a lower bound of when the promise was made.
+        let promise = heartbeat.promise.zip(heartbeat.echo_ms);
         let promise = promise.map(|(session, made_ms)| Promise { session, made_ms });
-        self.heard
-            .retain(|heard| heard.id.name != from.name || heard.id == *from);
-        match self.heard.iter_mut().find(|heard| heard.id == *from) {
-            Some(heard) => {
-                heard.at_ms = now;
-                heard.version = heard.version.max(beat.version);
-                heard.promise = promise.or(heard.promise);
+        self.members
+            .retain(|member| member.id.name != from.name || member.id == *from);
+        match self.members.iter_mut().find(|member| member.id == *from) {
+            Some(member) => {
+                member.heard_ms = now;
+                member.version = member.version.max(heartbeat.version);
+                member.promise = promise.or(member.promise);
             }
-            None => self.heard.push(Heard {
+            None => self.members.push(MemberState {
                 id: from.clone(),
-                at_ms: now,
-                version: beat.version,
+                heard_ms: now,
+                version: heartbeat.version,
                 promise,
             }),
         }
     }
 
-    fn told(&self, now: Millis, id: &NodeId, version: u64) -> Told {
-        let heard = self.heard.iter().find(|heard| heard.id == *id);
-        let current = heard.filter(|heard| heard.version <= version);
-        let promise = current.and_then(|heard| heard.promise);
+    fn peer_status(&self, now: Millis, id: &NodeId, version: u64) -> PeerStatus {
+        let member = self.members.iter().find(|member| member.id == *id);
+        let current = member.filter(|member| member.version <= version);
+        let promise = current.and_then(|member| member.promise);
         let session = promise.map_or(0, |promise| promise.session);
         let age_ms = promise.map(|promise| now.since(promise.made_ms));
-        Told(session, age_ms, !self.is_silent(now, id))
+        PeerStatus(session, age_ms, !self.is_silent(now, id))
     }
 }
 
-/// What a member learnt from its relay.
+/// What one answer of the relay confirms to a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Confirmation {
     /// Version of the record that the relay had read.
     pub version: u64,
-    /// Lower bound of when that reading was asked for, on the member's clock.
-    pub reading_ms: Option<Millis>,
-    /// Promises of peers, made at these lower bounds on the member's clock.
+    /// Lower bound of when that read was requested, on the member's clock.
+    pub read_ms: Option<Millis>,
+    /// Promises of peers; their times are lower bounds on the member's clock.
     pub promises: Vec<(NodeId, Promise)>,
-    /// Whether the relay had heard every peer a short while ago.
-    pub all_heard: bool,
+    /// Whether no peer was silent.
+    pub all_peers_heard: bool,
 }
 
-/// Turns an answer into the member's own time.
+/// Converts an answer's ages to times on the member's clock.
 ///
 /// Returns `None` if the answer is of another version of the record than
 /// `roster`, whose peers it then does not describe.
@@ -188,26 +198,28 @@
     if answer.version != roster.version || answer.peers.len() != ids.len() {
         return None;
     }
-    // The relay answered after the heartbeat was sent, so counting ages from
-    // the sending only makes everything look older.
-    let back = |age_ms: Millis| Some(Millis(answer.echo_ms.0.checked_sub(age_ms.0)?));
-    let told = ids.iter().zip(&answer.peers);
-    let promises = told.filter_map(|(id, Told(session, age_ms, _))| {
-        let made_ms = back((*age_ms)?)?;
+    // The relay answered after the heartbeat was sent, so subtracting ages from
+    // the send time can only make events look older than they are.
+    let time_before_send = |age_ms: Millis| Some(Millis(answer.echo_ms.0.checked_sub(age_ms.0)?));
+    let statuses = ids.iter().zip(&answer.peers);
+    let promises = statuses.filter_map(|(id, PeerStatus(session, age_ms, _))| {
+        let made_ms = time_before_send((*age_ms)?)?;
         let session = *session;
         Some((id.clone(), Promise { session, made_ms }))
     });
     Some(Confirmation {
         version: answer.version,
-        reading_ms: answer.reading_age_ms.and_then(back),
+        read_ms: answer.read_age_ms.and_then(time_before_send),
         promises: promises.collect(),
-        all_heard: answer.peers.iter().all(|Told(_, _, heard)| *heard),
+        all_peers_heard: answer.peers.iter().all(|PeerStatus(_, _, heard)| *heard),
     })
 }
 
-/// Returns whether owners cannot be relied on after a confirmation: the table
-/// cannot be read and somebody is silent, who may be an owner.
-pub fn must_share(now: Millis, confirmation: &Confirmation, timing: &Timing) -> bool {
+/// Returns whether a member must switch to its fixed shares.
+///
+/// This is so when the relay has not read the record recently and a peer, which
+/// may be an owner, is silent.
+pub fn must_enter_share_mode(now: Millis, confirmation: &Confirmation, timing: &Timing) -> bool {
     let recent = |asked_ms: Millis| now < asked_ms + timing.confirm_ms;
-    !confirmation.all_heard && !confirmation.reading_ms.is_some_and(recent)
+    !confirmation.all_peers_heard && !confirmation.read_ms.is_some_and(recent)
 }
--- a/filbertpaddle-wire/src/member.rs
+++ b/filbertpaddle-wire/src/member.rs
@@ -1,7 +1,7 @@
 //! Messages about membership.
 
 use filbertpaddle_core::membership::Answer;
-use filbertpaddle_core::membership::Beat;
+use filbertpaddle_core::membership::Heartbeat;
 use filbertpaddle_core::roster::Roster;
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,7 +11,7 @@
 pub enum Message {
     /// A member's heartbeat to the relay.
     #[serde(rename = "b")]
-    Beat(Beat),
+    Beat(Heartbeat),
     /// The relay's answer.
     #[serde(rename = "a")]
     Answer(Answer),
--- a/filbertpaddle-wire/tests/control.rs
+++ b/filbertpaddle-wire/tests/control.rs
@@ -5,8 +5,8 @@
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::membership::Answer;
-use filbertpaddle_core::membership::Beat;
-use filbertpaddle_core::membership::Told;
+use filbertpaddle_core::membership::Heartbeat;
+use filbertpaddle_core::membership::PeerStatus;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::scheduler::Ending;
 use filbertpaddle_core::slot::Source;
@@ -82,7 +82,7 @@
 }
 
 fn beat_bytes() -> f64 {
-    bytes(Message::Member(member::Message::Beat(Beat {
+    bytes(Message::Member(member::Message::Beat(Heartbeat {
         sent_ms: Millis(4_000_000_000),
         echo_ms: Some(Millis(4_000_000_000)),
         version: 70_000,
@@ -95,8 +95,8 @@
         echo_ms: Millis(4_000_000_000),
         relay_ms: Millis(4_000_000_000),
         version: 70_000,
-        reading_age_ms: Some(Millis(500)),
-        peers: vec![Told(3, Some(Millis(2_500)), true); MEMBERS],
+        read_age_ms: Some(Millis(500)),
+        peers: vec![PeerStatus(3, Some(Millis(2_500)), true); MEMBERS],
     })))
 }
 
--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -187,8 +187,9 @@
 
     fn must_share(&self, now: Millis) -> bool {
         let confirmation = self.heart.confirmation(now);
-        confirmation
-            .is_some_and(|confirmation| membership::must_share(now, confirmation, &self.terms))
+        confirmation.is_some_and(|confirmation| {
+            membership::must_enter_share_mode(now, confirmation, &self.terms)
+        })
     }
 
     fn choose_mode(&mut self, now: Millis) {
@@ -343,7 +344,7 @@
         match message {
             wire::Message::Beat(beat) => {
                 let roster = &self.record.roster;
-                let answer = self.relay.on_beat(now, from, &beat, roster);
+                let answer = self.relay.on_heartbeat(now, from, &beat, roster);
                 if beat.version < roster.version {
                     let roster = Box::new(roster.clone());
                     self.send_member(now, from, wire::Message::Roster(roster));
@@ -377,7 +378,7 @@
             .values_mut()
             .filter_map(|pool| pool.owner.as_mut());
         for owner in owners {
-            if let Some(reading_ms) = confirmation.reading_ms {
+            if let Some(reading_ms) = confirmation.read_ms {
                 owner.on_confirm(reading_ms);
             }
             for (id, promise) in &confirmation.promises {
--- a/filbertpaddle/src/heart.rs
+++ b/filbertpaddle/src/heart.rs
@@ -4,8 +4,8 @@
 use filbertpaddle_core::grant_mode::ModeState;
 use filbertpaddle_core::membership;
 use filbertpaddle_core::membership::Answer;
-use filbertpaddle_core::membership::Beat;
 use filbertpaddle_core::membership::Confirmation;
+use filbertpaddle_core::membership::Heartbeat;
 use filbertpaddle_core::roster::Member;
 use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::roster::Roster;
@@ -65,7 +65,7 @@
         data_centre: &str,
         standing: &mut ModeState,
         may_promise: bool,
-    ) -> Option<(Member, Beat)> {
+    ) -> Option<(Member, Heartbeat)> {
         let interval_ms = membership::interval_ms(roster.members.len());
         if self
             .beat_ms
@@ -81,7 +81,7 @@
             true => standing.promise(now),
             false => None,
         };
-        let beat = Beat {
+        let beat = Heartbeat {
             sent_ms: now,
             echo_ms: self.echo_ms,
             version: roster.version,
--- a/filbertpaddle/src/registrar.rs
+++ b/filbertpaddle/src/registrar.rs
@@ -60,7 +60,7 @@
 }
 
 fn settle(roster: &Roster, relay: &Relay) -> Option<Edit> {
-    let roster = roster.activate_next_sharers(|id, version| relay.knows(id, version))?;
+    let roster = roster.activate_next_sharers(|id, version| relay.has_version(id, version))?;
     Some(Edit {
         roster,
         what: "sharers settled",
