--- a/filbertpaddle-core/src/member.rs
+++ b/filbertpaddle-core/src/member.rs
@@ -3,8 +3,8 @@
 use crate::clock::Millis;
 use crate::grant_mode::Mode;
 use crate::name::Name;
-use crate::owner::Collect;
-use crate::owner::Holding;
+use crate::owner::CollectReply;
+use crate::owner::CollectRequest;
 use crate::owner::SlotRequest;
 use crate::report::Report;
 use crate::roster::NodeId;
@@ -132,7 +132,7 @@
     }
 
     /// Returns a request for a slot.
-    pub fn ask(&mut self, now: Millis) -> SlotRequest {
+    pub fn request_slot(&mut self, now: Millis) -> SlotRequest {
         let stamp = self.stamp(now);
         SlotRequest {
             holder: self.id.clone(),
@@ -144,7 +144,7 @@
 
     /// Tells an owner what the node holds; `None` if the owner is not the
     /// latest or the node uses its share.
-    pub fn on_collect(&mut self, collect: &Collect) -> Option<Holding> {
+    pub fn on_collect(&mut self, collect: &CollectRequest) -> Option<CollectReply> {
         if collect.epoch < self.epoch || self.mode != Mode::Granted {
             return None;
         }
@@ -153,7 +153,7 @@
             self.floor = 0;
         }
         self.floor = self.floor.max(collect.upto);
-        Some(Holding {
+        Some(CollectReply {
             holder: self.id.clone(),
             session: self.session,
             epoch: collect.epoch,
@@ -198,7 +198,7 @@
     /// # Errors
     ///
     /// Returns why nothing may be sent.
-    pub fn share(
+    pub fn take_share(
         &mut self,
         now: Millis,
         target: &Name,
--- a/filbertpaddle-core/src/owner.rs
+++ b/filbertpaddle-core/src/owner.rs
@@ -35,7 +35,7 @@
 
 /// Asks a member what it holds; it refuses grants below these from now on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Collect {
+pub struct CollectRequest {
     /// The member.
     pub holder: NodeId,
     /// Epoch of the owner that asks.
@@ -44,9 +44,9 @@
     pub upto: u64,
 }
 
-/// A member's answer to [`Collect`].
+/// A member's answer to [`CollectRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Holding {
+pub struct CollectReply {
     /// The member.
     pub holder: NodeId,
     /// The member's session.
@@ -103,7 +103,7 @@
     }
 
     /// Returns the number of requests that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
@@ -161,7 +161,7 @@
     }
 
     /// Returns the questions to members whose work is not fully counted.
-    pub fn collects(&self) -> Vec<Collect> {
+    pub fn due_collects(&self) -> Vec<CollectRequest> {
         self.peers
             .iter()
             .filter(|peer| peer.is_due())
@@ -171,7 +171,7 @@
 
     /// Returns the question to every member what it holds, to find what lost
     /// messages have left counted.
-    pub fn recounts(&self) -> Vec<Collect> {
+    pub fn recount_requests(&self) -> Vec<CollectRequest> {
         self.peers.iter().map(|peer| self.collect(peer)).collect()
     }
 
@@ -179,7 +179,7 @@
     ///
     /// Work that it does not hold any more stays counted until a report no
     /// longer shows it, since its end is not known.
-    pub fn on_recount(&mut self, now: Millis, holding: &Holding) {
+    pub fn on_recount_reply(&mut self, now: Millis, holding: &CollectReply) {
         let epoch = self.epoch;
         let is_counted = |key: &WorkKey| {
             key.holder == holding.holder
@@ -200,7 +200,7 @@
     }
 
     /// Takes in what a member holds.
-    pub fn on_holding(&mut self, holding: &Holding) {
+    pub fn on_collect_reply(&mut self, holding: &CollectReply) {
         let epoch = self.epoch;
         if holding.epoch != epoch {
             return;
@@ -230,7 +230,7 @@
     }
 
     /// Queues a request; returns whether its holder may be granted slots now.
-    pub fn on_ask(&mut self, ask: SlotRequest) -> bool {
+    pub fn on_request(&mut self, ask: SlotRequest) -> bool {
         self.on_stamp(&ask.holder, ask.stamp);
         let Some(peer) = self.peer(&ask.holder) else {
             return false;
@@ -291,7 +291,7 @@
     ///
     /// Either the record named it a short while ago, or every member knew no
     /// newer record a short while ago, its successor among them.
-    pub fn stands(&self, now: Millis) -> bool {
+    pub fn may_grant(&self, now: Millis) -> bool {
         let recent = |asked_ms: Millis| now < asked_ms + self.timing.confirm_ms;
         self.confirmed_ms.is_some_and(recent)
             || self
@@ -301,9 +301,9 @@
     }
 
     /// Grants what can be granted now.
-    pub fn grants(&mut self, now: Millis) -> Vec<Grant> {
+    pub fn grant_all(&mut self, now: Millis) -> Vec<Grant> {
         let mut grants = Vec::new();
-        if !self.stands(now) {
+        if !self.may_grant(now) {
             return grants;
         }
         while let Some((position, index)) = self.next(now) {
@@ -321,7 +321,7 @@
     }
 
     /// Returns whether a request still waits.
-    pub fn is_waiting(&self, ask: &SlotRequest) -> bool {
+    pub fn is_queued(&self, ask: &SlotRequest) -> bool {
         self.queue.contains(ask)
     }
 
@@ -333,7 +333,7 @@
             .iter()
             .position(|ledger| ledger.target == *target)?;
         let room = self.ledger_room(now, &self.ledgers[index], Some(&ask.holder));
-        if room == 0 || !self.stands(now) {
+        if room == 0 || !self.may_grant(now) {
             return None;
         }
         let ask = self.queue.remove(position)?;
@@ -445,8 +445,8 @@
         }
     }
 
-    fn collect(&self, peer: &Peer) -> Collect {
-        Collect {
+    fn collect(&self, peer: &Peer) -> CollectRequest {
+        CollectRequest {
             holder: peer.id.clone(),
             epoch: self.epoch,
             upto: self.next_number,
--- a/filbertpaddle-core/tests/owner_model/world.rs
+++ b/filbertpaddle-core/tests/owner_model/world.rs
@@ -16,8 +16,8 @@
 use filbertpaddle_core::grant_mode::ModeState;
 use filbertpaddle_core::member::Member;
 use filbertpaddle_core::name::Name;
-use filbertpaddle_core::owner::Collect;
-use filbertpaddle_core::owner::Holding;
+use filbertpaddle_core::owner::CollectReply;
+use filbertpaddle_core::owner::CollectRequest;
 use filbertpaddle_core::owner::Owner;
 use filbertpaddle_core::peer::Promise;
 use filbertpaddle_core::report::Report;
@@ -141,7 +141,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Message {
-    Holding(u8, Holding),
+    CollectReply(u8, CollectReply),
     Grant(u8, Grant),
     Report(u8, Report),
 }
@@ -227,10 +227,10 @@
     };
     let made_ms = now;
     owner.on_promise(&node.id, Promise { session, made_ms });
-    let collects = owner.collects();
+    let collects = owner.due_collects();
     let own = collects.iter().find(|collect| collect.holder == node.id);
     if let Some(holding) = own.and_then(|collect| node.member.on_collect(collect)) {
-        owner.on_holding(&holding);
+        owner.on_collect_reply(&holding);
     }
 }
 
@@ -264,10 +264,10 @@
             };
             owner.on_promise(&node.id, Promise { session, made_ms });
         }
-        for collect in owner.collects() {
+        for collect in owner.due_collects() {
             let node = nodes.iter_mut().find(|node| node.id == collect.holder);
             let holding = node.unwrap().member.on_collect(&collect).unwrap();
-            owner.on_holding(&holding);
+            owner.on_collect_reply(&holding);
         }
         let mut world = Self {
             now: START,
@@ -405,15 +405,15 @@
     fn ask(&self, index: u8, owner: u8, next: &mut Vec<Self>) {
         let mut world = self.clone();
         let member = &mut Arc::make_mut(&mut world.nodes[usize::from(index)]).member;
-        let ask = member.ask(self.now);
+        let ask = member.request_slot(self.now);
         let node = Arc::make_mut(&mut world.nodes[usize::from(owner)]);
         let Some(owner) = node.owner.as_mut().filter(|_| !node.is_paused) else {
             return;
         };
-        if self.budget.works == 0 || !owner.on_ask(ask) {
+        if self.budget.works == 0 || !owner.on_request(ask) {
             return;
         }
-        let grants = owner.grants(self.now);
+        let grants = owner.grant_all(self.now);
         if grants.is_empty() {
             return;
         }
@@ -521,7 +521,7 @@
         if let Some(owner) = &node.owner {
             self.poll(setup, index, next);
             self.confirm(setup, index, next);
-            for collect in owner.collects() {
+            for collect in owner.due_collects() {
                 self.collect(index, &collect, next);
             }
         } else if self.named == index && self.budget.readings > 0 {
@@ -531,9 +531,9 @@
         }
     }
 
-    fn collect(&self, index: u8, collect: &Collect, next: &mut Vec<Self>) {
+    fn collect(&self, index: u8, collect: &CollectRequest, next: &mut Vec<Self>) {
         let is_answer = |message: &Arc<Message>| match &**message {
-            Message::Holding(to, holding) => *to == index && holding.holder == collect.holder,
+            Message::CollectReply(to, holding) => *to == index && holding.holder == collect.holder,
             _ => false,
         };
         if self.budget.holdings == 0 || self.messages.iter().any(is_answer) {
@@ -552,7 +552,7 @@
             return;
         };
         world.step = format!("{} tells {} what it holds", node.id.name, id(index).name);
-        world.post(Message::Holding(index, holding));
+        world.post(Message::CollectReply(index, holding));
         next.push(world);
     }
 
@@ -610,7 +610,7 @@
         let mut world = self.clone();
         let message = world.messages.remove(index);
         let to = match &*message {
-            Message::Holding(to, _) | Message::Grant(to, _) | Message::Report(to, _) => {
+            Message::CollectReply(to, _) | Message::Grant(to, _) | Message::Report(to, _) => {
                 usize::from(*to)
             }
         };
@@ -626,9 +626,9 @@
 
     fn receive(&mut self, setup: &Setup, node: &mut Node, message: &Message) {
         match message {
-            Message::Holding(_, holding) => {
+            Message::CollectReply(_, holding) => {
                 if let Some(owner) = &mut node.owner {
-                    owner.on_holding(holding);
+                    owner.on_collect_reply(holding);
                 }
             }
             Message::Grant(_, grant) => self.receive_grant(setup, node, grant),
@@ -662,7 +662,7 @@
             report.works.clear();
         }
         let roster = roster(setup.members);
-        if let Ok(held) = node.member.share(self.now, &TARGET, &report, &roster) {
+        if let Ok(held) = node.member.take_share(self.now, &TARGET, &report, &roster) {
             self.budget.works -= 1;
             node.unsent.push((self.now, held.key));
         }
--- a/filbertpaddle-core/tests/recount.rs
+++ b/filbertpaddle-core/tests/recount.rs
@@ -2,8 +2,8 @@
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
-use filbertpaddle_core::owner::Collect;
-use filbertpaddle_core::owner::Holding;
+use filbertpaddle_core::owner::CollectReply;
+use filbertpaddle_core::owner::CollectRequest;
 use filbertpaddle_core::owner::Owner;
 use filbertpaddle_core::owner::SlotRequest;
 use filbertpaddle_core::peer::Promise;
@@ -59,8 +59,8 @@
             now: Millis::from_secs(60),
         };
         bench.keep_standing();
-        for collect in bench.owner.collects() {
-            bench.owner.on_holding(&holding(&collect, Vec::new()));
+        for collect in bench.owner.due_collects() {
+            bench.owner.on_collect_reply(&holding(&collect, Vec::new()));
         }
         bench
             .owner
@@ -78,13 +78,13 @@
     }
 
     fn ask(&mut self, number: u64) -> Vec<Grant> {
-        self.owner.on_ask(SlotRequest {
+        self.owner.on_request(SlotRequest {
             holder: member(),
             number,
             stamp: number,
             session: 1,
         });
-        self.owner.grants(self.now)
+        self.owner.grant_all(self.now)
     }
 
     fn pass(&mut self, span: Millis, works: Vec<filbertpaddle_core::slot::WorkKey>) -> Vec<Grant> {
@@ -92,19 +92,19 @@
         self.keep_standing();
         self.owner
             .on_report(self.now, &TARGET, &report(self.now, works));
-        self.owner.grants(self.now)
+        self.owner.grant_all(self.now)
     }
 
     fn recount(&mut self, works: &[HeldWork]) {
-        for collect in self.owner.recounts() {
+        for collect in self.owner.recount_requests() {
             self.owner
-                .on_recount(self.now, &holding(&collect, works.to_vec()));
+                .on_recount_reply(self.now, &holding(&collect, works.to_vec()));
         }
     }
 }
 
-fn holding(collect: &Collect, works: Vec<HeldWork>) -> Holding {
-    Holding {
+fn holding(collect: &CollectRequest, works: Vec<HeldWork>) -> CollectReply {
+    CollectReply {
         holder: collect.holder.clone(),
         session: 1,
         epoch: collect.epoch,
--- a/filbertpaddle/src/body.rs
+++ b/filbertpaddle/src/body.rs
@@ -61,13 +61,13 @@
     }
 }
 
-pub(crate) fn told(holder: &NodeId, holding: &grant::Holding) -> owner::Holding {
+pub(crate) fn told(holder: &NodeId, holding: &grant::Holding) -> owner::CollectReply {
     let works = holding.works.iter();
     let held = |work: &grant::Work| HeldWork {
         key: key(holder, work),
         target: work.target.clone(),
     };
-    owner::Holding {
+    owner::CollectReply {
         holder: holder.clone(),
         session: holding.session,
         epoch: holding.epoch,
--- a/filbertpaddle/src/placer.rs
+++ b/filbertpaddle/src/placer.rs
@@ -105,7 +105,7 @@
     /// Grants what the scheduler places and the owner allows.
     pub(crate) fn grants(&mut self, now: Millis, owner: &mut Owner) -> Vec<Grant> {
         let mut grants = Vec::new();
-        while owner.stands(now) && self.scheduler.queued() > 0 {
+        while owner.may_grant(now) && self.scheduler.queued() > 0 {
             let views = self.views(now, owner);
             let Some(placement) = self.scheduler.next(now, &views) else {
                 break;
@@ -123,7 +123,7 @@
                 continue;
             }
             self.scheduler.ended(now, slot, 0, Ending::Unsent);
-            if owner.is_waiting(&ask) {
+            if owner.is_queued(&ask) {
                 // The target's room is kept for other members; try again later.
                 if self.scheduler.push(now, placement.request.clone()).is_ok() {
                     self.asks.insert(placement.request.id, ask);
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -155,7 +155,7 @@
             if waiter.asked.is_some() || now < waiter.ask_ms {
                 continue;
             }
-            let ask = self.member.ask(now);
+            let ask = self.member.request_slot(now);
             waiter.asked = Some(ask.number);
             self.stamped_ms = now;
             let ask = grant::Ask {
@@ -227,7 +227,9 @@
                 .filter(|(_, target)| target.per_mille > 0);
             let held = targets
                 .filter_map(|(name, target)| Some((name.clone(), target.report.clone()?)))
-                .find_map(|(name, report)| self.member.share(now, &name, &report, roster).ok());
+                .find_map(|(name, report)| {
+                    self.member.take_share(now, &name, &report, roster).ok()
+                });
             let Some(held) = held else {
                 return;
             };
@@ -269,9 +271,9 @@
                 if let Some(owner) = &mut self.owner {
                     let holding = body::told(from, &holding);
                     if owner.has_collected(from, holding.session) {
-                        owner.on_recount(now, &holding);
+                        owner.on_recount_reply(now, &holding);
                     } else {
-                        owner.on_holding(&holding);
+                        owner.on_collect_reply(&holding);
                     }
                 }
             }
@@ -312,7 +314,7 @@
     }
 
     fn on_collect(&mut self, from: &NodeId, collect: &grant::Collect) {
-        let collect = owner::Collect {
+        let collect = owner::CollectRequest {
             holder: from.clone(),
             epoch: collect.epoch,
             upto: collect.upto,
--- a/filbertpaddle/src/pool_owner.rs
+++ b/filbertpaddle/src/pool_owner.rs
@@ -84,10 +84,10 @@
         }
         self.collected_ms = now;
         let collects = match now.since(self.recounted_ms) < RECOUNT_MS {
-            true => owner.collects(),
+            true => owner.due_collects(),
             false => {
                 self.recounted_ms = now;
-                owner.recounts()
+                owner.recount_requests()
             }
         };
         for collect in collects {
@@ -110,7 +110,7 @@
         };
         let to = from.clone();
         let owner = self.owner.as_mut();
-        let Some(owner) = owner.and_then(|owner| owner.on_ask(asked.clone()).then_some(owner))
+        let Some(owner) = owner.and_then(|owner| owner.on_request(asked.clone()).then_some(owner))
         else {
             let message = Message::Refuse(self.name.clone(), ask.number);
             self.out.push(Out { to, message });
