--- a/filbertpaddle-core/src/ledger.rs
+++ b/filbertpaddle-core/src/ledger.rs
@@ -20,7 +20,7 @@
     pub seen: bool,
     /// Since when its holder no longer answers for the work: it gave the work
     /// up without knowing its end, or has gone itself.
-    pub loose_ms: Option<Millis>,
+    pub orphaned_ms: Option<Millis>,
 }
 
 /// One target and the work counted on it.
@@ -30,9 +30,9 @@
     pub target: Name,
     limit: Option<Limit>,
     slots: Vec<Slot>,
-    is_cleared: bool,
-    is_sealed: bool,
-    is_outbid: bool,
+    is_complete: bool,
+    is_fenced: bool,
+    is_superseded: bool,
     portion_per_mille: u16,
 }
 
@@ -43,9 +43,9 @@
             target,
             limit: None,
             slots: Vec::new(),
-            is_cleared: false,
-            is_sealed: false,
-            is_outbid: false,
+            is_complete: false,
+            is_fenced: false,
+            is_superseded: false,
             portion_per_mille: WHOLE_SHARE,
         }
     }
@@ -70,19 +70,19 @@
     pub fn limit(&self, now: Millis, timing: &Timing) -> Option<&Limit> {
         let limit = self.limit.as_ref()?;
         let is_recent = now.since(limit.taken_ms()) <= timing.report_ms;
-        let is_usable = self.portion_per_mille > 0 && !self.is_outbid;
-        let is_known = self.is_cleared || !limit.is_cold();
+        let is_usable = self.portion_per_mille > 0 && !self.is_superseded;
+        let is_known = self.is_complete || !limit.is_cold();
         (is_recent && is_usable && is_known).then_some(limit)
     }
 
     /// Returns whether the target refuses all work older than this owner's.
-    pub fn is_sealed(&self) -> bool {
-        self.is_sealed
+    pub fn is_fenced(&self) -> bool {
+        self.is_fenced
     }
 
     /// Returns whether the target refuses this owner's grants as too old.
-    pub fn is_outbid(&self) -> bool {
-        self.is_outbid
+    pub fn is_superseded(&self) -> bool {
+        self.is_superseded
     }
 
     /// Sets how much of the limit may be used, in thousandths; zero stops grants.
@@ -103,25 +103,25 @@
             self.slots.push(Slot {
                 key,
                 seen,
-                loose_ms: None,
+                orphaned_ms: None,
             });
         }
     }
 
     /// Forgets work that has ended.
-    pub fn end(&mut self, key: &WorkKey) {
+    pub fn remove(&mut self, key: &WorkKey) {
         self.slots.retain(|slot| slot.key != *key);
     }
 
     /// Keeps work counted until a later report no longer shows it.
-    pub fn loosen<F>(&mut self, now: Millis, is_loose: F)
+    pub fn mark_orphaned<F>(&mut self, now: Millis, is_loose: F)
     where
         F: Fn(&WorkKey) -> bool,
     {
         self.slots
             .iter_mut()
             .filter(|slot| is_loose(&slot.key))
-            .for_each(|slot| slot.loose_ms = slot.loose_ms.or(Some(now)));
+            .for_each(|slot| slot.orphaned_ms = slot.orphaned_ms.or(Some(now)));
     }
 
     /// Replaces what is counted for a holder, but for grants from `upto` on.
@@ -138,7 +138,7 @@
     ///
     /// `clear_ms` is when all work that this owner has not counted has reached
     /// the target; `is_exact` tells whether a holder's count is complete.
-    pub fn on<F>(
+    pub fn on_report<F>(
         &mut self,
         epoch: u64,
         clear_ms: Millis,
@@ -150,13 +150,13 @@
     {
         match &mut self.limit {
             Some(limit) if report.taken_ms < limit.taken_ms() => return,
-            Some(limit) => limit.on(report),
+            Some(limit) => limit.on_report(report),
             None => self.limit = Some(Limit::new(report)),
         }
         let own = fence(epoch, Source::Granted);
-        self.is_sealed = report.fence.is_some_and(|fence| fence >= own);
-        self.is_outbid = report.fence.is_some_and(|fence| fence > own);
-        self.is_cleared |= self.is_sealed || report.taken_ms >= clear_ms;
+        self.is_fenced = report.fence.is_some_and(|fence| fence >= own);
+        self.is_superseded = report.fence.is_some_and(|fence| fence > own);
+        self.is_complete |= self.is_fenced || report.taken_ms >= clear_ms;
         for key in report.works.iter().filter(|key| !is_exact(&key.holder)) {
             self.add(key.clone(), true);
         }
@@ -174,7 +174,7 @@
             }
             let settled = |since_ms: Millis| report.taken_ms >= since_ms + timing.settle_ms;
             let is_over = slot.seen && !is_exact(&slot.key.holder);
-            !is_over && !slot.loose_ms.is_some_and(settled)
+            !is_over && !slot.orphaned_ms.is_some_and(settled)
         });
     }
 }
--- a/filbertpaddle-core/src/limit.rs
+++ b/filbertpaddle-core/src/limit.rs
@@ -40,7 +40,7 @@
     }
 
     /// Takes in a report; one taken before the last is ignored.
-    pub fn on(&mut self, report: &Report) {
+    pub fn on_report(&mut self, report: &Report) {
         if report.taken_ms < self.taken_ms {
             return;
         }
--- a/filbertpaddle-core/src/owner.rs
+++ b/filbertpaddle-core/src/owner.rs
@@ -136,7 +136,7 @@
         }
         self.queue.retain(|ask| ids.contains(&ask.holder));
         for ledger in &mut self.ledgers {
-            ledger.loosen(now, |key| !ids.contains(&key.holder));
+            ledger.mark_orphaned(now, |key| !ids.contains(&key.holder));
         }
     }
 
@@ -148,7 +148,7 @@
     /// Notes a member's promise, which it made while it knew no newer record.
     pub fn on_promise(&mut self, id: &NodeId, promise: Promise) {
         if let Some(peer) = self.peer_mut(id) {
-            peer.promise(promise);
+            peer.on_promise(promise);
         }
     }
 
@@ -164,7 +164,7 @@
     pub fn due_collects(&self) -> Vec<CollectRequest> {
         self.peers
             .iter()
-            .filter(|peer| peer.is_due())
+            .filter(|peer| peer.is_collect_due())
             .map(|peer| self.collect(peer))
             .collect()
     }
@@ -189,7 +189,7 @@
         };
         let is_held = |key: &WorkKey| holding.works.iter().any(|held| held.key == *key);
         for ledger in &mut self.ledgers {
-            ledger.loosen(now, |key| is_counted(key) && !is_held(key));
+            ledger.mark_orphaned(now, |key| is_counted(key) && !is_held(key));
         }
     }
 
@@ -215,7 +215,7 @@
             return;
         }
         peer.collected = Some(holding.session);
-        peer.heard = true;
+        peer.has_reported = true;
         for held in &holding.works {
             self.add_target(&held.target);
         }
@@ -262,8 +262,8 @@
     pub fn on_release(&mut self, now: Millis, key: &WorkKey, ended: bool) {
         for ledger in &mut self.ledgers {
             match ended {
-                true => ledger.end(key),
-                false => ledger.loosen(now, |other| other == key),
+                true => ledger.remove(key),
+                false => ledger.mark_orphaned(now, |other| other == key),
             }
         }
     }
@@ -276,14 +276,14 @@
         let peers = &self.peers;
         let is_exact = |id: &NodeId| {
             let peer = peers.iter().find(|peer| peer.id == *id);
-            peer.is_some_and(|peer| peer.is_exact(now, &timing))
+            peer.is_some_and(|peer| peer.is_count_complete(now, &timing))
         };
         if let Some(ledger) = self
             .ledgers
             .iter_mut()
             .find(|ledger| ledger.target == *target)
         {
-            ledger.on(epoch, clear_ms, report, is_exact, &timing);
+            ledger.on_report(epoch, clear_ms, report, is_exact, &timing);
         }
     }
 
@@ -297,7 +297,7 @@
             || self
                 .peers
                 .iter()
-                .all(|peer| peer.is_bound(now, &self.timing))
+                .all(|peer| peer.promise_covers_grant(now, &self.timing))
     }
 
     /// Grants what can be granted now.
@@ -421,13 +421,13 @@
     fn reserved(&self, now: Millis, ledger: &Ledger, limit: u32, holder: Option<&NodeId>) -> u32 {
         self.peers
             .iter()
-            .filter(|peer| !peer.is_exact(now, &self.timing))
+            .filter(|peer| !peer.is_count_complete(now, &self.timing))
             .map(|peer| {
                 let used = ledger.used_by(&peer.id);
                 let granted = used + u32::from(holder == Some(&peer.id));
                 // A member that this owner never heard may be paused just
                 // before it sends under an earlier owner's grant.
-                let is_known = peer.heard || ledger.is_sealed();
+                let is_known = peer.has_reported || ledger.is_fenced();
                 let share = self.roster.reserve(&ledger.target, limit, &peer.id);
                 share
                     .max(used + u32::from(!is_known))
@@ -438,7 +438,7 @@
 
     /// Returns from when on a report shows all work that is not counted here.
     fn clear_ms(&self) -> Millis {
-        let all_told = self.peers.iter().all(|peer| peer.heard);
+        let all_told = self.peers.iter().all(|peer| peer.has_reported);
         match all_told {
             true => self.since_ms + self.timing.settle_ms,
             false => self.since_ms + self.timing.quarantine_ms(),
--- a/filbertpaddle-core/src/peer.rs
+++ b/filbertpaddle-core/src/peer.rs
@@ -24,7 +24,7 @@
     /// Session in which it last told this owner what it holds.
     pub collected: Option<u32>,
     /// Whether it ever told this owner what it holds.
-    pub heard: bool,
+    pub has_reported: bool,
     /// Its latest stamp.
     pub stamp: u64,
 }
@@ -36,13 +36,13 @@
             id,
             promise: None,
             collected: None,
-            heard: false,
+            has_reported: false,
             stamp: 0,
         }
     }
 
     /// Takes in a promise; one made before the last is ignored.
-    pub fn promise(&mut self, promise: Promise) {
+    pub fn on_promise(&mut self, promise: Promise) {
         let is_newer =
             |last: Promise| (promise.session, promise.made_ms) > (last.session, last.made_ms);
         if self.promise.is_none_or(is_newer) {
@@ -54,19 +54,19 @@
     ///
     /// The owner may be paused between this check and its send, so the promise
     /// has to cover the whole time in which the grant can be accepted.
-    pub fn is_bound(&self, now: Millis, timing: &Timing) -> bool {
+    pub fn promise_covers_grant(&self, now: Millis, timing: &Timing) -> bool {
         self.promise
             .is_some_and(|promise| promise.made_ms + timing.promise_ms >= now + timing.accept_ms)
     }
 
     /// Returns whether the owner's count of the member's work is complete.
-    pub fn is_exact(&self, now: Millis, timing: &Timing) -> bool {
+    pub fn is_count_complete(&self, now: Millis, timing: &Timing) -> bool {
         let session = self.promise.map(|promise| promise.session);
-        self.is_bound(now, timing) && self.collected == session
+        self.promise_covers_grant(now, timing) && self.collected == session
     }
 
     /// Returns whether the member should be asked what it holds.
-    pub fn is_due(&self) -> bool {
+    pub fn is_collect_due(&self) -> bool {
         self.promise
             .is_some_and(|promise| self.collected != Some(promise.session))
     }
--- a/filbertpaddle-core/tests/limit.rs
+++ b/filbertpaddle-core/tests/limit.rs
@@ -23,14 +23,14 @@
 fn a_warm_limit_rises_step_by_step_on_evidence() {
     let mut limit = Limit::new(&report(0, true, 0));
     assert_eq!(limit.current(), 2);
-    limit.on(&report(1_000, true, 2));
+    limit.on_report(&report(1_000, true, 2));
     assert_eq!(limit.current(), 4);
-    limit.on(&report(1_500, true, 4));
+    limit.on_report(&report(1_500, true, 4));
     assert_eq!(limit.current(), 4, "too soon for another step");
-    limit.on(&report(2_500, true, 1));
+    limit.on_report(&report(2_500, true, 1));
     assert_eq!(limit.current(), 4, "an idle target proves nothing");
     for step in 3..10 {
-        limit.on(&report(step * 1_000, true, 16));
+        limit.on_report(&report(step * 1_000, true, 16));
     }
     assert_eq!(limit.current(), 16);
 }
@@ -39,7 +39,7 @@
 fn a_limit_falls_at_once() {
     let mut limit = Limit::new(&report(0, true, 16));
     assert_eq!(limit.current(), 16);
-    limit.on(&report(250, false, 16));
+    limit.on_report(&report(250, false, 16));
     assert_eq!(limit.current(), 2);
     assert!(limit.is_cold());
 }
@@ -49,13 +49,13 @@
     let mut limit = Limit::new(&report(0, true, 16));
     let mut restarted = report(250, true, 16);
     restarted.incarnation = 2;
-    limit.on(&restarted);
+    limit.on_report(&restarted);
     assert_eq!(limit.current(), 2);
 }
 
 #[test]
 fn a_report_taken_before_the_last_is_ignored() {
     let mut limit = Limit::new(&report(1_000, false, 2));
-    limit.on(&report(500, true, 16));
+    limit.on_report(&report(500, true, 16));
     assert!(limit.is_cold());
 }
