--- a/filbertpaddle-core/src/limit.rs
+++ b/filbertpaddle-core/src/limit.rs
@@ -1,17 +1,18 @@
-//! How much work a target is given at once.
+//! Concurrency limit of a target, adapted to its load reports.
 
 use crate::clock::Millis;
 use crate::report::Report;
 
-/// Time between two steps of a warm-up.
-pub const STEP_MS: Millis = Millis(1_000);
+/// Minimum time between two increases of a warm target's limit.
+pub const STEP_INTERVAL_MS: Millis = Millis(1_000);
 
-/// A target's limit, learnt from its reports.
+/// A target's concurrency limit: doubles while a warm target copes with its
+/// load, falls back to the cold limit at once.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Limit {
     incarnation: u64,
     taken_ms: Millis,
-    step_ms: Millis,
+    last_step_ms: Millis,
     warm: bool,
     cold_limit: u32,
     preemptions: u64,
@@ -21,14 +22,14 @@
 impl Limit {
     /// Returns the limit after a first report.
     ///
-    /// A warm target starts from what it runs already, since the reporter may
+    /// A warm target starts from the load that it already runs, since it may
     /// have been warmed up under another owner.
     pub fn new(report: &Report) -> Self {
         let running = report.running.min(report.warm_limit);
         Self {
             incarnation: report.incarnation,
             taken_ms: report.taken_ms,
-            step_ms: report.taken_ms,
+            last_step_ms: report.taken_ms,
             warm: report.warm,
             cold_limit: report.cold_limit,
             preemptions: report.preemptions,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Takes in a report; one taken before the last is ignored.
+    /// Updates the limit from a report; one taken before the last is ignored.
     pub fn on_report(&mut self, report: &Report) {
         if report.taken_ms < self.taken_ms {
             return;
@@ -51,20 +52,20 @@
             self.current = report.cold_limit;
             return;
         }
-        let calm = report.preemptions == self.preemptions && report.waiting == 0;
+        let is_coping = report.preemptions == self.preemptions && report.waiting == 0;
         self.taken_ms = report.taken_ms;
         self.warm = true;
         self.cold_limit = report.cold_limit;
         self.preemptions = report.preemptions;
-        self.step(report, calm);
+        self.adjust(report, is_coping);
     }
 
-    /// Returns how much work the target is given at once.
+    /// Returns how much work the target may have at once.
     pub fn current(&self) -> u32 {
         self.current
     }
 
-    /// Returns whether the limit is strict because the target is cold.
+    /// Returns whether the target is cold, so that its limit must never be exceeded.
     pub fn is_cold(&self) -> bool {
         !self.warm
     }
@@ -74,13 +75,13 @@
         self.taken_ms
     }
 
-    fn step(&mut self, report: &Report, calm: bool) {
-        let due = report.taken_ms.since(self.step_ms) >= STEP_MS;
-        // Only a target that bore at least half of its limit has shown that
-        // it can take more.
-        let borne = report.running.saturating_mul(2) >= self.current;
-        if due && calm && borne {
-            self.step_ms = report.taken_ms;
+    fn adjust(&mut self, report: &Report, is_coping: bool) {
+        let is_due = report.taken_ms.since(self.last_step_ms) >= STEP_INTERVAL_MS;
+        // Only a target that runs at least half of its limit gives evidence
+        // that it can take more.
+        let is_half_used = report.running.saturating_mul(2) >= self.current;
+        if is_due && is_coping && is_half_used {
+            self.last_step_ms = report.taken_ms;
             self.current = self.current.saturating_mul(2).max(1);
         }
         self.current = self.current.min(report.warm_limit);
--- a/filbertpaddle-core/src/owner.rs
+++ b/filbertpaddle-core/src/owner.rs
@@ -274,7 +274,7 @@
         let timing = self.timing;
         let epoch = self.epoch;
         let peers = &self.peers;
-        let is_exact = |id: &NodeId| {
+        let is_count_complete = |id: &NodeId| {
             let peer = peers.iter().find(|peer| peer.id == *id);
             peer.is_some_and(|peer| peer.is_count_complete(now, &timing))
         };
@@ -283,7 +283,7 @@
             .iter_mut()
             .find(|ledger| ledger.target == *target)
         {
-            ledger.on_report(epoch, clear_ms, report, is_exact, &timing);
+            ledger.on_report(epoch, clear_ms, report, is_count_complete, &timing);
         }
     }
 
--- a/filbertpaddle-core/src/peer.rs
+++ b/filbertpaddle-core/src/peer.rs
@@ -1,36 +1,36 @@
-//! What a pool's owner knows of one member.
+//! State that a pool's owner keeps of one member: promise, session and stamp.
 
 use crate::clock::Millis;
 use crate::roster::NodeId;
 use crate::timing::Timing;
 
-/// A member's word that it uses no share for a while, given while it knew no
-/// newer version of the record than the owner.
+/// A member's promise not to use its shares for [`Timing::promise_ms`], made
+/// while it held no newer version of the record than the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Promise {
-    /// Counts how often the member has used its share.
+    /// Number of times that the member has entered share mode.
     pub session: u32,
     /// Lower bound, on the reader's clock, of when the promise was made.
     pub made_ms: Millis,
 }
 
-/// One member as its pool's owner sees it.
+/// A pool owner's state of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Peer {
-    /// Which member.
+    /// Identifies the member.
     pub id: NodeId,
-    /// Its latest promise.
+    /// Latest promise.
     pub promise: Option<Promise>,
-    /// Session in which it last told this owner what it holds.
+    /// Session of its last reply to this owner's collect requests.
     pub collected: Option<u32>,
-    /// Whether it ever told this owner what it holds.
+    /// Whether it ever replied to this owner's collect requests.
     pub has_reported: bool,
-    /// Its latest stamp.
+    /// Latest stamp.
     pub stamp: u64,
 }
 
 impl Peer {
-    /// Returns a member of which nothing is known.
+    /// Returns the state of a member that has sent nothing yet.
     pub fn new(id: NodeId) -> Self {
         Self {
             id,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes in a promise; one made before the last is ignored.
+    /// Records a promise; one made before the last is ignored.
     pub fn on_promise(&mut self, promise: Promise) {
         let is_newer =
             |last: Promise| (promise.session, promise.made_ms) > (last.session, last.made_ms);
@@ -52,8 +52,8 @@
 
     /// Returns whether the member's promise outlasts any grant made now.
     ///
-    /// The owner may be paused between this check and its send, so the promise
-    /// has to cover the whole time in which the grant can be accepted.
+    /// The owner may be paused between this check and sending the grant, so the
+    /// promise has to cover the whole time in which the grant can be accepted.
     pub fn promise_covers_grant(&self, now: Millis, timing: &Timing) -> bool {
         self.promise
             .is_some_and(|promise| promise.made_ms + timing.promise_ms >= now + timing.accept_ms)
@@ -65,7 +65,7 @@
         self.promise_covers_grant(now, timing) && self.collected == session
     }
 
-    /// Returns whether the member should be asked what it holds.
+    /// Returns whether the member has not yet replied in its current session.
     pub fn is_collect_due(&self) -> bool {
         self.promise
             .is_some_and(|promise| self.collected != Some(promise.session))
--- a/filbertpaddle-core/src/slot.rs
+++ b/filbertpaddle-core/src/slot.rs
@@ -1,4 +1,4 @@
-//! Slots: one piece of work on one target.
+//! Slots, each for one piece of work on one target, and their fencing numbers.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,27 +6,28 @@
 use crate::name::Name;
 use crate::roster::NodeId;
 
-/// Identifies one piece of work among all nodes and lives.
+/// Identifies one piece of work among all nodes and their incarnations.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WorkKey {
     /// Node that sends the work.
     pub holder: NodeId,
-    /// Epoch of the owner that granted it, or the last one known to a holder
-    /// that uses its share.
+    /// Epoch of the owner that granted the slot; for work within a share, the
+    /// last epoch that the holder knows.
     pub epoch: u64,
-    /// Who counted the work.
+    /// Rule under which the work was sent.
     pub source: Source,
-    /// Number of the work, unique for an epoch's grants or a holder's share.
+    /// Number of the work, unique among an epoch's grants or a holder's work
+    /// within its shares.
     pub number: u64,
 }
 
-/// Under which rule work was sent.
+/// Rule under which work was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Source {
     /// The owner of the pool granted the slot.
     #[serde(rename = "g")]
     Granted,
-    /// The holder used its fixed share.
+    /// The holder used its fixed share of the target.
     #[serde(rename = "s")]
     Share,
 }
@@ -34,36 +35,37 @@
 impl WorkKey {
     /// Returns the fencing number that a target checks.
     ///
-    /// Work by share comes after all grants of the epoch and before the next.
+    /// Work within a share ranks after all grants of its epoch and before the
+    /// next epoch.
     pub fn fence(&self) -> u64 {
         fence(self.epoch, self.source)
     }
 }
 
-/// Returns the fencing number of an epoch's work.
+/// Returns the fencing number of an epoch's work under one rule.
 pub fn fence(epoch: u64, source: Source) -> u64 {
     epoch * 2 + u64::from(source == Source::Share)
 }
 
-/// Work that a holder has accepted and not ended.
+/// Work that a holder has accepted and that has not ended.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HeldWork {
-    /// Which work.
+    /// Identifies the work.
     pub key: WorkKey,
-    /// Target it goes to.
+    /// Target that the work goes to.
     pub target: Name,
 }
 
 /// Permission to send one piece of work.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Grant {
-    /// Which work.
+    /// Identifies the work.
     pub key: WorkKey,
-    /// Target it may be sent to.
+    /// Target that the work may be sent to.
     pub target: Name,
-    /// Request of the holder that is answered.
+    /// Number of the holder's request that the grant answers.
     pub request: u64,
-    /// Last stamp of the holder that the owner had heard.
+    /// Last stamp that the owner had received from the holder.
     pub stamp: u64,
     /// Whether the target is cold.
     pub cold: bool,
--- a/filbertpaddle-core/src/timing.rs
+++ b/filbertpaddle-core/src/timing.rs
@@ -1,23 +1,23 @@
-//! Time limits that members of a data centre keep towards each other.
+//! Time limits of the protocol between the members of a data centre.
 
 use crate::clock::Millis;
 
-/// Time limits on which the safety of cold targets rests.
+/// Time limits that keep the nodes together within the limit of a cold target.
 ///
-/// All are spans on one node's monotonic clock. Nodes must agree on them, and
-/// their clocks may differ in rate by less than [`Timing::settle_ms`] over the
-/// sum of the others.
+/// All are spans on one node's monotonic clock. All nodes must use the same
+/// values. Over the sum of the other limits, their clocks may drift apart by
+/// less than [`Timing::settle_ms`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timing {
-    /// How long a member that has promised uses no share.
+    /// How long a promise not to use shares binds a member.
     pub promise_ms: Millis,
-    /// How long after its request was sent a grant may be accepted.
+    /// How long a grant may be accepted, counted from when its request or stamp was sent.
     pub accept_ms: Millis,
-    /// How long after acceptance work may take to reach its target.
+    /// How long accepted work may take to reach its target.
     pub settle_ms: Millis,
-    /// How long after it was asked for a reading of the record counts.
+    /// How long a read of the record stays valid, counted from when it was requested.
     pub confirm_ms: Millis,
-    /// How long a report of a target counts.
+    /// How long a target's report stays valid.
     pub report_ms: Millis,
 }
 
@@ -34,13 +34,13 @@
 }
 
 impl Timing {
-    /// Returns how long a deposed owner's grants may still reach a target
-    /// after its successor has learnt of the change.
+    /// Returns how long grants of a replaced owner may still reach a target
+    /// after its successor has read the change.
     ///
-    /// The deposed owner may count on a reading asked for just before the
-    /// change, or on a promise that its successor made just before it learnt.
+    /// The replaced owner may rely on a read requested just before the change,
+    /// or on a promise that its successor made just before it read the change.
     pub fn quarantine_ms(&self) -> Millis {
-        let by_reading_ms = self.confirm_ms + self.accept_ms;
-        by_reading_ms.max(self.promise_ms) + self.settle_ms
+        let by_read_ms = self.confirm_ms + self.accept_ms;
+        by_read_ms.max(self.promise_ms) + self.settle_ms
     }
 }
--- a/filbertpaddle-core/tests/limit.rs
+++ b/filbertpaddle-core/tests/limit.rs
@@ -1,4 +1,4 @@
-//! How a target's limit rises and falls.
+//! Adaptation of a target's concurrency limit to its reports.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::limit::Limit;
@@ -20,15 +20,15 @@
 }
 
 #[test]
-fn a_warm_limit_rises_step_by_step_on_evidence() {
+fn a_warm_limit_doubles_only_under_load() {
     let mut limit = Limit::new(&report(0, true, 0));
     assert_eq!(limit.current(), 2);
     limit.on_report(&report(1_000, true, 2));
     assert_eq!(limit.current(), 4);
     limit.on_report(&report(1_500, true, 4));
-    assert_eq!(limit.current(), 4, "too soon for another step");
+    assert_eq!(limit.current(), 4, "less than a step interval has passed");
     limit.on_report(&report(2_500, true, 1));
-    assert_eq!(limit.current(), 4, "an idle target proves nothing");
+    assert_eq!(limit.current(), 4, "less than half of the limit is in use");
     for step in 3..10 {
         limit.on_report(&report(step * 1_000, true, 16));
     }
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_limit_falls_at_once() {
+fn a_target_that_turns_cold_gets_the_cold_limit_at_once() {
     let mut limit = Limit::new(&report(0, true, 16));
     assert_eq!(limit.current(), 16);
     limit.on_report(&report(250, false, 16));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn another_life_of_the_target_starts_at_the_cold_limit() {
+fn a_restarted_target_starts_at_the_cold_limit() {
     let mut limit = Limit::new(&report(0, true, 16));
     let mut restarted = report(250, true, 16);
     restarted.incarnation = 2;
