--- a/filbertpaddle-core/src/grant_mode.rs
+++ b/filbertpaddle-core/src/grant_mode.rs
@@ -1,21 +1,21 @@
-//! Whether a node works under owners or uses its fixed shares.
+//! Mode of a node: sending work under owners' grants or within its fixed shares.
 
 use crate::clock::Millis;
 use crate::timing::Timing;
 
-/// How a node may send work.
+/// Rule under which a node may send work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mode {
     /// Only under grants of pool owners.
     Granted,
-    /// Only within its fixed share of each target, since the given time.
+    /// Only within its fixed share of each target.
     Share {
         /// When the node entered the mode.
         since_ms: Millis,
     },
 }
 
-/// A node's own promise and mode.
+/// A node's mode and its promise not to use shares.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ModeState {
     timing: Timing,
@@ -25,7 +25,7 @@
 }
 
 impl ModeState {
-    /// Returns a node that has just started.
+    /// Returns the state of a node that has just started.
     pub fn new(timing: Timing) -> Self {
         Self {
             timing,
@@ -45,8 +45,8 @@
         self.session
     }
 
-    /// Promises to use no share for a while; returns the session to be sent
-    /// along.
+    /// Promises not to use shares for [`Timing::promise_ms`]; returns the
+    /// session to be sent with the promise.
     ///
     /// Returns `None` in share mode.
     pub fn promise(&mut self, now: Millis) -> Option<u32> {
@@ -57,13 +57,13 @@
         Some(self.session)
     }
 
-    /// Returns whether the node is free of its promise, and so may enter share
-    /// mode.
+    /// Returns whether the last promise has expired, so that the node may enter
+    /// share mode.
     pub fn may_share(&self, now: Millis) -> bool {
         now >= self.promised_until_ms
     }
 
-    /// Enters share mode if no promise forbids it; returns whether it did.
+    /// Enters share mode unless a promise forbids it; returns whether it did.
     pub fn enter_share(&mut self, now: Millis) -> bool {
         if self.mode != Mode::Granted || !self.may_share(now) {
             return false;
--- a/filbertpaddle-core/src/roster.rs
+++ b/filbertpaddle-core/src/roster.rs
@@ -6,25 +6,25 @@
 
 use crate::name::Name;
 
-/// One life of a node.
+/// Identifies one incarnation of a node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId {
     /// Name of the VM.
     pub name: Name,
-    /// Distinguishes two lives of the node; a later life has a higher number.
+    /// Number of the node's incarnation; a restart gets a higher one.
     pub incarnation: u64,
 }
 
-/// A node that takes part in the data centre.
+/// A node that is a member of the data centre.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Which life of which node.
+    /// Identifies the node.
     pub id: NodeId,
     /// Address for peers, `ip:port`.
     pub address: Name,
 }
 
-/// Who owns a pool.
+/// Ownership of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Owner {
     /// Pool of targets.
@@ -38,24 +38,24 @@
 /// The record of a data centre, changed by compare-and-set only.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Roster {
-    /// Number of the change.
+    /// Version of the record; every change raises it.
     pub version: u64,
-    /// Nodes that may own pools and relay, sorted by name.
+    /// Nodes that may own pools or be the relay, sorted by name.
     pub members: Vec<Member>,
     /// Nodes that divide each target's limit when no owner can be confirmed.
     pub sharers: Vec<NodeId>,
-    /// The sharers to be, until every node knows of them.
+    /// Next list of sharers, pending until every node concerned has read it.
     pub next: Option<NextSharers>,
     /// Owners, sorted by pool.
     pub owners: Vec<Owner>,
 }
 
-/// Sharers that are not yet known to all.
+/// A list of sharers that is not yet in force.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NextSharers {
-    /// Version in which this list last changed.
+    /// Version of the record in which this list last changed.
     pub version: u64,
-    /// The nodes.
+    /// Nodes that will divide each target's limit.
     pub sharers: Vec<NodeId>,
 }
 
@@ -65,10 +65,9 @@
     xxh3_64_with_seed(id.name.as_bytes(), seed)
 }
 
-/// Returns a node's part of a limit when `sharers` divide it.
+/// Returns a node's share of a limit that `sharers` divide.
 ///
-/// The parts of all sharers sum to exactly `limit`. A node that is not among
-/// them has none.
+/// The shares sum to exactly `limit`. A node that is not a sharer gets zero.
 pub fn share(sharers: &[NodeId], target: &str, limit: u32, id: &NodeId) -> u32 {
     if !sharers.contains(id) {
         return 0;
@@ -84,7 +83,8 @@
 }
 
 impl Roster {
-    /// Returns the member that comes first for a key among those that `keep` accepts.
+    /// Returns the member with the highest rendezvous weight for a key among
+    /// those that `keep` accepts.
     pub fn rendezvous_first<F>(&self, key: &str, keep: F) -> Option<&Member>
     where
         F: Fn(&Member) -> bool,
@@ -100,29 +100,31 @@
         self.owners.iter().find(|owner| owner.pool == pool)
     }
 
-    /// Returns what a node may use of a limit without an owner.
+    /// Returns a node's share of a limit, to be used without an owner.
     ///
-    /// While a new list of sharers spreads, this is the smaller of both
-    /// parts: nodes that know either version then stay within the limit
+    /// While a new list of sharers is pending, this is the smaller of both
+    /// shares, so that nodes that hold either version stay within the limit
     /// together.
     pub fn share(&self, target: &str, limit: u32, id: &NodeId) -> u32 {
-        let now = share(&self.sharers, target, limit, id);
+        let current = share(&self.sharers, target, limit, id);
         match &self.next {
-            Some(next) => now.min(share(&next.sharers, target, limit, id)),
-            None => now,
+            Some(next) => current.min(share(&next.sharers, target, limit, id)),
+            None => current,
         }
     }
 
-    /// Returns the most that a node may use of a limit under this or the last version.
+    /// Returns the largest share of a limit that a node may use under this or
+    /// the last version of the record.
     pub fn reserve(&self, target: &str, limit: u32, id: &NodeId) -> u32 {
-        let now = share(&self.sharers, target, limit, id);
+        let current = share(&self.sharers, target, limit, id);
         match &self.next {
-            Some(next) => now.max(share(&next.sharers, target, limit, id)),
-            None => now,
+            Some(next) => current.max(share(&next.sharers, target, limit, id)),
+            None => current,
         }
     }
 
-    /// Returns the nodes that may hold or take work: sharers that are not known to be gone.
+    /// Returns the nodes that may hold or take work: all sharers except those
+    /// known to have left.
     pub fn peers(&self) -> &[NodeId] {
         match &self.next {
             Some(next) => &next.sharers,
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Returns the record with a node added, in place of its earlier lives.
+    /// Returns the record with a node added, replacing its earlier incarnations.
     pub fn join(&self, member: Member) -> Self {
         let mut roster = self.clone();
         roster.version += 1;
@@ -147,9 +149,10 @@
         roster
     }
 
-    /// Returns the record without a silent node among the members.
+    /// Returns the record with a silent node removed from the members.
     ///
-    /// The node keeps its share: it may be cut off and still use it.
+    /// The node stays a sharer, since it may be partitioned and still use its
+    /// shares.
     pub fn retire(&self, id: &NodeId) -> Self {
         let mut roster = self.clone();
         roster.version += 1;
@@ -157,13 +160,13 @@
         roster
     }
 
-    /// Returns the record without a node that has certainly ended.
+    /// Returns the record without a node that has certainly stopped.
     pub fn remove(&self, id: &NodeId) -> Self {
         let mut roster = self.retire(id);
         let mut sharers = self.peers().to_vec();
         sharers.retain(|other| other != id);
         if sharers.is_empty() {
-            // The last one to leave divides with nobody.
+            // An empty list needs no agreement, so it is in force at once.
             roster.sharers = sharers;
             roster.next = None;
             return roster;
@@ -172,16 +175,19 @@
         roster
     }
 
-    /// Returns the record with the next sharers in force, if `knows` says that
-    /// every node concerned knows the version that named them.
-    pub fn activate_next_sharers<F>(&self, knows: F) -> Option<Self>
+    /// Returns the record with the next sharers in force, if `has_version`
+    /// confirms that every node concerned holds the version that named them.
+    pub fn activate_next_sharers<F>(&self, has_version: F) -> Option<Self>
     where
         F: Fn(&NodeId, u64) -> bool,
     {
         let next = self.next.as_ref()?;
-        let is_gone = |id: &NodeId| !next.sharers.contains(id);
-        let old = self.sharers.iter().filter(|id| !is_gone(id));
-        if !old.chain(&next.sharers).all(|id| knows(id, next.version)) {
+        let has_left = |id: &NodeId| !next.sharers.contains(id);
+        let old = self.sharers.iter().filter(|id| !has_left(id));
+        if !old
+            .chain(&next.sharers)
+            .all(|id| has_version(id, next.version))
+        {
             return None;
         }
         let mut roster = self.clone();
@@ -191,13 +197,16 @@
         Some(roster)
     }
 
-    /// Returns the record with every pool owned by a member, the first by
-    /// rendezvous if it has to change; `None` if nothing changes.
+    /// Returns the record with every pool owned by a member; `None` if nothing
+    /// changes.
+    ///
+    /// A pool without an owner among the members gets the one with the highest
+    /// rendezvous weight among the members that are sharers already.
     pub fn assign(&self, pools: &[Name]) -> Option<Self> {
         let mut roster = self.clone();
         roster.owners.retain(|owner| pools.contains(&owner.pool));
         for pool in pools {
-            roster.assign_one(pool);
+            roster.assign_pool(pool);
         }
         roster.owners.sort_by(|a, b| a.pool.cmp(&b.pool));
         if roster.owners == self.owners {
@@ -207,12 +216,13 @@
         Some(roster)
     }
 
-    fn assign_one(&mut self, pool: &Name) {
-        // Every owner counts on the promises of all settled sharers, so that
-        // one of them may succeed it.
-        let is_settled = |member: &Member| self.sharers.contains(&member.id);
+    fn assign_pool(&mut self, pool: &Name) {
+        // An owner may grant on the promises of all sharers without reading the
+        // record, so its successor has to be one of them. A pending sharer may
+        // not be known to it yet.
+        let is_sharer = |member: &Member| self.sharers.contains(&member.id);
         let Some(first) = self
-            .rendezvous_first(pool, is_settled)
+            .rendezvous_first(pool, is_sharer)
             .map(|member| member.id.clone())
         else {
             return;
@@ -220,8 +230,8 @@
         let is_member = |id: &NodeId| self.members.iter().any(|member| member.id == *id);
         let owner = self.owner(pool);
         let is_kept = owner.is_some_and(|owner| is_member(&owner.member));
-        // The version only grows, so an epoch taken from it is new even for
-        // a pool that was dropped from the record and comes back.
+        // The version only grows, so an epoch taken from it is new even for a
+        // pool that was removed from the record and is added again.
         let epoch = self.version + 1;
         match self.owners.iter_mut().find(|owner| owner.pool == *pool) {
             Some(_) if is_kept => {}
--- a/filbertpaddle-core/src/slot_request.rs
+++ b/filbertpaddle-core/src/slot_request.rs
@@ -1,4 +1,4 @@
-//! Asks for slots, and what becomes of them.
+//! Requests for slots on targets: placements, refusals and endings.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,7 +8,7 @@
 use crate::outcome::Reason;
 use crate::template::Priority;
 
-/// Identifies an ask among all asks of one pool.
+/// Identifies a slot request among all requests of one pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestId(pub u64);
@@ -25,13 +25,13 @@
     pub id: RequestId,
     /// Customer whose share is charged.
     pub customer: Name,
-    /// Template whose output lengths are learned; unique among customers.
+    /// Template for which output lengths are estimated; unique across customers.
     pub template: Name,
     /// Scheduling priority.
     pub priority: Priority,
-    /// Relative share of tokens of the customer, at least one.
+    /// Weight of the customer in fair sharing of tokens, at least one.
     pub weight: u32,
-    /// Length of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
     /// Most tokens the generation may produce.
     pub max_tokens: u32,
@@ -39,66 +39,66 @@
     pub prefix: u64,
     /// Length of the shared prefix, in whole blocks of the target's cache.
     pub prefix_tokens: u32,
-    /// Digest of the whole request, equal for a resend.
+    /// Digest of the whole request; a resent request has the same.
     pub digest: u64,
-    /// When the ask reached the owner.
+    /// When the request reached the owner.
     pub arrived_ms: Millis,
-    /// When a slot is of no use any more.
+    /// When the request expires in the queue.
     pub deadline_ms: Millis,
 }
 
-/// What the owner knows of one target.
+/// A target's state as the scheduler needs it for placement.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TargetView {
     /// Name of the target.
     pub name: Name,
-    /// Slots that may be granted now; zero keeps the target out.
+    /// Slots that may be granted now; zero excludes the target.
     pub free_slots: u32,
-    /// Tokens that the target's memory holds; zero if not known.
+    /// Capacity of the target's memory in tokens; zero if not known.
     pub capacity_tokens: u64,
     /// Whether the target has warmed up.
     pub warm: bool,
 }
 
-/// A target's report of its load, as of the time it was taken.
+/// A target's load at the time of its report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Load {
-    /// When the numbers were taken, on the owner's clock.
+    /// When the report was taken, on the owner's clock.
     pub taken_ms: Millis,
     /// Tokens in memory.
     pub used_tokens: u64,
-    /// Attempts in the batch.
+    /// Attempts in the running batch.
     pub running: u32,
-    /// Attempts waiting for the batch.
+    /// Attempts waiting to join the batch.
     pub waiting: u32,
     /// Preemptions since the target started.
     pub preemptions: u64,
 }
 
-/// A queued ask and the target chosen for it.
+/// A queued request and the target chosen for it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Placement {
-    /// The ask, removed from the queue.
+    /// The request, removed from the queue.
     pub request: SlotRequest,
     /// Name of the target.
     pub target: Name,
 }
 
-/// An ask that gets no slot. Nothing was sent to a target for it.
+/// A request that gets no slot. Nothing was sent to a target for it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Refusal {
-    /// The refused ask.
+    /// The refused request.
     pub id: RequestId,
     /// Why it is refused.
     pub reason: Reason,
-    /// How long to wait before asking again; `None` if repeating cannot help.
+    /// How long to wait before a retry; `None` if retrying cannot help.
     pub retry_after_ms: Option<Millis>,
 }
 
 /// How the use of a slot ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Ending {
-    /// The target ended the work by itself.
+    /// The target completed the work.
     #[serde(rename = "c")]
     Complete,
     /// The work was cancelled while it ran.
@@ -107,19 +107,19 @@
     /// Nothing was sent to the target.
     #[serde(rename = "u")]
     Unsent,
-    /// The target refused the work before starting it.
+    /// The target refused the work before it started.
     #[serde(rename = "r")]
     Refused,
-    /// The target died or broke the stream while it ran the work.
+    /// The target crashed or the stream broke while the work ran.
     #[serde(rename = "f")]
     Failed,
-    /// Nothing is known of the work; the slot was taken back.
+    /// The outcome is unknown; the owner reclaimed the slot.
     #[serde(rename = "q")]
     Unknown,
 }
 
 impl Ending {
-    /// Returns whether the target certainly does not work on the attempt any more.
+    /// Returns whether the target has certainly stopped working on the attempt.
     pub const fn is_over(self) -> bool {
         matches!(self, Self::Complete | Self::Unsent | Self::Refused)
     }
--- a/filbertpaddle-core/tests/roster.rs
+++ b/filbertpaddle-core/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Fixed shares over changing rosters.
+//! Fixed shares and pool owners while the members of the roster change.
 
 use filbertpaddle_core::roster::Member;
 use filbertpaddle_core::roster::NodeId;
@@ -56,29 +56,29 @@
         prop_assert_eq!(sum, limit);
     }
 
-    // Some know the record before a change and some after it.
+    // Nodes hold different versions of the record, from before and after a change.
     #[test]
-    fn two_versions_stay_within_the_limit(
+    fn shares_under_two_versions_stay_within_the_limit(
         members in 1_usize..20,
         leaving in any::<bool>(),
-        knows in any::<u32>(),
+        holds_new in any::<u32>(),
         limit in 0_u32..40,
-        settles in any::<bool>(),
+        is_activation in any::<bool>(),
     ) {
         let settled = roster(members);
         let changed = match leaving && members > 1 {
             true => settled.remove(&id(0)),
             false => settled.join(member(id(members))),
         };
-        let done = changed.activate_next_sharers(|_, _| true).unwrap_or(changed.clone());
-        let (old, new) = match settles {
-            true => (&changed, &done),
+        let activated = changed.activate_next_sharers(|_, _| true).unwrap_or(changed.clone());
+        let (old, new) = match is_activation {
+            true => (&changed, &activated),
             false => (&settled, &changed),
         };
         let sum: u32 = (0..=members)
             .map(|number| {
-                let known = if knows >> number & 1 == 1 { new } else { old };
-                known.share("runner", limit, &id(number))
+                let held = if holds_new >> number & 1 == 1 { new } else { old };
+                held.share("runner", limit, &id(number))
             })
             .sum();
         prop_assert!(sum <= limit);
@@ -100,11 +100,11 @@
 }
 
 #[test]
-fn sharers_settle_only_when_all_know() {
+fn next_sharers_come_into_force_only_when_all_nodes_hold_the_version() {
     let changed = roster(2).join(member(id(2)));
     assert!(
         changed
-            .activate_next_sharers(|known, _| *known != id(1))
+            .activate_next_sharers(|node, _| *node != id(1))
             .is_none()
     );
     assert!(changed.activate_next_sharers(|_, _| true).is_some());
