--- a/filbertpaddle-core/src/member.rs
+++ b/filbertpaddle-core/src/member.rs
@@ -1,4 +1,4 @@
-//! A node that sends work to the targets of one pool.
+//! Member of a pool: accepts grants, takes work within its shares and tracks what it holds.
 
 use crate::clock::Millis;
 use crate::grant_mode::Mode;
@@ -16,40 +16,43 @@
 use crate::slot::fence;
 use crate::timing::Timing;
 
-/// Why a node must not send work.
+/// Reason why a node must not send work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Refusal {
-    /// The grant's epoch is not that of the owner that last collected.
-    #[error("the grant is of another epoch")]
+    /// The grant is not of the epoch of the last collect request.
+    #[error("grant belongs to another epoch; work not sent")]
     Epoch,
-    /// The owner has counted without this grant.
-    #[error("the grant was made before the owner last collected")]
+    /// The grant was not counted in the last reply to a collect request.
+    #[error("grant precedes the last collect request; work not sent")]
     Collected,
-    /// The grant came too late.
-    #[error("the grant has expired")]
+    /// The grant arrived too late, or the report is too old.
+    #[error("grant or target report has expired; work not sent")]
     Expired,
-    /// The node does not work under grants, or only under grants.
-    #[error("the node is in another mode")]
+    /// The node's mode does not allow this work: grants in share mode or shares
+    /// in granted mode.
+    #[error("node is in another mode; work not sent")]
     Mode,
-    /// Other work for the same cold target has not been sent yet.
-    #[error("other work is about to be sent to the same cold target")]
+    /// Earlier work for the same cold target has not been sent yet.
+    #[error("earlier work for the same cold target has not been sent yet")]
     Unsent,
-    /// The node's share of the target is in use or empty.
-    #[error("the share is in use")]
+    /// The node's share of the target is used up or zero.
+    #[error("share of the target is used up; work not sent")]
     Share,
-    /// No report shows yet that the others keep to their shares.
-    #[error("the target still runs granted work")]
+    /// No report shows yet that all other nodes stay within their shares.
+    #[error(
+        "no report shows all other nodes within their shares of the cold target; work not sent"
+    )]
     Occupied,
 }
 
-/// When a stamp was sent.
+/// A stamp and when it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Stamp {
     number: u64,
     sent_ms: Millis,
 }
 
-/// One node's part in one pool.
+/// A node's state as a member of one pool.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     timing: Timing,
@@ -57,13 +60,13 @@
     mode: Mode,
     session: u32,
     epoch: u64,
-    floor: u64,
+    min_number: u64,
     stamps: Vec<Stamp>,
     next_stamp: u64,
     next_number: u64,
     works: Vec<HeldWork>,
     unsent: Vec<HeldWork>,
-    cleared: Vec<Name>,
+    cleared_targets: Vec<Name>,
 }
 
 impl Member {
@@ -75,51 +78,52 @@
             mode: Mode::Granted,
             session: 0,
             epoch: 0,
-            floor: 0,
+            min_number: 0,
             stamps: Vec::new(),
             next_stamp: 0,
             next_number: 0,
             works: Vec::new(),
             unsent: Vec::new(),
-            cleared: Vec::new(),
+            cleared_targets: Vec::new(),
         }
     }
 
-    /// Returns which node this is.
+    /// Returns the node's identifier.
     pub fn id(&self) -> &NodeId {
         &self.id
     }
 
-    /// Returns the epoch of the owner that last collected.
+    /// Returns the highest epoch of a collect request.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Returns the work that is accepted and not ended.
+    /// Returns the work that was accepted and has not ended.
     pub fn works(&self) -> &[HeldWork] {
         &self.works
     }
 
-    /// Returns the fencing number to be raised at a target before a report
-    /// counts for [`Member::share`].
+    /// Returns the fencing number that must be set at a target before it is
+    /// polled for a report to be used by [`Member::take_share`].
     pub fn share_fence(&self) -> u64 {
         fence(self.epoch, Source::Share)
     }
 
-    /// Follows the node's mode.
+    /// Switches to the node's mode.
     pub fn on_mode(&mut self, mode: Mode, session: u32) {
         if self.mode == mode {
             return;
         }
         self.mode = mode;
         self.session = session;
-        self.cleared.clear();
-        // Grants that were asked for before the node used its share must not
-        // be accepted after it.
+        self.cleared_targets.clear();
+        // Grants requested before the node entered share mode must not be
+        // accepted after it returns to granted mode.
         self.stamps.clear();
     }
 
-    /// Stamps a message to the owner: the node waits for grants from now on.
+    /// Returns a new stamp for a message to the owner; grants that carry it are
+    /// accepted for [`Timing::accept_ms`] from now on.
     pub fn stamp(&mut self, now: Millis) -> u64 {
         let accept_ms = self.timing.accept_ms;
         self.stamps.retain(|stamp| now < stamp.sent_ms + accept_ms);
@@ -131,7 +135,7 @@
         self.next_stamp
     }
 
-    /// Returns a request for a slot.
+    /// Returns a request for a slot, with a new stamp.
     pub fn request_slot(&mut self, now: Millis) -> SlotRequest {
         let stamp = self.stamp(now);
         SlotRequest {
@@ -142,31 +146,33 @@
         }
     }
 
-    /// Tells an owner what the node holds; `None` if the owner is not the
-    /// latest or the node uses its share.
-    pub fn on_collect(&mut self, collect: &CollectRequest) -> Option<CollectReply> {
-        if collect.epoch < self.epoch || self.mode != Mode::Granted {
+    /// Returns the reply to an owner's collect request; `None` if a later owner
+    /// is known or the node is in share mode.
+    ///
+    /// Grants that the owner made before the request are refused from now on.
+    pub fn on_collect(&mut self, request: &CollectRequest) -> Option<CollectReply> {
+        if request.epoch < self.epoch || self.mode != Mode::Granted {
             return None;
         }
-        if collect.epoch > self.epoch {
-            self.epoch = collect.epoch;
-            self.floor = 0;
+        if request.epoch > self.epoch {
+            self.epoch = request.epoch;
+            self.min_number = 0;
         }
-        self.floor = self.floor.max(collect.upto);
+        self.min_number = self.min_number.max(request.upto);
         Some(CollectReply {
             holder: self.id.clone(),
             session: self.session,
-            epoch: collect.epoch,
-            upto: collect.upto,
+            epoch: request.epoch,
+            upto: request.upto,
             works: self.works.clone(),
         })
     }
 
-    /// Accepts a grant: the work counts as held and may be sent at once.
+    /// Accepts a grant: the work counts as held and may be sent.
     ///
     /// # Errors
     ///
-    /// Returns why nothing may be sent under the grant; the slot is then to be
+    /// Returns why no work may be sent under the grant; the slot must then be
     /// released as ended.
     pub fn accept(&mut self, now: Millis, grant: &Grant) -> Result<HeldWork, Refusal> {
         if self.mode != Mode::Granted {
@@ -175,7 +181,7 @@
         if grant.key.epoch != self.epoch || grant.key.holder != self.id {
             return Err(Refusal::Epoch);
         }
-        if grant.key.number < self.floor {
+        if grant.key.number < self.min_number {
             return Err(Refusal::Collected);
         }
         let accept_ms = self.timing.accept_ms;
@@ -185,19 +191,20 @@
         if !is_valid {
             return Err(Refusal::Expired);
         }
-        self.take(grant.key.clone(), &grant.target, grant.cold)
+        self.hold(grant.key.clone(), &grant.target, grant.cold)
     }
 
     /// Takes work within the node's share of a target.
     ///
-    /// A cold target also needs a report, taken since the node lost the owner
-    /// and its last grants have settled, that shows every other node within
-    /// its share. If the target checks fencing numbers, the report must have
-    /// been taken after [`Member::share_fence`] was raised there.
+    /// A cold target also needs a report that shows every other node within its
+    /// share. The report must have been taken at least [`Timing::settle_ms`]
+    /// after the node entered share mode, so that the last grants have arrived.
+    /// If the target checks fencing numbers, it must also have been taken after
+    /// [`Member::share_fence`] was set there.
     ///
     /// # Errors
     ///
-    /// Returns why nothing may be sent.
+    /// Returns why no work may be sent.
     pub fn take_share(
         &mut self,
         now: Millis,
@@ -219,7 +226,7 @@
         if self.running(target) >= share {
             return Err(Refusal::Share);
         }
-        if !report.warm && !self.is_cleared(target, since_ms, report, roster) {
+        if !report.warm && !self.is_clear_for_shares(target, since_ms, report, roster) {
             return Err(Refusal::Occupied);
         }
         let key = WorkKey {
@@ -228,17 +235,17 @@
             source: Source::Share,
             number: self.next_number,
         };
-        let held = self.take(key, target, !report.warm)?;
+        let held = self.hold(key, target, !report.warm)?;
         self.next_number += 1;
         Ok(held)
     }
 
-    /// Notes that accepted work has reached its target or was given up.
+    /// Records that accepted work has reached its target or was given up.
     pub fn on_sent(&mut self, key: &WorkKey) {
         self.unsent.retain(|held| held.key != *key);
     }
 
-    /// Notes that work has ended; returns whether it was held.
+    /// Records that work has ended; returns whether it was held.
     pub fn on_end(&mut self, key: &WorkKey) -> bool {
         self.on_sent(key);
         let before = self.works.len();
@@ -246,15 +253,15 @@
         self.works.len() < before
     }
 
-    /// Returns how much work the node holds on a target.
+    /// Returns the number of pieces of work that the node holds on a target.
     pub fn running(&self, target: &Name) -> u32 {
         let count = self.works.iter().filter(|held| held.target == *target);
         u32::try_from(count.count()).unwrap_or(u32::MAX)
     }
 
-    fn take(&mut self, key: WorkKey, target: &Name, cold: bool) -> Result<HeldWork, Refusal> {
-        // A node that is paused before it sends can then exceed a cold
-        // target's limit by one only.
+    fn hold(&mut self, key: WorkKey, target: &Name, cold: bool) -> Result<HeldWork, Refusal> {
+        // With one unsent piece of work at most, a node that is paused before
+        // it sends can exceed a cold target's limit by one only.
         if cold && self.unsent.iter().any(|held| held.target == *target) {
             return Err(Refusal::Unsent);
         }
@@ -267,28 +274,29 @@
         Ok(held)
     }
 
-    fn is_cleared(
+    fn is_clear_for_shares(
         &mut self,
         target: &Name,
         since_ms: Millis,
         report: &Report,
         roster: &Roster,
     ) -> bool {
-        if self.cleared.contains(target) {
+        if self.cleared_targets.contains(target) {
             return true;
         }
         let is_settled = report.taken_ms >= since_ms + self.timing.settle_ms;
-        let is_sealed = report.fence.is_none_or(|fence| fence >= self.share_fence());
-        let is_clear = is_settled && is_sealed && keep_shares(target, report, roster, &self.id);
+        let is_fenced = report.fence.is_none_or(|fence| fence >= self.share_fence());
+        let is_clear =
+            is_settled && is_fenced && others_within_shares(target, report, roster, &self.id);
         if is_clear {
-            self.cleared.push(target.clone());
+            self.cleared_targets.push(target.clone());
         }
         is_clear
     }
 }
 
-/// Returns whether a cold target runs no more than its share of every other node.
-fn keep_shares(target: &Name, report: &Report, roster: &Roster, own: &NodeId) -> bool {
+/// Returns whether a report shows every other node within its share of a cold target.
+fn others_within_shares(target: &Name, report: &Report, roster: &Roster, own: &NodeId) -> bool {
     let others = report.works.iter().filter(|key| key.holder != *own);
     others.clone().all(|key| {
         let used = others.clone().filter(|other| other.holder == key.holder);
--- a/filbertpaddle-core/src/membership.rs
+++ b/filbertpaddle-core/src/membership.rs
@@ -98,9 +98,9 @@
         }
     }
 
-    /// Records that a read of the record, requested at `asked_ms`, succeeded.
-    pub fn on_record_read(&mut self, asked_ms: Millis) {
-        self.read_ms = self.read_ms.max(Some(asked_ms));
+    /// Records that a read of the record, requested at `requested_ms`, succeeded.
+    pub fn on_record_read(&mut self, requested_ms: Millis) {
+        self.read_ms = self.read_ms.max(Some(requested_ms));
     }
 
     /// Records a heartbeat and returns the answer.
@@ -220,6 +220,6 @@
 /// This is so when the relay has not read the record recently and a peer, which
 /// may be an owner, is silent.
 pub fn must_enter_share_mode(now: Millis, confirmation: &Confirmation, timing: &Timing) -> bool {
-    let recent = |asked_ms: Millis| now < asked_ms + timing.confirm_ms;
+    let recent = |requested_ms: Millis| now < requested_ms + timing.confirm_ms;
     !confirmation.all_peers_heard && !confirmation.read_ms.is_some_and(recent)
 }
--- a/filbertpaddle-core/src/owner.rs
+++ b/filbertpaddle-core/src/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of a pool: counts, queues and grants slots under an epoch.
+//! The owner of a pool: queues slot requests, counts work and grants slots under an epoch.
 
 use std::collections::VecDeque;
 
@@ -17,49 +17,51 @@
 use crate::slot::WorkKey;
 use crate::timing::Timing;
 
-/// Requests that are tried before none is granted.
-const LOOKAHEAD: usize = 8;
+/// Number of queued requests that are tried before none is granted.
+const LOOKAHEAD_REQUESTS: usize = 8;
 
 /// A member's request for a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SlotRequest {
-    /// Who asks.
+    /// Node that requests the slot.
     pub holder: NodeId,
-    /// Number of the request, unique for the holder's life.
+    /// Number of the request, unique within the holder's incarnation.
     pub number: u64,
-    /// The holder's stamp when it asked.
+    /// The holder's stamp at the time of the request.
     pub stamp: u64,
-    /// The holder's session when it asked.
+    /// The holder's session at the time of the request.
     pub session: u32,
 }
 
-/// Asks a member what it holds; it refuses grants below these from now on.
+/// Asks a member for the work that it holds.
+///
+/// From then on the member refuses grants of this epoch numbered below `upto`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CollectRequest {
     /// The member.
     pub holder: NodeId,
-    /// Epoch of the owner that asks.
+    /// Epoch of the owner that sends the request.
     pub epoch: u64,
     /// Number of the owner's next grant.
     pub upto: u64,
 }
 
-/// A member's answer to [`CollectRequest`].
+/// A member's reply to a [`CollectRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CollectReply {
     /// The member.
     pub holder: NodeId,
     /// The member's session.
     pub session: u32,
-    /// Epoch of the owner that asked.
+    /// Epoch of the owner that sent the request.
     pub epoch: u64,
-    /// Number of the owner's next grant when it asked.
+    /// Number of the owner's next grant at the time of the request.
     pub upto: u64,
-    /// All work that the member has accepted and not ended.
+    /// All work that the member has accepted and that has not ended.
     pub works: Vec<HeldWork>,
 }
 
-/// One pool of targets as its owner sees it.
+/// The owner's state of one pool of targets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Owner {
     timing: Timing,
@@ -74,9 +76,9 @@
 }
 
 impl Owner {
-    /// Takes over a pool.
+    /// Returns the state of an owner that takes over a pool.
     ///
-    /// `now` must not be earlier than when the record came to name this owner.
+    /// `now` must not be earlier than the change of the record that named this owner.
     pub fn new(timing: Timing, epoch: u64, now: Millis, roster: Roster) -> Self {
         let peers = roster.peers().iter().cloned().map(Peer::new).collect();
         Self {
@@ -92,17 +94,17 @@
         }
     }
 
-    /// Returns the fencing number of this ownership.
+    /// Returns the epoch, which fences this ownership from earlier ones.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Returns the targets and the work counted on them.
+    /// Returns the ledgers of the pool's targets.
     pub fn ledgers(&self) -> &[Ledger] {
         &self.ledgers
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of queued requests.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
@@ -114,14 +116,16 @@
         }
     }
 
-    /// Sets how much of a target's limit may be used, in thousandths.
+    /// Sets the portion of a target's limit that may be used, in thousandths.
     pub fn set_portion(&mut self, target: &Name, per_mille: u16) {
         if let Some(ledger) = self.ledger_mut(target) {
             ledger.set_portion(per_mille);
         }
     }
 
-    /// Takes in a later version of the record that still names this owner.
+    /// Applies a later version of the record that still names this owner.
+    ///
+    /// Requests of members that left are dropped; their work becomes orphaned.
     pub fn on_roster(&mut self, now: Millis, roster: Roster) {
         if roster.version <= self.roster.version {
             return;
@@ -134,131 +138,140 @@
                 self.peers.push(Peer::new(id.clone()));
             }
         }
-        self.queue.retain(|ask| ids.contains(&ask.holder));
+        self.queue.retain(|request| ids.contains(&request.holder));
         for ledger in &mut self.ledgers {
             ledger.mark_orphaned(now, |key| !ids.contains(&key.holder));
         }
     }
 
-    /// Notes that a reading of the record asked for at `asked_ms` named this owner and epoch.
-    pub fn on_confirm(&mut self, asked_ms: Millis) {
-        self.confirmed_ms = self.confirmed_ms.max(Some(asked_ms));
+    /// Records that a read of the record requested at `requested_ms` named this owner and epoch.
+    pub fn on_confirm(&mut self, requested_ms: Millis) {
+        self.confirmed_ms = self.confirmed_ms.max(Some(requested_ms));
     }
 
-    /// Notes a member's promise, which it made while it knew no newer record.
+    /// Records a member's promise, made while the member held no newer record.
     pub fn on_promise(&mut self, id: &NodeId, promise: Promise) {
         if let Some(peer) = self.peer_mut(id) {
             peer.on_promise(promise);
         }
     }
 
-    /// Forgets what a member told, since messages between it and here may be lost.
+    /// Handles a lost connection to a member: messages may be lost, so its work
+    /// has to be collected again and its queued requests are dropped.
     pub fn on_disconnect(&mut self, id: &NodeId) {
         if let Some(peer) = self.peer_mut(id) {
             peer.collected = None;
         }
-        self.queue.retain(|ask| ask.holder != *id);
+        self.queue.retain(|request| request.holder != *id);
     }
 
-    /// Returns the questions to members whose work is not fully counted.
+    /// Returns the collect requests to members whose work is not completely counted.
     pub fn due_collects(&self) -> Vec<CollectRequest> {
         self.peers
             .iter()
             .filter(|peer| peer.is_collect_due())
-            .map(|peer| self.collect(peer))
+            .map(|peer| self.collect_request(peer))
             .collect()
     }
 
-    /// Returns the question to every member what it holds, to find what lost
-    /// messages have left counted.
+    /// Returns a collect request to every member, to find slots that are still
+    /// counted because a release was lost.
     pub fn recount_requests(&self) -> Vec<CollectRequest> {
-        self.peers.iter().map(|peer| self.collect(peer)).collect()
+        self.peers
+            .iter()
+            .map(|peer| self.collect_request(peer))
+            .collect()
     }
 
-    /// Takes in what a member holds that was asked before.
+    /// Applies the reply of a member whose work had been collected before.
     ///
-    /// Work that it does not hold any more stays counted until a report no
-    /// longer shows it, since its end is not known.
-    pub fn on_recount_reply(&mut self, now: Millis, holding: &CollectReply) {
+    /// Counted work that the member does not hold is orphaned: its end is not
+    /// known, so it stays counted until a report does not show it.
+    pub fn on_recount_reply(&mut self, now: Millis, reply: &CollectReply) {
         let epoch = self.epoch;
         let is_counted = |key: &WorkKey| {
-            key.holder == holding.holder
+            key.holder == reply.holder
                 && key.source == Source::Granted
                 && key.epoch == epoch
-                && key.number < holding.upto
+                && key.number < reply.upto
         };
-        let is_held = |key: &WorkKey| holding.works.iter().any(|held| held.key == *key);
+        let is_held = |key: &WorkKey| reply.works.iter().any(|held| held.key == *key);
         for ledger in &mut self.ledgers {
             ledger.mark_orphaned(now, |key| is_counted(key) && !is_held(key));
         }
     }
 
-    /// Returns whether a member has told all that it held in its session.
+    /// Returns whether a member's work has been collected in its session.
     pub fn has_collected(&self, holder: &NodeId, session: u32) -> bool {
         self.peer(holder)
             .is_some_and(|peer| peer.collected == Some(session))
     }
 
-    /// Takes in what a member holds.
-    pub fn on_collect_reply(&mut self, holding: &CollectReply) {
+    /// Applies a member's reply: replaces what is counted for it.
+    ///
+    /// Replies of an earlier session or to another epoch are ignored.
+    pub fn on_collect_reply(&mut self, reply: &CollectReply) {
         let epoch = self.epoch;
-        if holding.epoch != epoch {
+        if reply.epoch != epoch {
             return;
         }
-        let Some(peer) = self.peer_mut(&holding.holder) else {
+        let Some(peer) = self.peer_mut(&reply.holder) else {
             return;
         };
         if peer
             .collected
-            .is_some_and(|session| session > holding.session)
+            .is_some_and(|session| session > reply.session)
         {
             return;
         }
-        peer.collected = Some(holding.session);
+        peer.collected = Some(reply.session);
         peer.has_reported = true;
-        for held in &holding.works {
+        for held in &reply.works {
             self.add_target(&held.target);
         }
         for ledger in &mut self.ledgers {
-            let works = holding.works.iter();
+            let works = reply.works.iter();
             let held: Vec<WorkKey> = works
                 .filter(|held| held.target == ledger.target)
                 .map(|held| held.key.clone())
                 .collect();
-            ledger.replace(epoch, &holding.holder, holding.upto, &held);
+            ledger.replace(epoch, &reply.holder, reply.upto, &held);
         }
     }
 
-    /// Queues a request; returns whether its holder may be granted slots now.
-    pub fn on_request(&mut self, ask: SlotRequest) -> bool {
-        self.on_stamp(&ask.holder, ask.stamp);
-        let Some(peer) = self.peer(&ask.holder) else {
+    /// Queues a request; returns whether it was queued.
+    ///
+    /// It is not queued unless the holder's work has been collected in the
+    /// session of the request.
+    pub fn on_request(&mut self, request: SlotRequest) -> bool {
+        self.on_stamp(&request.holder, request.stamp);
+        let Some(peer) = self.peer(&request.holder) else {
             return false;
         };
-        if peer.collected != Some(ask.session) {
+        if peer.collected != Some(request.session) {
             return false;
         }
-        self.queue.push_back(ask);
+        self.queue.push_back(request);
         true
     }
 
-    /// Notes a member's stamp: it still waits for its requests.
+    /// Records a member's latest stamp, which renews the time in which it accepts grants.
     pub fn on_stamp(&mut self, holder: &NodeId, stamp: u64) {
         if let Some(peer) = self.peer_mut(holder) {
             peer.stamp = peer.stamp.max(stamp);
         }
     }
 
-    /// Forgets a request that its holder has given up.
+    /// Removes a request that its holder has given up.
     pub fn on_withdraw(&mut self, holder: &NodeId, number: u64) {
         self.queue
-            .retain(|ask| ask.holder != *holder || ask.number != number);
+            .retain(|request| request.holder != *holder || request.number != number);
     }
 
-    /// Takes back a slot.
+    /// Releases a slot.
     ///
-    /// If the holder does not know that the work has `ended`, the slot stays
-    /// counted until a report shows it gone.
+    /// Unless the work has certainly `ended`, the slot stays counted until a
+    /// report does not show it.
     pub fn on_release(&mut self, now: Millis, key: &WorkKey, ended: bool) {
         for ledger in &mut self.ledgers {
             match ended {
@@ -268,9 +281,9 @@
         }
     }
 
-    /// Takes in a target's report.
+    /// Applies a target's report to its ledger.
     pub fn on_report(&mut self, now: Millis, target: &Name, report: &Report) {
-        let clear_ms = self.clear_ms();
+        let complete_ms = self.complete_ms();
         let timing = self.timing;
         let epoch = self.epoch;
         let peers = &self.peers;
@@ -283,16 +296,16 @@
             .iter_mut()
             .find(|ledger| ledger.target == *target)
         {
-            ledger.on_report(epoch, clear_ms, report, is_count_complete, &timing);
+            ledger.on_report(epoch, complete_ms, report, is_count_complete, &timing);
         }
     }
 
     /// Returns whether this owner may grant slots now.
     ///
-    /// Either the record named it a short while ago, or every member knew no
-    /// newer record a short while ago, its successor among them.
+    /// Either a recent read of the record named it, or every member has recently
+    /// promised while it held no newer record; a successor would be one of them.
     pub fn may_grant(&self, now: Millis) -> bool {
-        let recent = |asked_ms: Millis| now < asked_ms + self.timing.confirm_ms;
+        let recent = |requested_ms: Millis| now < requested_ms + self.timing.confirm_ms;
         self.confirmed_ms.is_some_and(recent)
             || self
                 .peers
@@ -300,17 +313,17 @@
                 .all(|peer| peer.promise_covers_grant(now, &self.timing))
     }
 
-    /// Grants what can be granted now.
+    /// Grants slots to queued requests as long as one can be granted.
     pub fn grant_all(&mut self, now: Millis) -> Vec<Grant> {
         let mut grants = Vec::new();
         if !self.may_grant(now) {
             return grants;
         }
-        while let Some((position, index)) = self.next(now) {
-            let Some(ask) = self.queue.remove(position) else {
+        while let Some((position, index)) = self.next_grantable(now) {
+            let Some(request) = self.queue.remove(position) else {
                 break;
             };
-            grants.push(self.grant(now, index, ask));
+            grants.push(self.grant(now, index, request));
         }
         grants
     }
@@ -320,29 +333,29 @@
         self.roster.peers()
     }
 
-    /// Returns whether a request still waits.
-    pub fn is_queued(&self, ask: &SlotRequest) -> bool {
-        self.queue.contains(ask)
+    /// Returns whether a request is still queued.
+    pub fn is_queued(&self, request: &SlotRequest) -> bool {
+        self.queue.contains(request)
     }
 
-    /// Grants a slot on one target to a request that waits, if there is room.
-    pub fn grant_at(&mut self, now: Millis, target: &Name, ask: &SlotRequest) -> Option<Grant> {
-        let position = self.queue.iter().position(|other| other == ask)?;
+    /// Grants a slot on one target to a queued request, if the target has room.
+    pub fn grant_at(&mut self, now: Millis, target: &Name, request: &SlotRequest) -> Option<Grant> {
+        let position = self.queue.iter().position(|other| other == request)?;
         let index = self
             .ledgers
             .iter()
             .position(|ledger| ledger.target == *target)?;
-        let room = self.ledger_room(now, &self.ledgers[index], Some(&ask.holder));
+        let room = self.ledger_room(now, &self.ledgers[index], Some(&request.holder));
         if room == 0 || !self.may_grant(now) {
             return None;
         }
-        let ask = self.queue.remove(position)?;
-        Some(self.grant(now, index, ask))
+        let request = self.queue.remove(position)?;
+        Some(self.grant(now, index, request))
     }
 
-    /// Returns how many more slots a target has for the requests that wait.
+    /// Returns the number of free slots on a target for the queued requests.
     ///
-    /// Room that is kept for one member counts if that member waits.
+    /// Slots reserved for one member count if that member has a queued request.
     pub fn room_at(&self, now: Millis, ledger: &Ledger) -> u32 {
         let room = self.ledger_room(now, ledger, None);
         if room > 0 {
@@ -350,13 +363,13 @@
         }
         self.queue
             .iter()
-            .take(LOOKAHEAD)
-            .map(|ask| self.ledger_room(now, ledger, Some(&ask.holder)))
+            .take(LOOKAHEAD_REQUESTS)
+            .map(|request| self.ledger_room(now, ledger, Some(&request.holder)))
             .max()
             .unwrap_or(0)
     }
 
-    /// Returns how many more slots the pool has now.
+    /// Returns the number of free slots in the pool that no member has reserved.
     pub fn room(&self, now: Millis) -> u32 {
         self.ledgers
             .iter()
@@ -364,9 +377,9 @@
             .sum()
     }
 
-    fn grant(&mut self, now: Millis, index: usize, ask: SlotRequest) -> Grant {
+    fn grant(&mut self, now: Millis, index: usize, request: SlotRequest) -> Grant {
         let key = WorkKey {
-            holder: ask.holder,
+            holder: request.holder,
             epoch: self.epoch,
             source: Source::Granted,
             number: self.next_number,
@@ -379,20 +392,24 @@
         Grant {
             key,
             target: ledger.target.clone(),
-            request: ask.number,
+            request: request.number,
             stamp,
             cold: ledger.limit(now, &timing).is_none_or(Limit::is_cold),
         }
     }
 
-    /// Returns the first request that can be granted, and its target's index.
-    fn next(&self, now: Millis) -> Option<(usize, usize)> {
-        let asks = self.queue.iter().take(LOOKAHEAD).enumerate();
-        asks.filter_map(|(position, ask)| Some((position, self.roomiest(now, &ask.holder)?)))
+    /// Returns the position of the first request that can be granted and the
+    /// index of its target.
+    fn next_grantable(&self, now: Millis) -> Option<(usize, usize)> {
+        let requests = self.queue.iter().take(LOOKAHEAD_REQUESTS).enumerate();
+        requests
+            .filter_map(|(position, request)| {
+                Some((position, self.target_with_most_room(now, &request.holder)?))
+            })
             .next()
     }
 
-    fn roomiest(&self, now: Millis, holder: &NodeId) -> Option<usize> {
+    fn target_with_most_room(&self, now: Millis, holder: &NodeId) -> Option<usize> {
         let ledgers = self.ledgers.iter().enumerate();
         ledgers
             .map(|(index, ledger)| (self.ledger_room(now, ledger, Some(holder)), index))
@@ -401,7 +418,7 @@
             .map(|(_, index)| index)
     }
 
-    /// Returns how many more slots a target has, the first of them for `holder`.
+    /// Returns the number of free slots on a target, the first of them for `holder`.
     fn ledger_room(&self, now: Millis, ledger: &Ledger, holder: Option<&NodeId>) -> u32 {
         let Some(limit) = ledger.limit(now, &self.timing) else {
             return 0;
@@ -416,8 +433,8 @@
             .saturating_sub(reserved)
     }
 
-    /// Sums what members may send to a cold target beyond what is counted,
-    /// once `holder` has one more slot there.
+    /// Returns the slots to reserve on a cold target for work that members may
+    /// send beyond what is counted, once `holder` has one more slot there.
     fn reserved(&self, now: Millis, ledger: &Ledger, limit: u32, holder: Option<&NodeId>) -> u32 {
         self.peers
             .iter()
@@ -425,8 +442,8 @@
             .map(|peer| {
                 let used = ledger.used_by(&peer.id);
                 let granted = used + u32::from(holder == Some(&peer.id));
-                // A member that this owner never heard may be paused just
-                // before it sends under an earlier owner's grant.
+                // A member that never replied to this owner may be paused just
+                // before it sends work under an earlier owner's grant.
                 let is_known = peer.has_reported || ledger.is_fenced();
                 let share = self.roster.reserve(&ledger.target, limit, &peer.id);
                 share
@@ -436,16 +453,16 @@
             .sum()
     }
 
-    /// Returns from when on a report shows all work that is not counted here.
-    fn clear_ms(&self) -> Millis {
-        let all_told = self.peers.iter().all(|peer| peer.has_reported);
-        match all_told {
+    /// Returns the time from which a report shows all work that is not counted here.
+    fn complete_ms(&self) -> Millis {
+        let all_reported = self.peers.iter().all(|peer| peer.has_reported);
+        match all_reported {
             true => self.since_ms + self.timing.settle_ms,
             false => self.since_ms + self.timing.quarantine_ms(),
         }
     }
 
-    fn collect(&self, peer: &Peer) -> CollectRequest {
+    fn collect_request(&self, peer: &Peer) -> CollectRequest {
         CollectRequest {
             holder: peer.id.clone(),
             epoch: self.epoch,
