--- a/filbertpaddle-core/src/member.rs
+++ b/filbertpaddle-core/src/member.rs
@@ -21,28 +21,28 @@
 pub enum Refusal {
     /// The grant is not of the epoch of the last collect request.
     #[error("grant belongs to another epoch; work not sent")]
-    Epoch,
+    WrongEpoch,
     /// The grant was not counted in the last reply to a collect request.
     #[error("grant precedes the last collect request; work not sent")]
-    Collected,
+    PrecedesCollect,
     /// The grant arrived too late, or the report is too old.
     #[error("grant or target report has expired; work not sent")]
     Expired,
     /// The node's mode does not allow this work: grants in share mode or shares
     /// in granted mode.
     #[error("node is in another mode; work not sent")]
-    Mode,
+    WrongMode,
     /// Earlier work for the same cold target has not been sent yet.
     #[error("earlier work for the same cold target has not been sent yet")]
-    Unsent,
+    PreviousUnsent,
     /// The node's share of the target is used up or zero.
     #[error("share of the target is used up; work not sent")]
-    Share,
+    ShareExhausted,
     /// No report shows yet that all other nodes stay within their shares.
     #[error(
         "no report shows all other nodes within their shares of the cold target; work not sent"
     )]
-    Occupied,
+    UnconfirmedShares,
 }
 
 /// A stamp and when it was sent.
@@ -176,13 +176,13 @@
     /// released as ended.
     pub fn accept(&mut self, now: Millis, grant: &Grant) -> Result<HeldWork, Refusal> {
         if self.mode != Mode::Granted {
-            return Err(Refusal::Mode);
+            return Err(Refusal::WrongMode);
         }
         if grant.key.epoch != self.epoch || grant.key.holder != self.id {
-            return Err(Refusal::Epoch);
+            return Err(Refusal::WrongEpoch);
         }
         if grant.key.number < self.min_number {
-            return Err(Refusal::Collected);
+            return Err(Refusal::PrecedesCollect);
         }
         let accept_ms = self.timing.accept_ms;
         let mut stamps = self.stamps.iter();
@@ -213,7 +213,7 @@
         roster: &Roster,
     ) -> Result<HeldWork, Refusal> {
         let Mode::Share { since_ms } = self.mode else {
-            return Err(Refusal::Mode);
+            return Err(Refusal::WrongMode);
         };
         if now.since(report.taken_ms) > self.timing.report_ms {
             return Err(Refusal::Expired);
@@ -224,10 +224,10 @@
         };
         let share = roster.share(target, limit, &self.id);
         if self.running(target) >= share {
-            return Err(Refusal::Share);
+            return Err(Refusal::ShareExhausted);
         }
         if !report.warm && !self.is_clear_for_shares(target, since_ms, report, roster) {
-            return Err(Refusal::Occupied);
+            return Err(Refusal::UnconfirmedShares);
         }
         let key = WorkKey {
             holder: self.id.clone(),
@@ -263,7 +263,7 @@
         // With one unsent piece of work at most, a node that is paused before
         // it sends can exceed a cold target's limit by one only.
         if cold && self.unsent.iter().any(|held| held.target == *target) {
-            return Err(Refusal::Unsent);
+            return Err(Refusal::PreviousUnsent);
         }
         let held = HeldWork {
             key,
--- a/filbertpaddle-core/tests/recount.rs
+++ b/filbertpaddle-core/tests/recount.rs
@@ -1,4 +1,6 @@
-//! An owner finds slots that lost messages have left counted.
+//! Recount by a pool's owner of the work that members hold.
+//!
+//! Without it, a slot whose release message was lost would stay counted forever.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
@@ -39,13 +41,13 @@
     }
 }
 
-/// An owner that has long stood, with one member that holds nothing.
-struct Bench {
+/// An owner past its quarantine, with one member that holds no work.
+struct Harness {
     owner: Owner,
     now: Millis,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
         let roster = Roster {
             version: 1,
@@ -54,21 +56,23 @@
         };
         let mut owner = Owner::new(Timing::default(), 1, Millis::ZERO, roster);
         owner.add_target(&TARGET);
-        let mut bench = Self {
+        let mut harness = Self {
             owner,
             now: Millis::from_secs(60),
         };
-        bench.keep_standing();
-        for collect in bench.owner.due_collects() {
-            bench.owner.on_collect_reply(&holding(&collect, Vec::new()));
+        harness.renew_confirmation();
+        for collect in harness.owner.due_collects() {
+            harness
+                .owner
+                .on_collect_reply(&collect_reply(&collect, Vec::new()));
         }
-        bench
+        harness
             .owner
-            .on_report(bench.now, &TARGET, &report(bench.now, Vec::new()));
-        bench
+            .on_report(harness.now, &TARGET, &report(harness.now, Vec::new()));
+        harness
     }
 
-    fn keep_standing(&mut self) {
+    fn renew_confirmation(&mut self) {
         let promise = Promise {
             session: 1,
             made_ms: self.now,
@@ -77,7 +81,7 @@
         self.owner.on_confirm(self.now);
     }
 
-    fn ask(&mut self, number: u64) -> Vec<Grant> {
+    fn request(&mut self, number: u64) -> Vec<Grant> {
         self.owner.on_request(SlotRequest {
             holder: member(),
             number,
@@ -87,9 +91,13 @@
         self.owner.grant_all(self.now)
     }
 
-    fn pass(&mut self, span: Millis, works: Vec<filbertpaddle_core::slot::WorkKey>) -> Vec<Grant> {
+    fn advance(
+        &mut self,
+        span: Millis,
+        works: Vec<filbertpaddle_core::slot::WorkKey>,
+    ) -> Vec<Grant> {
         self.now = self.now + span;
-        self.keep_standing();
+        self.renew_confirmation();
         self.owner
             .on_report(self.now, &TARGET, &report(self.now, works));
         self.owner.grant_all(self.now)
@@ -98,12 +106,12 @@
     fn recount(&mut self, works: &[HeldWork]) {
         for collect in self.owner.recount_requests() {
             self.owner
-                .on_recount_reply(self.now, &holding(&collect, works.to_vec()));
+                .on_recount_reply(self.now, &collect_reply(&collect, works.to_vec()));
         }
     }
 }
 
-fn holding(collect: &CollectRequest, works: Vec<HeldWork>) -> CollectReply {
+fn collect_reply(collect: &CollectRequest, works: Vec<HeldWork>) -> CollectReply {
     CollectReply {
         holder: collect.holder.clone(),
         session: 1,
@@ -115,42 +123,42 @@
 
 #[test]
 fn a_slot_whose_release_was_lost_is_freed() {
-    let mut bench = Bench::new();
-    assert_eq!(bench.ask(1).len(), 1);
-    assert_eq!(bench.ask(2), [], "the limit is used");
-    // The work ended and the release was lost.
+    let mut harness = Harness::new();
+    assert_eq!(harness.request(1).len(), 1);
+    assert_eq!(harness.request(2), [], "the limit is used");
+    // The work ended and the release message was lost.
     for _ in 0..5 {
-        assert_eq!(bench.pass(Millis::from_secs(10), Vec::new()), []);
+        assert_eq!(harness.advance(Millis::from_secs(10), Vec::new()), []);
     }
-    bench.recount(&[]);
-    let granted = bench.pass(Timing::default().settle_ms, Vec::new());
+    harness.recount(&[]);
+    let granted = harness.advance(Timing::default().settle_ms, Vec::new());
     assert_eq!(granted.len(), 1, "the slot is free again");
 }
 
 #[test]
 fn work_that_a_report_still_shows_stays_counted() {
-    let mut bench = Bench::new();
-    let key = bench.ask(1).remove(0).key;
-    bench.ask(2);
-    bench.recount(&[]);
+    let mut harness = Harness::new();
+    let key = harness.request(1).remove(0).key;
+    harness.request(2);
+    harness.recount(&[]);
     for _ in 0..5 {
-        let granted = bench.pass(Millis::from_secs(10), vec![key.clone()]);
+        let granted = harness.advance(Millis::from_secs(10), vec![key.clone()]);
         assert_eq!(granted, [], "the target still runs it");
     }
 }
 
 #[test]
-fn work_that_its_holder_still_holds_stays_counted() {
-    let mut bench = Bench::new();
-    let grant = bench.ask(1).remove(0);
-    bench.ask(2);
+fn work_that_its_holder_reports_stays_counted() {
+    let mut harness = Harness::new();
+    let grant = harness.request(1).remove(0);
+    harness.request(2);
     let held = HeldWork {
         key: grant.key,
         target: TARGET,
     };
     for _ in 0..5 {
-        bench.recount(std::slice::from_ref(&held));
-        let granted = bench.pass(Millis::from_secs(10), Vec::new());
+        harness.recount(std::slice::from_ref(&held));
+        let granted = harness.advance(Millis::from_secs(10), Vec::new());
         assert_eq!(granted, [], "it may not have reached the target yet");
     }
 }
