--- a/filbertpaddle-core/tests/owner_model/main.rs
+++ b/filbertpaddle-core/tests/owner_model/main.rs
@@ -1,8 +1,7 @@
-//! Model check of pool ownership, grants and shares on one cold target.
+//! Model check: owners and shares together never exceed the limit of a cold target.
 //!
-//! The search is breadth first over every order of the steps that
-//! `world.rs` lists, until its clock reaches the horizon. Every run prints
-//! the number of states.
+//! A breadth-first search visits every order of the steps in `world.rs` until
+//! the model's clock reaches the horizon. Every run prints the number of states.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -18,60 +17,63 @@
 use world::Setup;
 use world::World;
 
-static TURN: Mutex<()> = Mutex::new(());
+static SEARCH_LOCK: Mutex<()> = Mutex::new(());
 
-/// Searches all states; returns the shortest way to a violation.
+/// Searches all states; returns the shortest path to a violation.
 fn search(name: &str, setup: &Setup) -> Option<Vec<World>> {
-    // One at a time, as each holds millions of states.
-    let turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
-    let seen = Cell::new(0_u64);
+    // Searches run one at a time, since each keeps millions of states in memory.
+    let guard = SEARCH_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+    let visited = Cell::new(0_u64);
     let found = bfs(
         &World::new(setup),
         |world| world.successors(setup),
         |world| {
-            seen.set(seen.get() + 1);
+            visited.set(visited.get() + 1);
             world.is_violated(setup)
         },
     );
     println!(
         "{name}: {} states, horizon {} ticks, violation after {:?} steps",
-        seen.get(),
-        setup.horizon,
+        visited.get(),
+        setup.horizon_ticks,
         found.as_ref().map(|path| path.len() - 1),
     );
-    drop(turn);
+    drop(guard);
     found
 }
 
 fn assert_holds(name: &str, setup: &Setup) {
     if let Some(path) = search(name, setup) {
         let steps: Vec<_> = path.iter().map(|world| world.step.clone()).collect();
-        panic!("{name} is violated by {steps:#?}\n{:#?}", path.last());
+        panic!(
+            "{name}: limit exceeded after {steps:#?}\n{:#?}",
+            path.last()
+        );
     }
 }
 
-fn assert_caught(name: &str, setup: &Setup) {
-    assert!(search(name, setup).is_some(), "{name} was not caught");
+fn assert_fault_found(name: &str, setup: &Setup) {
+    assert!(search(name, setup).is_some(), "{name}: no violation found");
 }
 
 #[test]
-fn successor_after_crash_and_pause() {
+fn owner_change_keeps_the_limit() {
     assert_holds("succession", &Setup::succession());
 }
 
 #[test]
-fn successor_of_a_limit_of_two() {
+fn owner_change_keeps_a_limit_of_two() {
     let setup = Setup {
         limit: 2,
         budget: Budget {
             works: 3,
-            readings: 1,
+            record_reads: 1,
             promises: 0,
-            holdings: 0,
+            collect_replies: 0,
             ..Setup::succession().budget
         },
-        horizon: 5,
-        messages: 1,
+        horizon_ticks: 5,
+        max_messages: 1,
         ..Setup::succession()
     };
     assert_holds("succession, limit 2", &setup);
@@ -79,25 +81,25 @@
 
 #[test]
 #[ignore = "more states than a check at every change should hold"]
-fn successor_while_a_sender_is_paused() {
+fn owner_change_keeps_the_limit_while_a_sender_is_paused() {
     let setup = Setup {
         budget: Budget {
             pauses: 1,
             ..Setup::succession().budget
         },
-        messages: 1,
+        max_messages: 1,
         ..Setup::succession()
     };
     assert_holds("succession with a pause", &setup);
 }
 
 #[test]
-fn successor_on_a_target_that_checks() {
+fn owner_change_keeps_the_limit_of_a_fencing_target() {
     let setup = Setup {
-        checks: true,
+        checks_fence: true,
         budget: Budget {
             pauses: 1,
-            holdings: 0,
+            collect_replies: 0,
             promises: 0,
             ..Setup::succession().budget
         },
@@ -107,81 +109,83 @@
 }
 
 #[test]
-fn shares_while_the_table_is_out() {
+fn shares_keep_the_limit_while_the_table_is_unavailable() {
     assert_holds("shares", &Setup::shares());
 }
 
-fn shares_of_three() -> Setup {
+fn three_sharers() -> Setup {
     Setup {
         members: 3,
         limit: 2,
-        horizon: 4,
-        messages: 1,
+        horizon_ticks: 4,
+        max_messages: 1,
         ..Setup::shares()
     }
 }
 
 #[test]
-fn shares_of_three_with_a_limit_of_two() {
+fn shares_of_three_nodes_keep_a_limit_of_two() {
     let setup = Setup {
-        horizon: 3,
+        horizon_ticks: 3,
         budget: Budget {
             works: 3,
             pauses: 0,
-            shares: 2,
-            returns: 0,
+            share_entries: 2,
+            share_exits: 0,
             promises: 0,
-            readings: 0,
-            holdings: 0,
+            record_reads: 0,
+            collect_replies: 0,
             ..Setup::shares().budget
         },
-        ..shares_of_three()
+        ..three_sharers()
     };
     assert_holds("shares of three", &setup);
 }
 
 #[test]
 #[ignore = "more states than a check at every change should hold"]
-fn shares_of_three_with_pauses_and_returns() {
-    assert_holds("shares of three, deeper", &shares_of_three());
+fn shares_of_three_nodes_keep_the_limit_with_pauses_and_returns() {
+    assert_holds("shares of three, deeper", &three_sharers());
 }
 
 #[test]
-fn shares_on_a_target_that_checks() {
+fn shares_keep_the_limit_of_a_fencing_target() {
     let setup = Setup {
-        checks: true,
+        checks_fence: true,
         ..Setup::shares()
     };
     assert_holds("shares, checking target", &setup);
 }
 
 #[test]
-fn a_paused_sender_exceeds_an_unchecking_target_by_one() {
-    // This is what is left, and why the other runs set late work apart.
+fn a_paused_sender_exceeds_the_limit_of_a_target_without_fencing() {
+    // A known limitation: without fencing, a sender paused before its send can
+    // exceed the limit by one. The other runs therefore count late work apart.
     let setup = Setup {
-        allow_late: false,
+        allows_late_work: false,
         ..Setup::shares()
     };
-    assert_caught("late work counted", &setup);
+    assert_fault_found("late work counted", &setup);
 }
 
 #[test]
-fn catches_a_successor_that_reserves_nothing_for_the_silent() {
+fn finds_a_successor_that_reserves_nothing_for_silent_members() {
     let setup = Setup {
         fault: Some(Fault::NoReserve),
         ..Setup::succession()
     };
-    assert_caught("no reserve", &setup);
+    assert_fault_found("no reserve", &setup);
 }
 
-/// A deposed owner that still hears a member which its successor does not.
-fn deposed() -> Setup {
+/// A replaced owner still receives messages of a member that its successor
+/// does not.
+fn replaced_owner() -> Setup {
     Setup {
         members: 3,
         limit: 2,
-        deposed: true,
-        horizon: 0,
-        messages: 1,
+        is_owner_replaced: true,
+        horizon_ticks: 0,
+        max_messages: 1,
         budget: Budget {
             works: 3,
             promises: 2,
@@ -192,52 +196,52 @@
 }
 
 #[test]
-fn a_deposed_owner_grants_nothing() {
-    assert_holds("deposed owner", &deposed());
+fn a_replaced_owner_keeps_the_limit() {
+    assert_holds("deposed owner", &replaced_owner());
 }
 
 #[test]
-fn catches_an_owner_without_confirmation_age() {
+fn finds_an_owner_that_ignores_the_age_of_its_confirmation() {
     let setup = Setup {
         fault: Some(Fault::NoConfirmationAge),
-        ..deposed()
+        ..replaced_owner()
     };
-    assert_caught("no confirmation age", &setup);
+    assert_fault_found("no confirmation age", &setup);
 }
 
 #[test]
-fn catches_a_promise_made_in_the_knowledge_of_a_newer_record() {
+fn finds_a_promise_made_while_holding_a_newer_record() {
     let setup = Setup {
         members: 2,
         fault: Some(Fault::StalePromise),
-        ..deposed()
+        ..replaced_owner()
     };
-    assert_caught("stale promise", &setup);
+    assert_fault_found("stale promise", &setup);
 }
 
 #[test]
-fn catches_a_share_that_ignores_running_work() {
+fn finds_a_share_that_ignores_running_work() {
     let setup = Setup {
         fault: Some(Fault::ShareIgnoresRunning),
         ..Setup::shares()
     };
-    assert_caught("share ignores running work", &setup);
+    assert_fault_found("share ignores running work", &setup);
 }
 
 #[test]
-fn catches_a_share_without_a_report() {
+fn finds_a_share_used_without_a_report() {
     let setup = Setup {
         fault: Some(Fault::ShareWithoutReport),
         ..Setup::shares()
     };
-    assert_caught("share without a report", &setup);
+    assert_fault_found("share without a report", &setup);
 }
 
 #[test]
-fn catches_a_grant_without_a_life() {
+fn finds_a_grant_that_never_expires() {
     let setup = Setup {
-        fault: Some(Fault::EndlessGrant),
+        fault: Some(Fault::GrantNeverExpires),
         ..Setup::shares()
     };
-    assert_caught("endless grant", &setup);
+    assert_fault_found("endless grant", &setup);
 }
--- a/filbertpaddle-core/tests/owner_model/world.rs
+++ b/filbertpaddle-core/tests/owner_model/world.rs
@@ -1,10 +1,10 @@
-//! The modelled world: nodes, their messages, the table and one cold target.
+//! State and steps of the model: nodes, their messages, the table and one cold target.
 //!
-//! A message that is never delivered is lost, a node that never acts again has
-//! crashed, and a table that is never read is out, so none of these needs a
-//! step of its own. A promise, a reading of the record and a release take
-//! effect at once: late, they only keep an owner from granting. Grants, what
-//! members hold and reports to members arrive at any time or never.
+//! Lost messages, crashed nodes and an unavailable table need no steps of their
+//! own: the message is never delivered, the node takes no further step, the
+//! table is never read. Promises, reads of the record and releases take effect
+//! at once, since a delay only keeps an owner from granting. Grants, collect
+//! replies and reports to members arrive at any time or never.
 
 use std::hash::DefaultHasher;
 use std::hash::Hash;
@@ -40,57 +40,57 @@
     report_ms: Millis(5),
 };
 
-/// A deliberate fault that the search has to find.
+/// A fault injected into the model, which the search must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// A successor counts on nothing from members that do not answer.
+    /// A successor reserves no slots for members that do not reply.
     NoReserve,
-    /// An owner takes itself for confirmed without reading the record.
+    /// An owner counts itself as confirmed without reading the record.
     NoConfirmationAge,
-    /// A member entering share mode forgets its granted work.
+    /// A member that enters share mode ignores its granted work.
     ShareIgnoresRunning,
-    /// A member uses its share without asking the target.
+    /// A member uses its share without a report of the target.
     ShareWithoutReport,
-    /// A member accepts a grant however late.
-    EndlessGrant,
-    /// A promise counts although its maker knew a newer record.
+    /// A member accepts a grant however late it arrives.
+    GrantNeverExpires,
+    /// A promise counts although the member held a newer record.
     StalePromise,
 }
 
-/// How often each kind of step may happen.
+/// How many times each kind of step may occur.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Budget {
-    /// Pieces of work taken by nodes.
+    /// Pieces of work started by nodes.
     pub(crate) works: u8,
     /// Pauses of a node between its last check and its send.
     pub(crate) pauses: u8,
     /// Changes of the owner in the table.
-    pub(crate) depositions: u8,
+    pub(crate) owner_changes: u8,
     /// Entries into share mode.
-    pub(crate) shares: u8,
-    /// Returns from share mode.
-    pub(crate) returns: u8,
+    pub(crate) share_entries: u8,
+    /// Exits from share mode.
+    pub(crate) share_exits: u8,
     /// Promises after the first.
     pub(crate) promises: u8,
-    /// Readings of the record by owners.
-    pub(crate) readings: u8,
-    /// Reports taken of the target.
+    /// Reads of the record by owners.
+    pub(crate) record_reads: u8,
+    /// Reports polled from the target.
     pub(crate) polls: u8,
-    /// Answers to owners that ask what a member holds.
-    pub(crate) holdings: u8,
+    /// Replies of members to collect requests.
+    pub(crate) collect_replies: u8,
 }
 
-/// One model.
+/// Configuration of one search.
 #[derive(Clone, Debug)]
 pub(crate) struct Setup {
     pub(crate) members: u8,
     pub(crate) limit: u32,
-    pub(crate) checks: bool,
-    pub(crate) allow_late: bool,
-    /// Whether `b` took over a quarantine before the start, unheard by `a`.
-    pub(crate) deposed: bool,
-    pub(crate) horizon: u64,
-    pub(crate) messages: usize,
+    pub(crate) checks_fence: bool,
+    pub(crate) allows_late_work: bool,
+    /// Whether `b` took over one quarantine period before the start, unnoticed by `a`.
+    pub(crate) is_owner_replaced: bool,
+    pub(crate) horizon_ticks: u64,
+    pub(crate) max_messages: usize,
     pub(crate) budget: Budget,
     pub(crate) fault: Option<Fault>,
 }
@@ -100,21 +100,21 @@
         Self {
             members: 2,
             limit: 1,
-            checks: false,
-            allow_late: true,
-            deposed: false,
-            horizon: 3,
-            messages: 2,
+            checks_fence: false,
+            allows_late_work: true,
+            is_owner_replaced: false,
+            horizon_ticks: 3,
+            max_messages: 2,
             budget: Budget {
                 works: 2,
                 pauses: 0,
-                depositions: 1,
-                shares: 0,
-                returns: 0,
+                owner_changes: 1,
+                share_entries: 0,
+                share_exits: 0,
                 promises: 1,
-                readings: 2,
+                record_reads: 2,
                 polls: 1,
-                holdings: 1,
+                collect_replies: 1,
             },
             fault: None,
         }
@@ -122,17 +122,17 @@
 
     pub(crate) fn shares() -> Self {
         Self {
-            horizon: 4,
+            horizon_ticks: 4,
             budget: Budget {
                 works: 2,
                 pauses: 1,
-                depositions: 0,
-                shares: 1,
-                returns: 1,
+                owner_changes: 0,
+                share_entries: 1,
+                share_exits: 1,
                 promises: 1,
-                readings: 1,
+                record_reads: 1,
                 polls: 1,
-                holdings: 1,
+                collect_replies: 1,
             },
             ..Self::succession()
         }
@@ -166,13 +166,13 @@
 pub(crate) struct World {
     now: Millis,
     epoch: u64,
-    named: u8,
+    recorded_owner: u8,
     fence: u64,
     nodes: Vec<Arc<Node>>,
     messages: Vec<Arc<Message>>,
     works: Vec<Work>,
     budget: Budget,
-    /// The step that led here, which is no part of the state.
+    /// Description of the step that led here; not part of the state.
     pub(crate) step: String,
 }
 
@@ -180,7 +180,7 @@
     fn eq(&self, other: &Self) -> bool {
         self.now == other.now
             && self.epoch == other.epoch
-            && self.named == other.named
+            && self.recorded_owner == other.recorded_owner
             && self.fence == other.fence
             && self.nodes == other.nodes
             && self.messages == other.messages
@@ -195,7 +195,7 @@
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.now.hash(state);
         self.epoch.hash(state);
-        self.named.hash(state);
+        self.recorded_owner.hash(state);
         self.fence.hash(state);
         self.nodes.hash(state);
         self.messages.hash(state);
@@ -220,8 +220,9 @@
     }
 }
 
-/// An owner hears the member on its own node at once.
-fn hear_oneself(node: &mut Node, owner: &mut Owner, now: Millis) {
+/// Passes the promise and the held work of the owner's own member to the owner
+/// at once.
+fn collect_own_member(node: &mut Node, owner: &mut Owner, now: Millis) {
     let Some(session) = node.mode_state.promise(now) else {
         return;
     };
@@ -229,8 +230,8 @@
     owner.on_promise(&node.id, Promise { session, made_ms });
     let collects = owner.due_collects();
     let own = collects.iter().find(|collect| collect.holder == node.id);
-    if let Some(holding) = own.and_then(|collect| node.member.on_collect(collect)) {
-        owner.on_collect_reply(&holding);
+    if let Some(reply) = own.and_then(|collect| node.member.on_collect(collect)) {
+        owner.on_collect_reply(&reply);
     }
 }
 
@@ -241,7 +242,7 @@
 }
 
 impl World {
-    /// Returns a world in which node `a` has long owned the pool.
+    /// Returns the initial world, in which node `a` owns the pool past its quarantine.
     pub(crate) fn new(setup: &Setup) -> Self {
         let mut nodes: Vec<_> = (0..setup.members)
             .map(|index| Node {
@@ -257,8 +258,8 @@
         owner.add_target(&TARGET);
         for node in &mut nodes {
             let session = node.mode_state.promise(START).unwrap();
-            // The successor's last promise was made before it took over.
-            let made_ms = match setup.deposed && node.id == id(1) {
+            // The successor made its last promise before it took over.
+            let made_ms = match setup.is_owner_replaced && node.id == id(1) {
                 true => Millis(START.0 - TIMING.quarantine_ms().0),
                 false => START,
             };
@@ -266,13 +267,13 @@
         }
         for collect in owner.due_collects() {
             let node = nodes.iter_mut().find(|node| node.id == collect.holder);
-            let holding = node.unwrap().member.on_collect(&collect).unwrap();
-            owner.on_collect_reply(&holding);
+            let reply = node.unwrap().member.on_collect(&collect).unwrap();
+            owner.on_collect_reply(&reply);
         }
         let mut world = Self {
             now: START,
             epoch: 1,
-            named: 0,
+            recorded_owner: 0,
             fence: fence(1, Source::Granted),
             nodes: Vec::new(),
             messages: Vec::new(),
@@ -281,15 +282,15 @@
             step: "start".to_owned(),
         };
         owner.on_report(START, &TARGET, &world.report(setup));
-        if setup.deposed {
+        if setup.is_owner_replaced {
             let since_ms = Millis(START.0 - TIMING.quarantine_ms().0);
             owner.on_confirm(since_ms);
             world.epoch = 2;
-            world.named = 1;
+            world.recorded_owner = 1;
             let node = &mut nodes[1];
             let mut successor = Owner::new(TIMING, 2, since_ms, roster(setup.members));
             successor.add_target(&TARGET);
-            hear_oneself(node, &mut successor, START);
+            collect_own_member(node, &mut successor, START);
             node.owner = Some(successor);
         } else {
             owner.on_confirm(START);
@@ -299,19 +300,19 @@
         world
     }
 
-    /// Returns whether the target runs more than it bears.
+    /// Returns whether the target runs more work than its limit.
     ///
-    /// Work is set apart as late if its sender was paused between its last
-    /// check and its send; there may be one such piece for each paused node.
+    /// Work whose sender was paused between its last check and its send is
+    /// late. It may be counted apart, with at most one piece for each pause.
     pub(crate) fn is_violated(&self, setup: &Setup) -> bool {
-        let set_apart = setup.allow_late && !setup.checks;
+        let counts_late_apart = setup.allows_late_work && !setup.checks_fence;
         let late = self.works.iter().filter(|work| work.is_late).count();
         let pauses = usize::from(setup.budget.pauses - self.budget.pauses);
-        let counted = match set_apart {
+        let counted = match counts_late_apart {
             true => self.works.len() - late,
             false => self.works.len(),
         };
-        counted > setup.limit as usize || (set_apart && late > pauses)
+        counted > setup.limit as usize || (counts_late_apart && late > pauses)
     }
 
     /// Returns every world that one step leads to.
@@ -322,26 +323,26 @@
             self.deliver(setup, index, &mut next);
         }
         for index in 0..self.works.len() {
-            self.end(index, &mut next);
+            self.end_work(index, &mut next);
         }
         for index in 0..setup.members {
             let node = &self.nodes[usize::from(index)];
             if node.is_paused {
-                self.change(index, "resumes", &mut next, |node, _| {
+                self.change_node(index, "resumes", &mut next, |node, _| {
                     node.is_paused = false
                 });
                 continue;
             }
-            self.work(setup, index, &mut next);
+            self.work_steps(setup, index, &mut next);
             self.change_mode(setup, index, &mut next);
-            self.own(setup, index, &mut next);
+            self.ownership_steps(setup, index, &mut next);
         }
-        next.retain(|world| world.messages.len() <= setup.messages);
+        next.retain(|world| world.messages.len() <= setup.max_messages);
         next
     }
 
     fn tick(&self, setup: &Setup, next: &mut Vec<Self>) {
-        if self.now >= START + Millis(setup.horizon) {
+        if self.now >= START + Millis(setup.horizon_ticks) {
             return;
         }
         let mut world = self.clone();
@@ -359,7 +360,7 @@
         world.step = "tick".to_owned();
         world.now = self.now + TICK;
         let now = world.now;
-        // Reports that can have no effect any more are dropped.
+        // Expired reports have no effect and are dropped to reduce the states.
         world.messages.retain(|message| match &**message {
             Message::Report(_, report) => now.since(report.taken_ms) <= TIMING.report_ms,
             _ => true,
@@ -367,15 +368,15 @@
         next.push(world);
     }
 
-    /// A node asks an owner, or sends what it has accepted.
-    fn work(&self, setup: &Setup, index: u8, next: &mut Vec<Self>) {
+    /// A node requests slots or uses its share, and sends the work it has accepted.
+    fn work_steps(&self, setup: &Setup, index: u8, next: &mut Vec<Self>) {
         let node = &self.nodes[usize::from(index)];
         for unsent in 0..node.unsent.len() {
             self.send(setup, index, unsent, next);
         }
         if node.mode_state.mode() == Mode::Granted {
             for owner in 0..setup.members {
-                self.ask(index, owner, next);
+                self.request(index, owner, next);
             }
         } else if self.budget.works > 0 {
             self.poll(setup, index, next);
@@ -388,7 +389,7 @@
         let (since_ms, key) = node.unsent.remove(unsent);
         node.member.on_sent(&key);
         world.step = format!("{} sends {key:?}", node.id.name);
-        if setup.checks && key.fence() < world.fence {
+        if setup.checks_fence && key.fence() < world.fence {
             node.member.on_end(&key);
             world.release(&key);
         } else {
@@ -400,17 +401,17 @@
         next.push(world);
     }
 
-    /// Ask and decision are one step: a later decision only shortens the
-    /// grant's life.
-    fn ask(&self, index: u8, owner: u8, next: &mut Vec<Self>) {
+    /// Request and decision are one step: a later decision only shortens the
+    /// time in which the grant can be accepted.
+    fn request(&self, index: u8, owner: u8, next: &mut Vec<Self>) {
         let mut world = self.clone();
         let member = &mut Arc::make_mut(&mut world.nodes[usize::from(index)]).member;
-        let ask = member.request_slot(self.now);
+        let request = member.request_slot(self.now);
         let node = Arc::make_mut(&mut world.nodes[usize::from(owner)]);
         let Some(owner) = node.owner.as_mut().filter(|_| !node.is_paused) else {
             return;
         };
-        if self.budget.works == 0 || !owner.on_request(ask) {
+        if self.budget.works == 0 || !owner.on_request(request) {
             return;
         }
         let grants = owner.grant_all(self.now);
@@ -433,7 +434,7 @@
         world.budget.polls -= 1;
         let node = &self.nodes[usize::from(index)];
         world.step = format!("{} polls", node.id.name);
-        if setup.checks {
+        if setup.checks_fence {
             let own = match &node.owner {
                 Some(owner) => fence(owner.epoch(), Source::Granted),
                 None => 0,
@@ -459,9 +460,9 @@
         let node = &self.nodes[usize::from(index)];
         match node.mode_state.mode() {
             Mode::Granted => {
-                if self.budget.shares > 0 && node.mode_state.may_share(self.now) {
-                    self.change(index, "enters share mode", next, |node, budget| {
-                        budget.shares -= 1;
+                if self.budget.share_entries > 0 && node.mode_state.may_share(self.now) {
+                    self.change_node(index, "enters share mode", next, |node, budget| {
+                        budget.share_entries -= 1;
                         node.mode_state.enter_share(self.now);
                         if setup.fault == Some(Fault::ShareIgnoresRunning) {
                             node.member = Member::new(TIMING, node.id.clone());
@@ -474,9 +475,9 @@
                     self.promise(setup, index, owner, next);
                 }
             }
-            Mode::Share { .. } if self.budget.returns > 0 => {
-                self.change(index, "leaves share mode", next, |node, budget| {
-                    budget.returns -= 1;
+            Mode::Share { .. } if self.budget.share_exits > 0 => {
+                self.change_node(index, "leaves share mode", next, |node, budget| {
+                    budget.share_exits -= 1;
                     node.mode_state.leave_share();
                     let session = node.mode_state.session();
                     node.member.on_mode(node.mode_state.mode(), session);
@@ -494,7 +495,7 @@
         let node = &self.nodes[usize::from(index)];
         let own_epoch = node.owner.as_ref().map_or(0, Owner::epoch);
         let known = node.member.epoch().max(own_epoch);
-        // A promise made in the knowledge of a newer record does not count.
+        // A promise made while holding a newer record does not count.
         let counts = setup.fault == Some(Fault::StalePromise);
         let is_stale = epoch.is_none_or(|epoch| epoch < known && !counts);
         if is_stale || self.budget.promises == 0 {
@@ -515,8 +516,8 @@
         next.push(world);
     }
 
-    /// What an owner does, and how a node becomes one.
-    fn own(&self, setup: &Setup, index: u8, next: &mut Vec<Self>) {
+    /// Steps of an owner, and steps by which a node becomes one.
+    fn ownership_steps(&self, setup: &Setup, index: u8, next: &mut Vec<Self>) {
         let node = &self.nodes[usize::from(index)];
         if let Some(owner) = &node.owner {
             self.poll(setup, index, next);
@@ -524,23 +525,23 @@
             for collect in owner.due_collects() {
                 self.collect(index, &collect, next);
             }
-        } else if self.named == index && self.budget.readings > 0 {
+        } else if self.recorded_owner == index && self.budget.record_reads > 0 {
             self.take_over(setup, index, next);
-        } else if self.budget.depositions > 0 {
-            self.depose(index, next);
+        } else if self.budget.owner_changes > 0 {
+            self.replace_owner(index, next);
         }
     }
 
     fn collect(&self, index: u8, collect: &CollectRequest, next: &mut Vec<Self>) {
         let is_answer = |message: &Arc<Message>| match &**message {
-            Message::CollectReply(to, holding) => *to == index && holding.holder == collect.holder,
+            Message::CollectReply(to, reply) => *to == index && reply.holder == collect.holder,
             _ => false,
         };
-        if self.budget.holdings == 0 || self.messages.iter().any(is_answer) {
+        if self.budget.collect_replies == 0 || self.messages.iter().any(is_answer) {
             return;
         }
         let mut world = self.clone();
-        world.budget.holdings -= 1;
+        world.budget.collect_replies -= 1;
         let mut nodes = world.nodes.iter_mut();
         let Some(node) = nodes.find(|node| node.id == collect.holder) else {
             return;
@@ -548,41 +549,45 @@
         if node.is_paused {
             return;
         }
-        let Some(holding) = Arc::make_mut(node).member.on_collect(collect) else {
+        let Some(reply) = Arc::make_mut(node).member.on_collect(collect) else {
             return;
         };
-        world.step = format!("{} tells {} what it holds", node.id.name, id(index).name);
-        world.post(Message::CollectReply(index, holding));
+        world.step = format!(
+            "{} replies to the collect request of {}",
+            node.id.name,
+            id(index).name
+        );
+        world.post(Message::CollectReply(index, reply));
         next.push(world);
     }
 
     fn confirm(&self, setup: &Setup, index: u8, next: &mut Vec<Self>) {
-        if self.budget.readings == 0 {
+        if self.budget.record_reads == 0 {
             return;
         }
         if setup.fault == Some(Fault::NoConfirmationAge) {
-            self.change(index, "takes itself for confirmed", next, |node, budget| {
-                budget.readings -= 1;
+            self.change_node(index, "counts itself as confirmed", next, |node, budget| {
+                budget.record_reads -= 1;
                 node.owner.as_mut().unwrap().on_confirm(self.now);
             });
             return;
         }
         let epoch = self.epoch;
-        self.change(index, "reads the record", next, |node, budget| {
-            budget.readings -= 1;
-            let named = node.owner.as_mut().filter(|owner| owner.epoch() == epoch);
-            if let Some(owner) = named {
+        self.change_node(index, "reads the record", next, |node, budget| {
+            budget.record_reads -= 1;
+            let confirmed = node.owner.as_mut().filter(|owner| owner.epoch() == epoch);
+            if let Some(owner) = confirmed {
                 owner.on_confirm(self.now);
             }
         });
     }
 
-    /// The record comes to name another owner, which has yet to learn of it.
-    fn depose(&self, index: u8, next: &mut Vec<Self>) {
+    /// The record names another owner, which has not read the change yet.
+    fn replace_owner(&self, index: u8, next: &mut Vec<Self>) {
         let mut world = self.clone();
         world.epoch += 1;
-        world.named = index;
-        world.budget.depositions -= 1;
+        world.recorded_owner = index;
+        world.budget.owner_changes -= 1;
         world.step = format!("the record names {}", id(index).name);
         next.push(world);
     }
@@ -600,7 +605,7 @@
         let node = Arc::make_mut(&mut world.nodes[usize::from(index)]);
         let mut owner = Owner::new(TIMING, world.epoch, self.now, members);
         owner.add_target(&TARGET);
-        hear_oneself(node, &mut owner, self.now);
+        collect_own_member(node, &mut owner, self.now);
         node.owner = Some(owner);
         world.step = format!("{} takes over", node.id.name);
         next.push(world);
@@ -626,9 +631,9 @@
 
     fn receive(&mut self, setup: &Setup, node: &mut Node, message: &Message) {
         match message {
-            Message::CollectReply(_, holding) => {
+            Message::CollectReply(_, reply) => {
                 if let Some(owner) = &mut node.owner {
-                    owner.on_collect_reply(holding);
+                    owner.on_collect_reply(reply);
                 }
             }
             Message::Grant(_, grant) => self.receive_grant(setup, node, grant),
@@ -638,7 +643,7 @@
 
     fn receive_grant(&mut self, setup: &Setup, node: &mut Node, grant: &Grant) {
         let mut grant = grant.clone();
-        if setup.fault == Some(Fault::EndlessGrant) {
+        if setup.fault == Some(Fault::GrantNeverExpires) {
             grant.stamp = node.member.stamp(self.now);
         }
         match node.member.accept(self.now, &grant) {
@@ -668,8 +673,8 @@
         }
     }
 
-    /// Work ends at the target; its holder learns of it if it runs.
-    fn end(&self, index: usize, next: &mut Vec<Self>) {
+    /// Work ends at the target; its holder is notified unless it is paused.
+    fn end_work(&self, index: usize, next: &mut Vec<Self>) {
         let mut world = self.clone();
         let work = world.works.remove(index);
         let mut nodes = world.nodes.iter();
@@ -706,7 +711,7 @@
             running,
             waiting: 0,
             preemptions: 0,
-            fence: setup.checks.then_some(self.fence),
+            fence: setup.checks_fence.then_some(self.fence),
             works: self.works.iter().map(|work| work.key.clone()).collect(),
         }
     }
@@ -716,7 +721,7 @@
         self.messages.sort_by_key(|message| digest(message));
     }
 
-    fn change<F>(&self, index: u8, step: &str, next: &mut Vec<Self>, change: F)
+    fn change_node<F>(&self, index: u8, step: &str, next: &mut Vec<Self>, change: F)
     where
         F: FnOnce(&mut Node, &mut Budget),
     {
