--- a/filbertpaddle-core/src/ledger.rs
+++ b/filbertpaddle-core/src/ledger.rs
@@ -101,7 +101,7 @@
         portion.clamp(1, limit.max(1))
     }
 
-    /// Counts a piece of work, once; `seen` tells whether a report shows it.
+    /// Counts a piece of work, once; `seen` indicates whether a report shows it.
     pub fn add(&mut self, key: WorkKey, seen: bool) {
         if self.slots.iter().all(|slot| slot.key != key) {
             self.slots.push(Slot {
@@ -146,10 +146,10 @@
     /// the last is ignored.
     ///
     /// `complete_ms` is when all work that this owner has not counted has
-    /// reached the target; `is_count_complete` tells whether a holder's count
+    /// reached the target; `is_count_complete` returns whether a holder's count
     /// is complete, in which case the report adds none of its work and ends
     /// only what is orphaned.
-    pub fn on_report<F>(
+    pub fn apply_report<F>(
         &mut self,
         epoch: u64,
         complete_ms: Millis,
@@ -161,7 +161,7 @@
     {
         match &mut self.limit {
             Some(limit) if report.taken_ms < limit.taken_ms() => return,
-            Some(limit) => limit.on_report(report),
+            Some(limit) => limit.apply_report(report),
             None => self.limit = Some(Limit::new(report)),
         }
         let own_fence = fence(epoch, Source::Granted);
--- a/filbertpaddle-core/src/limit.rs
+++ b/filbertpaddle-core/src/limit.rs
@@ -41,7 +41,7 @@
     }
 
     /// Updates the limit from a report; one taken before the last is ignored.
-    pub fn on_report(&mut self, report: &Report) {
+    pub fn apply_report(&mut self, report: &Report) {
         if report.taken_ms < self.taken_ms {
             return;
         }
--- a/filbertpaddle-core/src/overflow.rs
+++ b/filbertpaddle-core/src/overflow.rs
@@ -14,7 +14,7 @@
 /// Credit is counted in thousandths of an attempt.
 const CREDIT_PER_ATTEMPT: u64 = 1_000;
 /// Estimated local waits above which overflow starts and below which it ends,
-/// in percent of the accepted wait.
+/// in percent of the longest accepted wait.
 const THRESHOLDS_PERCENT: (u64, u64) = (50, 20);
 /// How long the estimated wait must stay past a threshold to start or end overflow.
 const THRESHOLD_HOLD_TIME: Millis = Millis::from_secs(2);
@@ -67,23 +67,17 @@
         }
     }
 
-    /// Records how long new work would wait locally; `accepted_wait` is the
-    /// longest wait that it accepts.
+    /// Records how long new work would wait locally; it accepts waits up to `max_wait`.
     ///
     /// `None` means that the local data centre takes no new work at all, which
     /// starts overflow at once.
-    pub fn on_wait_estimate(
-        &mut self,
-        now: Millis,
-        wait_ms: Option<Millis>,
-        accepted_wait: Millis,
-    ) {
+    pub fn on_wait_estimate(&mut self, now: Millis, wait_ms: Option<Millis>, max_wait: Millis) {
         let Some(wait_ms) = wait_ms else {
             self.active = true;
             self.past_threshold_ms = None;
             return;
         };
-        let percent = wait_ms.0.saturating_mul(100) / accepted_wait.0.max(1);
+        let percent = wait_ms.0.saturating_mul(100) / max_wait.0.max(1);
         let past = if self.active {
             percent < THRESHOLDS_PERCENT.1
         } else {
--- a/filbertpaddle-core/src/owner.rs
+++ b/filbertpaddle-core/src/owner.rs
@@ -296,7 +296,7 @@
             .iter_mut()
             .find(|ledger| ledger.target == *target)
         {
-            ledger.on_report(epoch, complete_ms, report, is_count_complete, &timing);
+            ledger.apply_report(epoch, complete_ms, report, is_count_complete, &timing);
         }
     }
 
--- a/filbertpaddle-core/tests/limit.rs
+++ b/filbertpaddle-core/tests/limit.rs
@@ -23,14 +23,14 @@
 fn a_warm_limit_doubles_only_under_load() {
     let mut limit = Limit::new(&report(0, true, 0));
     assert_eq!(limit.current(), 2);
-    limit.on_report(&report(1_000, true, 2));
+    limit.apply_report(&report(1_000, true, 2));
     assert_eq!(limit.current(), 4);
-    limit.on_report(&report(1_500, true, 4));
+    limit.apply_report(&report(1_500, true, 4));
     assert_eq!(limit.current(), 4, "less than a step interval has passed");
-    limit.on_report(&report(2_500, true, 1));
+    limit.apply_report(&report(2_500, true, 1));
     assert_eq!(limit.current(), 4, "less than half of the limit is in use");
     for step in 3..10 {
-        limit.on_report(&report(step * 1_000, true, 16));
+        limit.apply_report(&report(step * 1_000, true, 16));
     }
     assert_eq!(limit.current(), 16);
 }
@@ -39,7 +39,7 @@
 fn a_target_that_turns_cold_gets_the_cold_limit_at_once() {
     let mut limit = Limit::new(&report(0, true, 16));
     assert_eq!(limit.current(), 16);
-    limit.on_report(&report(250, false, 16));
+    limit.apply_report(&report(250, false, 16));
     assert_eq!(limit.current(), 2);
     assert!(limit.is_cold());
 }
@@ -49,13 +49,13 @@
     let mut limit = Limit::new(&report(0, true, 16));
     let mut restarted = report(250, true, 16);
     restarted.incarnation = 2;
-    limit.on_report(&restarted);
+    limit.apply_report(&restarted);
     assert_eq!(limit.current(), 2);
 }
 
 #[test]
 fn a_report_taken_before_the_last_is_ignored() {
     let mut limit = Limit::new(&report(1_000, false, 2));
-    limit.on_report(&report(500, true, 16));
+    limit.apply_report(&report(500, true, 16));
     assert!(limit.is_cold());
 }
