--- a/filbertpaddle-core/src/member.rs
+++ b/filbertpaddle-core/src/member.rs
@@ -22,7 +22,7 @@
     /// The grant is not of the epoch of the last collect request.
     #[error("grant belongs to another epoch; work not sent")]
     WrongEpoch,
-    /// The grant was not counted in the last reply to a collect request.
+    /// The owner collected the node's work after this grant and without it.
     #[error("grant precedes the last collect request; work not sent")]
     PrecedesCollect,
     /// The grant arrived too late, or the report is too old.
@@ -33,7 +33,7 @@
     #[error("node is in another mode; work not sent")]
     WrongMode,
     /// Earlier work for the same cold target has not been sent yet.
-    #[error("earlier work for the same cold target has not been sent yet")]
+    #[error("earlier work for the same cold target is still unsent; new work not sent")]
     PreviousUnsent,
     /// The node's share of the target is used up or zero.
     #[error("share of the target is used up; work not sent")]
