--- a/filbertpaddle-core/examples/embed.rs
+++ b/filbertpaddle-core/examples/embed.rs
@@ -8,11 +8,11 @@
 use filbertpaddle_core::delivery::Event;
 use filbertpaddle_core::delivery::RestartPolicy;
 use filbertpaddle_core::policy::Settings;
-use filbertpaddle_core::scheduler::Ask;
-use filbertpaddle_core::scheduler::AskId;
 use filbertpaddle_core::scheduler::Ending;
+use filbertpaddle_core::scheduler::RequestId;
 use filbertpaddle_core::scheduler::Scheduler;
 use filbertpaddle_core::scheduler::SlotId;
+use filbertpaddle_core::scheduler::SlotRequest;
 use filbertpaddle_core::scheduler::TargetView;
 use filbertpaddle_core::template::Priority;
 
@@ -35,9 +35,9 @@
     while let Some(placement) = scheduler.next_placement(now, &targets) {
         println!(
             "slot request {} placed on {}",
-            placement.ask.id.0, placement.target
+            placement.request.id.0, placement.target
         );
-        let slot = SlotId(placement.ask.id.0);
+        let slot = SlotId(placement.request.id.0);
         scheduler.record_start(now, slot, &placement);
         slots.push(slot);
         for target in &mut targets {
@@ -53,9 +53,9 @@
     }
 }
 
-fn slot_request(number: u64, now: Millis) -> Ask {
-    Ask {
-        id: AskId(number),
+fn slot_request(number: u64, now: Millis) -> SlotRequest {
+    SlotRequest {
+        id: RequestId(number),
         customer: "school".into(),
         template: "school/summary".into(),
         priority: Priority(0),
--- a/filbertpaddle-core/src/isolated_queue.rs
+++ b/filbertpaddle-core/src/isolated_queue.rs
@@ -7,9 +7,9 @@
 
 use indexmap::IndexMap;
 
-use crate::ask::Id as AskId;
 use crate::clock::Millis;
 use crate::queue::Entry;
+use crate::slot_request::RequestId;
 
 /// Slot requests, by digest, that are suspected of crashing targets or whose
 /// digest already runs as many times as allowed.
@@ -53,7 +53,7 @@
     }
 
     /// Removes and returns one request.
-    pub fn remove(&mut self, id: AskId) -> Option<Entry> {
+    pub fn remove(&mut self, id: RequestId) -> Option<Entry> {
         self.remove_where(|entry| entry.request.id == id).pop()
     }
 
--- a/filbertpaddle-core/src/lib.rs
+++ b/filbertpaddle-core/src/lib.rs
@@ -4,7 +4,6 @@
 //! event and returns typed actions. The crate performs no I/O, reads no clock
 //! and does not depend on the transport of its messages.
 
-pub mod ask;
 pub mod attempt;
 pub mod availability;
 pub mod claim;
@@ -15,6 +14,7 @@
 pub mod delivery;
 pub mod edit;
 pub mod gossip;
+pub mod grant_mode;
 pub mod group_commit;
 pub mod isolated_queue;
 pub mod ledger;
@@ -25,6 +25,7 @@
 pub mod name;
 pub mod outcome;
 pub mod output_length;
+pub mod overflow;
 pub mod owner;
 pub mod peer;
 pub mod placement;
@@ -42,12 +43,11 @@
 pub mod roster;
 pub mod scheduler;
 pub mod slot;
-pub mod spill;
-pub mod standing;
+pub mod slot_request;
 pub mod suspect;
 pub mod sweep;
 pub mod target_state;
 pub mod template;
-pub mod terms;
+pub mod timing;
 pub mod token_gap;
 pub mod transfer;
--- a/filbertpaddle-core/src/peer.rs
+++ b/filbertpaddle-core/src/peer.rs
@@ -1,48 +1,48 @@
-//! What a pool's owner knows of one member.
+//! State that a pool's owner keeps of one member: promise, session and stamp.
 
 use crate::clock::Millis;
-use crate::roster::Id;
-use crate::terms::Terms;
+use crate::roster::NodeId;
+use crate::timing::Timing;
 
-/// A member's word that it uses no share for a while, given while it knew no
-/// newer version of the record than the owner.
+/// A member's promise not to use its shares for [`Timing::promise_ms`], made
+/// while it held no newer version of the record than the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Promise {
-    /// Counts how often the member has used its share.
+    /// Number of times that the member has entered share mode.
     pub session: u32,
     /// Lower bound, on the reader's clock, of when the promise was made.
     pub made_ms: Millis,
 }
 
-/// One member as its pool's owner sees it.
+/// A pool owner's state of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Peer {
-    /// Which member.
-    pub id: Id,
-    /// Its latest promise.
+    /// Identifies the member.
+    pub id: NodeId,
+    /// Latest promise.
     pub promise: Option<Promise>,
-    /// Session in which it last told this owner what it holds.
+    /// Session of its last reply to this owner's collect requests.
     pub collected: Option<u32>,
-    /// Whether it ever told this owner what it holds.
-    pub heard: bool,
-    /// Its latest stamp.
+    /// Whether it ever replied to this owner's collect requests.
+    pub has_reported: bool,
+    /// Latest stamp.
     pub stamp: u64,
 }
 
 impl Peer {
-    /// Returns a member of which nothing is known.
-    pub fn new(id: Id) -> Self {
+    /// Returns the state of a member that has sent nothing yet.
+    pub fn new(id: NodeId) -> Self {
         Self {
             id,
             promise: None,
             collected: None,
-            heard: false,
+            has_reported: false,
             stamp: 0,
         }
     }
 
-    /// Takes in a promise; one made before the last is ignored.
-    pub fn promise(&mut self, promise: Promise) {
+    /// Records a promise; one made before the last is ignored.
+    pub fn on_promise(&mut self, promise: Promise) {
         let is_newer =
             |last: Promise| (promise.session, promise.made_ms) > (last.session, last.made_ms);
         if self.promise.is_none_or(is_newer) {
@@ -52,21 +52,21 @@
 
     /// Returns whether the member's promise outlasts any grant made now.
     ///
-    /// The owner may be paused between this check and its send, so the promise
-    /// has to cover the whole time in which the grant can be accepted.
-    pub fn is_bound(&self, now: Millis, terms: &Terms) -> bool {
+    /// The owner may be paused between this check and sending the grant, so the
+    /// promise has to cover the whole time in which the grant can be accepted.
+    pub fn promise_covers_grant(&self, now: Millis, timing: &Timing) -> bool {
         self.promise
-            .is_some_and(|promise| promise.made_ms + terms.promise_ms >= now + terms.accept_ms)
+            .is_some_and(|promise| promise.made_ms + timing.promise_ms >= now + timing.accept_ms)
     }
 
     /// Returns whether the owner's count of the member's work is complete.
-    pub fn is_exact(&self, now: Millis, terms: &Terms) -> bool {
+    pub fn is_count_complete(&self, now: Millis, timing: &Timing) -> bool {
         let session = self.promise.map(|promise| promise.session);
-        self.is_bound(now, terms) && self.collected == session
+        self.promise_covers_grant(now, timing) && self.collected == session
     }
 
-    /// Returns whether the member should be asked what it holds.
-    pub fn is_due(&self) -> bool {
+    /// Returns whether the member has not yet replied in its current session.
+    pub fn is_collect_due(&self) -> bool {
         self.promise
             .is_some_and(|promise| self.collected != Some(promise.session))
     }
--- a/filbertpaddle-core/src/placement.rs
+++ b/filbertpaddle-core/src/placement.rs
@@ -2,13 +2,13 @@
 
 use indexmap::IndexMap;
 
-use crate::ask::Ask;
-use crate::ask::TargetView;
 use crate::clock::Millis;
 use crate::memory_forecast::MemoryForecast;
 use crate::name::Name;
 use crate::output_length::OutputLengths;
 use crate::policy::Settings;
+use crate::slot_request::SlotRequest;
+use crate::slot_request::TargetView;
 use crate::target_state;
 use crate::target_state::TargetState;
 use crate::token_gap::GapModel;
@@ -64,7 +64,7 @@
 /// only slightly higher.
 pub fn predictive<'a>(
     now: Millis,
-    request: &Ask,
+    request: &SlotRequest,
     candidates: &[&'a TargetView],
     target_states: &mut IndexMap<Name, TargetState>,
     pool: &PoolEstimates<'_>,
@@ -108,7 +108,7 @@
 /// either.
 fn utilisation(
     now: Millis,
-    request: &Ask,
+    request: &SlotRequest,
     added: &MemoryForecast,
     view: &TargetView,
     state: &mut TargetState,
--- a/filbertpaddle-core/src/queue.rs
+++ b/filbertpaddle-core/src/queue.rs
@@ -8,10 +8,10 @@
 
 use indexmap::IndexMap;
 
-use crate::ask::Ask;
-use crate::ask::Id as AskId;
 use crate::clock::Millis;
 use crate::name::Name;
+use crate::slot_request::RequestId;
+use crate::slot_request::SlotRequest;
 use crate::template::Priority;
 
 /// Units of service per token at weight one, so that integer division by a weight
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct Entry {
     /// The queued request.
-    pub request: Ask,
+    pub request: SlotRequest,
     /// Expected prompt and output tokens.
     pub cost_tokens: u64,
 }
@@ -35,8 +35,8 @@
     fair: bool,
     ageing_ms: u64,
     customers: IndexMap<Name, CustomerQueue>,
-    locations: IndexMap<AskId, (Name, Priority)>,
-    deadlines: BTreeSet<(Millis, AskId)>,
+    locations: IndexMap<RequestId, (Name, Priority)>,
+    deadlines: BTreeSet<(Millis, RequestId)>,
     virtual_time: u64,
 }
 
@@ -143,7 +143,7 @@
         customer_queue: &CustomerQueue,
         level: &PriorityLevel,
         entry: &Entry,
-    ) -> (Reverse<u64>, u64, Millis, AskId) {
+    ) -> (Reverse<u64>, u64, Millis, RequestId) {
         let request = &entry.request;
         let ageing_start_ms = request.arrived_ms.max(level.last_taken_ms);
         let effective_priority = if self.fair {
@@ -160,7 +160,7 @@
     }
 
     /// Removes a request to run it and charges its customer.
-    pub fn take(&mut self, now: Millis, id: AskId) -> Option<Entry> {
+    pub fn take(&mut self, now: Millis, id: RequestId) -> Option<Entry> {
         let (customer, priority) = self.locations.get(&id)?.clone();
         let entry = self.remove(id)?;
         let customer_queue = self.customers.get_mut(&customer)?;
@@ -174,7 +174,7 @@
     }
 
     /// Removes a request without a charge to its customer.
-    pub fn remove(&mut self, id: AskId) -> Option<Entry> {
+    pub fn remove(&mut self, id: RequestId) -> Option<Entry> {
         let (customer, priority) = self.locations.swap_remove(&id)?;
         let customer_queue = self.customers.get_mut(&customer)?;
         let level = customer_queue.levels.get_mut(&priority)?;
@@ -207,7 +207,7 @@
 
     /// Removes and returns the requests whose deadline has passed.
     pub fn expire(&mut self, now: Millis) -> Vec<Entry> {
-        let expired_ids: Vec<AskId> = self
+        let expired_ids: Vec<RequestId> = self
             .deadlines
             .iter()
             .take_while(|(deadline_ms, _)| *deadline_ms <= now)
--- a/filbertpaddle-core/src/scheduler.rs
+++ b/filbertpaddle-core/src/scheduler.rs
@@ -2,14 +2,6 @@
 
 use indexmap::IndexMap;
 
-pub use crate::ask::Ask;
-pub use crate::ask::Ending;
-pub use crate::ask::Id as AskId;
-pub use crate::ask::Load;
-pub use crate::ask::Placement;
-pub use crate::ask::Refusal;
-pub use crate::ask::SlotId;
-pub use crate::ask::TargetView;
 use crate::clock::Millis;
 use crate::isolated_queue::IsolatedQueue;
 use crate::name::Name;
@@ -23,6 +15,14 @@
 use crate::policy::Settings;
 use crate::queue::Entry;
 use crate::queue::Queue;
+pub use crate::slot_request::Ending;
+pub use crate::slot_request::Load;
+pub use crate::slot_request::Placement;
+pub use crate::slot_request::Refusal;
+pub use crate::slot_request::RequestId;
+pub use crate::slot_request::SlotId;
+pub use crate::slot_request::SlotRequest;
+pub use crate::slot_request::TargetView;
 use crate::suspect;
 use crate::suspect::QuarantineStatus;
 use crate::suspect::Suspects;
@@ -85,7 +85,7 @@
     ///
     /// Returns a refusal if the queue is full, the deadline cannot be met or the
     /// request is quarantined. It says when to retry, except for a quarantine.
-    pub fn push(&mut self, now: Millis, request: Ask) -> Result<(), Refusal> {
+    pub fn push(&mut self, now: Millis, request: SlotRequest) -> Result<(), Refusal> {
         let tokens_ahead =
             self.queue
                 .tokens_ahead(&request.customer, request.priority, request.weight);
@@ -115,7 +115,7 @@
     fn admit(
         &mut self,
         now: Millis,
-        request: &Ask,
+        request: &SlotRequest,
         tokens_ahead: u64,
         max_wait: Millis,
     ) -> Result<(), Reason> {
@@ -140,7 +140,7 @@
         Ok(())
     }
 
-    fn cost_tokens(&self, request: &Ask) -> u64 {
+    fn cost_tokens(&self, request: &SlotRequest) -> u64 {
         let curve = self.output_lengths.curve(&request.template);
         let out_tokens = curve.expected_remaining_tokens(0, request.max_tokens) as u64;
         u64::from(request.prompt_tokens) + out_tokens
@@ -148,7 +148,7 @@
 
     /// Removes a queued request that its requester has cancelled; `None` if it is not
     /// queued.
-    pub fn cancel(&mut self, id: AskId) -> Option<Ask> {
+    pub fn cancel(&mut self, id: RequestId) -> Option<SlotRequest> {
         self.queue
             .remove(id)
             .or_else(|| self.isolated.remove(id))
@@ -166,7 +166,7 @@
     }
 
     fn next_isolated(&mut self, now: Millis, targets: &[TargetView]) -> Option<Placement> {
-        let heads: Vec<Ask> = self
+        let heads: Vec<SlotRequest> = self
             .isolated
             .heads(MAX_TRIED_REQUESTS)
             .into_iter()
@@ -181,16 +181,13 @@
             let request = entry.request;
             self.queue
                 .charge(&request.customer, request.weight, entry.cost_tokens);
-            return Some(Placement {
-                ask: request,
-                target,
-            });
+            return Some(Placement { request, target });
         }
         None
     }
 
     fn next_queued(&mut self, now: Millis, targets: &[TargetView]) -> Option<Placement> {
-        let heads: Vec<Ask> = self
+        let heads: Vec<SlotRequest> = self
             .queue
             .heads(now, MAX_TRIED_REQUESTS)
             .into_iter()
@@ -206,7 +203,7 @@
             self.placement_rate
                 .record_placement(now, entry.cost_tokens, waiting);
             return Some(Placement {
-                ask: entry.request,
+                request: entry.request,
                 target,
             });
         }
@@ -217,7 +214,7 @@
     /// isolated queue, and refuses those that are blocked.
     fn isolate_restricted(&mut self, now: Millis) {
         loop {
-            let restricted_ids: Vec<AskId> = self
+            let restricted_ids: Vec<RequestId> = self
                 .queue
                 .heads(now, MAX_TRIED_REQUESTS)
                 .into_iter()
@@ -241,7 +238,7 @@
         }
     }
 
-    fn may_share_target(&self, request: &Ask) -> bool {
+    fn may_share_target(&self, request: &SlotRequest) -> bool {
         let status = self.suspects.status(request.digest);
         let is_unrestricted = matches!(
             status,
@@ -250,7 +247,7 @@
         is_unrestricted && self.may_run_copy(request)
     }
 
-    fn may_run_copy(&self, request: &Ask) -> bool {
+    fn may_run_copy(&self, request: &SlotRequest) -> bool {
         let running = self
             .running_copies
             .get(&request.digest)
@@ -262,7 +259,7 @@
     fn choose_target(
         &mut self,
         now: Millis,
-        request: &Ask,
+        request: &SlotRequest,
         targets: &[TargetView],
     ) -> Option<Name> {
         let suspect = self.suspects.status(request.digest) == QuarantineStatus::Suspect;
@@ -306,7 +303,7 @@
     ///
     /// A new owner also records in this way the work that it finds running.
     pub fn record_start(&mut self, now: Millis, slot: SlotId, placement: &Placement) {
-        let request = placement.ask.clone();
+        let request = placement.request.clone();
         let cost_tokens = self.cost_tokens(&request);
         if request.digest != 0 {
             *self.running_copies.entry(request.digest).or_insert(0) += 1;
@@ -454,7 +451,7 @@
         std::mem::take(&mut self.pending_refusals)
     }
 
-    fn retry_after(&self, request: &Ask) -> Millis {
+    fn retry_after(&self, request: &SlotRequest) -> Millis {
         let tokens_ahead =
             self.queue
                 .tokens_ahead(&request.customer, request.priority, request.weight);
@@ -484,7 +481,7 @@
     }
 }
 
-fn quarantine_refusal(id: AskId) -> Refusal {
+fn quarantine_refusal(id: RequestId) -> Refusal {
     Refusal {
         id,
         reason: Reason::Quarantined,
--- a/filbertpaddle-core/src/target_state.rs
+++ b/filbertpaddle-core/src/target_state.rs
@@ -5,14 +5,14 @@
 
 use indexmap::IndexMap;
 
-use crate::ask::Ask;
-use crate::ask::Load;
-use crate::ask::SlotId;
 use crate::clock::Millis;
 use crate::memory_forecast;
 use crate::memory_forecast::MemoryForecast;
 use crate::output_length::OutputLengths;
 use crate::prefix_cache::CachedPrefixes;
+use crate::slot_request::Load;
+use crate::slot_request::SlotId;
+use crate::slot_request::SlotRequest;
 use crate::token_gap::GapModel;
 use crate::token_gap::ProgressSnapshot;
 use crate::token_gap::TokenProgress;
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub struct RunningAttempt {
     /// The placed request.
-    pub request: Ask,
+    pub request: SlotRequest,
     /// Tokens charged to the customer at placement.
     pub cost_tokens: u64,
     start: ProgressSnapshot,
@@ -138,7 +138,7 @@
         &mut self,
         now: Millis,
         slot: SlotId,
-        request: Ask,
+        request: SlotRequest,
         cost_tokens: u64,
         gap_model: &GapModel,
         output_lengths: &OutputLengths,
@@ -158,7 +158,7 @@
         self.running.insert(slot, running);
     }
 
-    fn join_burst(&mut self, now: Millis, request: &Ask) {
+    fn join_burst(&mut self, now: Millis, request: &SlotRequest) {
         if now.since(self.burst.start_ms) > BURST_DURATION {
             self.burst.start_ms = now;
             self.burst.prompt_tokens = 0;
@@ -260,7 +260,7 @@
     }
 
     /// Returns the tokens of all shared prefixes with `request` added.
-    pub fn shared_tokens_with(&self, request: &Ask) -> f32 {
+    pub fn shared_tokens_with(&self, request: &SlotRequest) -> f32 {
         let more = if request.prefix == 0 || self.shared.contains_key(&request.prefix) {
             0
         } else {
@@ -274,7 +274,7 @@
         (tokens + more) as f32
     }
 
-    fn add_shared_prefix(&mut self, request: &Ask) {
+    fn add_shared_prefix(&mut self, request: &SlotRequest) {
         if request.prefix == 0 {
             return;
         }
@@ -283,7 +283,7 @@
         shared.tokens = request.prefix_tokens;
     }
 
-    fn remove_shared_prefix(&mut self, request: &Ask) {
+    fn remove_shared_prefix(&mut self, request: &SlotRequest) {
         let Some(shared) = self.shared.get_mut(&request.prefix) else {
             return;
         };
@@ -345,7 +345,7 @@
 
 /// Returns the memory of a request's attempt after `out_tokens` tokens.
 pub fn attempt_memory<'a>(
-    request: &Ask,
+    request: &SlotRequest,
     out_tokens: u32,
     output_lengths: &'a OutputLengths,
 ) -> memory_forecast::AttemptMemory<'a> {
@@ -357,7 +357,7 @@
     }
 }
 
-fn unshared_prompt_tokens(request: &Ask) -> u32 {
+fn unshared_prompt_tokens(request: &SlotRequest) -> u32 {
     if request.prefix == 0 {
         return request.prompt_tokens;
     }
--- a/filbertpaddle-core/tests/owner_model/world.rs
+++ b/filbertpaddle-core/tests/owner_model/world.rs
@@ -1,10 +1,10 @@
-//! The modelled world: nodes, their messages, the table and one cold target.
+//! State and steps of the model: nodes, their messages, the table and one cold target.
 //!
-//! A message that is never delivered is lost, a node that never acts again has
-//! crashed, and a table that is never read is out, so none of these needs a
-//! step of its own. A promise, a reading of the record and a release take
-//! effect at once: late, they only keep an owner from granting. Grants, what
-//! members hold and reports to members arrive at any time or never.
+//! Lost messages, crashed nodes and an unavailable table need no steps of their
+//! own: the message is never delivered, the node takes no further step, the
+//! table is never read. Promises, reads of the record and releases take effect
+//! at once, since a delay only keeps an owner from granting. Grants, collect
+//! replies and reports to members arrive at any time or never.
 
 use std::hash::DefaultHasher;
 use std::hash::Hash;
@@ -12,27 +12,27 @@
 use std::sync::Arc;
 
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::grant_mode::Mode;
+use filbertpaddle_core::grant_mode::ModeState;
 use filbertpaddle_core::member::Member;
 use filbertpaddle_core::name::Name;
-use filbertpaddle_core::owner::Collect;
-use filbertpaddle_core::owner::Holding;
+use filbertpaddle_core::owner::CollectReply;
+use filbertpaddle_core::owner::CollectRequest;
 use filbertpaddle_core::owner::Owner;
 use filbertpaddle_core::peer::Promise;
 use filbertpaddle_core::report::Report;
-use filbertpaddle_core::roster::Id;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::roster::Roster;
 use filbertpaddle_core::slot::Grant;
-use filbertpaddle_core::slot::Key;
 use filbertpaddle_core::slot::Source;
+use filbertpaddle_core::slot::WorkKey;
 use filbertpaddle_core::slot::fence;
-use filbertpaddle_core::standing::Mode;
-use filbertpaddle_core::standing::Standing;
-use filbertpaddle_core::terms::Terms;
+use filbertpaddle_core::timing::Timing;
 
 const TARGET: Name = Name::new_static("u");
 const START: Millis = Millis(10);
 const TICK: Millis = Millis(1);
-const TERMS: Terms = Terms {
+const TIMING: Timing = Timing {
     promise_ms: Millis(2),
     accept_ms: Millis(1),
     settle_ms: Millis(1),
@@ -40,57 +40,57 @@
     report_ms: Millis(5),
 };
 
-/// A deliberate fault that the search has to find.
+/// A fault injected into the model, which the search must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// A successor counts on nothing from members that do not answer.
+    /// A successor reserves no slots for members that do not reply.
     NoReserve,
-    /// An owner takes itself for confirmed without reading the record.
+    /// An owner counts itself as confirmed without reading the record.
     NoConfirmationAge,
-    /// A member entering share mode forgets its granted work.
+    /// A member that enters share mode ignores its granted work.
     ShareIgnoresRunning,
-    /// A member uses its share without asking the target.
+    /// A member uses its share without a report of the target.
     ShareWithoutReport,
-    /// A member accepts a grant however late.
-    EndlessGrant,
-    /// A promise counts although its maker knew a newer record.
+    /// A member accepts a grant however late it arrives.
+    GrantNeverExpires,
+    /// A promise counts although the member held a newer record.
     StalePromise,
 }
 
-/// How often each kind of step may happen.
+/// How many times each kind of step may occur.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Budget {
-    /// Pieces of work taken by nodes.
+    /// Pieces of work started by nodes.
     pub(crate) works: u8,
     /// Pauses of a node between its last check and its send.
     pub(crate) pauses: u8,
     /// Changes of the owner in the table.
-    pub(crate) depositions: u8,
+    pub(crate) owner_changes: u8,
     /// Entries into share mode.
-    pub(crate) shares: u8,
-    /// Returns from share mode.
-    pub(crate) returns: u8,
+    pub(crate) share_entries: u8,
+    /// Exits from share mode.
+    pub(crate) share_exits: u8,
     /// Promises after the first.
     pub(crate) promises: u8,
-    /// Readings of the record by owners.
-    pub(crate) readings: u8,
-    /// Reports taken of the target.
+    /// Reads of the record by owners.
+    pub(crate) record_reads: u8,
+    /// Reports polled from the target.
     pub(crate) polls: u8,
-    /// Answers to owners that ask what a member holds.
-    pub(crate) holdings: u8,
+    /// Replies of members to collect requests.
+    pub(crate) collect_replies: u8,
 }
 
-/// One model.
+/// Configuration of one search.
 #[derive(Clone, Debug)]
 pub(crate) struct Setup {
     pub(crate) members: u8,
     pub(crate) limit: u32,
-    pub(crate) checks: bool,
-    pub(crate) allow_late: bool,
-    /// Whether `b` took over a quarantine before the start, unheard by `a`.
-    pub(crate) deposed: bool,
-    pub(crate) horizon: u64,
-    pub(crate) messages: usize,
+    pub(crate) checks_fence: bool,
+    pub(crate) allows_late_work: bool,
+    /// Whether `b` took over one quarantine period before the start, unnoticed by `a`.
+    pub(crate) is_owner_replaced: bool,
+    pub(crate) horizon_ticks: u64,
+    pub(crate) max_messages: usize,
     pub(crate) budget: Budget,
     pub(crate) fault: Option<Fault>,
 }
@@ -100,21 +100,21 @@
         Self {
             members: 2,
             limit: 1,
-            checks: false,
-            allow_late: true,
-            deposed: false,
-            horizon: 3,
-            messages: 2,
+            checks_fence: false,
+            allows_late_work: true,
+            is_owner_replaced: false,
+            horizon_ticks: 3,
+            max_messages: 2,
             budget: Budget {
                 works: 2,
                 pauses: 0,
-                depositions: 1,
-                shares: 0,
-                returns: 0,
+                owner_changes: 1,
+                share_entries: 0,
+                share_exits: 0,
                 promises: 1,
-                readings: 2,
+                record_reads: 2,
                 polls: 1,
-                holdings: 1,
+                collect_replies: 1,
             },
             fault: None,
         }
@@ -122,17 +122,17 @@
 
     pub(crate) fn shares() -> Self {
         Self {
-            horizon: 4,
+            horizon_ticks: 4,
             budget: Budget {
                 works: 2,
                 pauses: 1,
-                depositions: 0,
-                shares: 1,
-                returns: 1,
+                owner_changes: 0,
+                share_entries: 1,
+                share_exits: 1,
                 promises: 1,
-                readings: 1,
+                record_reads: 1,
                 polls: 1,
-                holdings: 1,
+                collect_replies: 1,
             },
             ..Self::succession()
         }
@@ -141,24 +141,24 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Message {
-    Holding(u8, Holding),
+    CollectReply(u8, CollectReply),
     Grant(u8, Grant),
     Report(u8, Report),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    id: Id,
+    id: NodeId,
     is_paused: bool,
-    standing: Standing,
+    mode_state: ModeState,
     member: Member,
     owner: Option<Owner>,
-    unsent: Vec<(Millis, Key)>,
+    unsent: Vec<(Millis, WorkKey)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Work {
-    key: Key,
+    key: WorkKey,
     is_late: bool,
 }
 
@@ -166,13 +166,13 @@
 pub(crate) struct World {
     now: Millis,
     epoch: u64,
-    named: u8,
+    recorded_owner: u8,
     fence: u64,
     nodes: Vec<Arc<Node>>,
     messages: Vec<Arc<Message>>,
     works: Vec<Work>,
     budget: Budget,
-    /// The step that led here, which is no part of the state.
+    /// Description of the step that led here; not part of the state.
     pub(crate) step: String,
 }
 
@@ -180,7 +180,7 @@
     fn eq(&self, other: &Self) -> bool {
         self.now == other.now
             && self.epoch == other.epoch
-            && self.named == other.named
+            && self.recorded_owner == other.recorded_owner
             && self.fence == other.fence
             && self.nodes == other.nodes
             && self.messages == other.messages
@@ -195,7 +195,7 @@
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.now.hash(state);
         self.epoch.hash(state);
-        self.named.hash(state);
+        self.recorded_owner.hash(state);
         self.fence.hash(state);
         self.nodes.hash(state);
         self.messages.hash(state);
@@ -204,9 +204,9 @@
     }
 }
 
-fn id(index: u8) -> Id {
+fn id(index: u8) -> NodeId {
     const NAMES: [&str; 3] = ["a", "b", "c"];
-    Id {
+    NodeId {
         name: Name::new_static(NAMES[usize::from(index)]),
         incarnation: 1,
     }
@@ -220,17 +220,18 @@
     }
 }
 
-/// An owner hears the member on its own node at once.
-fn hear_oneself(node: &mut Node, owner: &mut Owner, now: Millis) {
-    let Some(session) = node.standing.promise(now) else {
+/// Passes the promise and the held work of the owner's own member to the owner
+/// at once.
+fn collect_own_member(node: &mut Node, owner: &mut Owner, now: Millis) {
+    let Some(session) = node.mode_state.promise(now) else {
         return;
     };
     let made_ms = now;
     owner.on_promise(&node.id, Promise { session, made_ms });
-    let collects = owner.collects();
+    let collects = owner.due_collects();
     let own = collects.iter().find(|collect| collect.holder == node.id);
-    if let Some(holding) = own.and_then(|collect| node.member.on_collect(collect)) {
-        owner.on_holding(&holding);
+    if let Some(reply) = own.and_then(|collect| node.member.on_collect(collect)) {
+        owner.on_collect_reply(&reply);
     }
 }
 
@@ -241,38 +242,38 @@
 }
 
 impl World {
-    /// Returns a world in which node `a` has long owned the pool.
+    /// Returns the initial world, in which node `a` owns the pool past its quarantine.
     pub(crate) fn new(setup: &Setup) -> Self {
         let mut nodes: Vec<_> = (0..setup.members)
             .map(|index| Node {
                 id: id(index),
                 is_paused: false,
-                standing: Standing::new(TERMS),
-                member: Member::new(TERMS, id(index)),
+                mode_state: ModeState::new(TIMING),
+                member: Member::new(TIMING, id(index)),
                 owner: None,
                 unsent: Vec::new(),
             })
             .collect();
-        let mut owner = Owner::new(TERMS, 1, Millis::ZERO, roster(setup.members));
+        let mut owner = Owner::new(TIMING, 1, Millis::ZERO, roster(setup.members));
         owner.add_target(&TARGET);
         for node in &mut nodes {
-            let session = node.standing.promise(START).unwrap();
-            // The successor's last promise was made before it took over.
-            let made_ms = match setup.deposed && node.id == id(1) {
-                true => Millis(START.0 - TERMS.quarantine_ms().0),
+            let session = node.mode_state.promise(START).unwrap();
+            // The successor made its last promise before it took over.
+            let made_ms = match setup.is_owner_replaced && node.id == id(1) {
+                true => Millis(START.0 - TIMING.quarantine_ms().0),
                 false => START,
             };
             owner.on_promise(&node.id, Promise { session, made_ms });
         }
-        for collect in owner.collects() {
+        for collect in owner.due_collects() {
             let node = nodes.iter_mut().find(|node| node.id == collect.holder);
-            let holding = node.unwrap().member.on_collect(&collect).unwrap();
-            owner.on_holding(&holding);
+            let reply = node.unwrap().member.on_collect(&collect).unwrap();
+            owner.on_collect_reply(&reply);
         }
         let mut world = Self {
             now: START,
             epoch: 1,
-            named: 0,
+            recorded_owner: 0,
             fence: fence(1, Source::Granted),
             nodes: Vec::new(),
             messages: Vec::new(),
@@ -281,15 +282,15 @@
             step: "start".to_owned(),
         };
         owner.on_report(START, &TARGET, &world.report(setup));
-        if setup.deposed {
-            let since_ms = Millis(START.0 - TERMS.quarantine_ms().0);
+        if setup.is_owner_replaced {
+            let since_ms = Millis(START.0 - TIMING.quarantine_ms().0);
             owner.on_confirm(since_ms);
             world.epoch = 2;
-            world.named = 1;
+            world.recorded_owner = 1;
             let node = &mut nodes[1];
-            let mut successor = Owner::new(TERMS, 2, since_ms, roster(setup.members));
+            let mut successor = Owner::new(TIMING, 2, since_ms, roster(setup.members));
             successor.add_target(&TARGET);
-            hear_oneself(node, &mut successor, START);
+            collect_own_member(node, &mut successor, START);
             node.owner = Some(successor);
         } else {
             owner.on_confirm(START);
@@ -299,19 +300,19 @@
         world
     }
 
-    /// Returns whether the target runs more than it bears.
+    /// Returns whether the target runs more work than its limit.
     ///
-    /// Work is set apart as late if its sender was paused between its last
-    /// check and its send; there may be one such piece for each paused node.
+    /// Work whose sender was paused between its last check and its send is
+    /// late. It may be counted apart, with at most one piece for each pause.
     pub(crate) fn is_violated(&self, setup: &Setup) -> bool {
-        let set_apart = setup.allow_late && !setup.checks;
+        let counts_late_apart = setup.allows_late_work && !setup.checks_fence;
         let late = self.works.iter().filter(|work| work.is_late).count();
         let pauses = usize::from(setup.budget.pauses - self.budget.pauses);
-        let counted = match set_apart {
+        let counted = match counts_late_apart {
             true => self.works.len() - late,
             false => self.works.len(),
         };
-        counted > setup.limit as usize || (set_apart && late > pauses)
+        counted > setup.limit as usize || (counts_late_apart && late > pauses)
     }
 
     /// Returns every world that one step leads to.
@@ -322,32 +323,32 @@
             self.deliver(setup, index, &mut next);
         }
         for index in 0..self.works.len() {
-            self.end(index, &mut next);
+            self.end_work(index, &mut next);
         }
         for index in 0..setup.members {
             let node = &self.nodes[usize::from(index)];
             if node.is_paused {
-                self.change(index, "resumes", &mut next, |node, _| {
+                self.change_node(index, "resumes", &mut next, |node, _| {
                     node.is_paused = false
                 });
                 continue;
             }
-            self.work(setup, index, &mut next);
+            self.work_steps(setup, index, &mut next);
             self.change_mode(setup, index, &mut next);
-            self.own(setup, index, &mut next);
+            self.ownership_steps(setup, index, &mut next);
         }
-        next.retain(|world| world.messages.len() <= setup.messages);
+        next.retain(|world| world.messages.len() <= setup.max_messages);
         next
     }
 
     fn tick(&self, setup: &Setup, next: &mut Vec<Self>) {
-        if self.now >= START + Millis(setup.horizon) {
+        if self.now >= START + Millis(setup.horizon_ticks) {
             return;
         }
         let mut world = self.clone();
         for node in &mut world.nodes {
             let mut unsent = node.unsent.iter();
-            let is_overdue = unsent.any(|(since_ms, _)| *since_ms + TERMS.settle_ms <= self.now);
+            let is_overdue = unsent.any(|(since_ms, _)| *since_ms + TIMING.settle_ms <= self.now);
             if is_overdue && !node.is_paused {
                 if world.budget.pauses == 0 {
                     return;
@@ -359,23 +360,23 @@
         world.step = "tick".to_owned();
         world.now = self.now + TICK;
         let now = world.now;
-        // Reports that can have no effect any more are dropped.
+        // Expired reports have no effect and are dropped to reduce the states.
         world.messages.retain(|message| match &**message {
-            Message::Report(_, report) => now.since(report.taken_ms) <= TERMS.report_ms,
+            Message::Report(_, report) => now.since(report.taken_ms) <= TIMING.report_ms,
             _ => true,
         });
         next.push(world);
     }
 
-    /// A node asks an owner, or sends what it has accepted.
-    fn work(&self, setup: &Setup, index: u8, next: &mut Vec<Self>) {
+    /// A node requests slots or uses its share, and sends the work it has accepted.
+    fn work_steps(&self, setup: &Setup, index: u8, next: &mut Vec<Self>) {
         let node = &self.nodes[usize::from(index)];
         for unsent in 0..node.unsent.len() {
             self.send(setup, index, unsent, next);
         }
-        if node.standing.mode() == Mode::Granted {
+        if node.mode_state.mode() == Mode::Granted {
             for owner in 0..setup.members {
-                self.ask(index, owner, next);
+                self.request(index, owner, next);
             }
         } else if self.budget.works > 0 {
             self.poll(setup, index, next);
@@ -388,32 +389,32 @@
         let (since_ms, key) = node.unsent.remove(unsent);
         node.member.on_sent(&key);
         world.step = format!("{} sends {key:?}", node.id.name);
-        if setup.checks && key.fence() < world.fence {
+        if setup.checks_fence && key.fence() < world.fence {
             node.member.on_end(&key);
             world.release(&key);
         } else {
             world.fence = world.fence.max(key.fence());
-            let is_late = since_ms + TERMS.settle_ms < self.now;
+            let is_late = since_ms + TIMING.settle_ms < self.now;
             world.works.push(Work { key, is_late });
             world.works.sort_by(|a, b| a.key.cmp(&b.key));
         }
         next.push(world);
     }
 
-    /// Ask and decision are one step: a later decision only shortens the
-    /// grant's life.
-    fn ask(&self, index: u8, owner: u8, next: &mut Vec<Self>) {
+    /// Request and decision are one step: a later decision only shortens the
+    /// time in which the grant can be accepted.
+    fn request(&self, index: u8, owner: u8, next: &mut Vec<Self>) {
         let mut world = self.clone();
         let member = &mut Arc::make_mut(&mut world.nodes[usize::from(index)]).member;
-        let ask = member.ask(self.now);
+        let request = member.request_slot(self.now);
         let node = Arc::make_mut(&mut world.nodes[usize::from(owner)]);
         let Some(owner) = node.owner.as_mut().filter(|_| !node.is_paused) else {
             return;
         };
-        if self.budget.works == 0 || !owner.on_ask(ask) {
+        if self.budget.works == 0 || !owner.on_request(request) {
             return;
         }
-        let grants = owner.grants(self.now);
+        let grants = owner.grant_all(self.now);
         if grants.is_empty() {
             return;
         }
@@ -433,12 +434,12 @@
         world.budget.polls -= 1;
         let node = &self.nodes[usize::from(index)];
         world.step = format!("{} polls", node.id.name);
-        if setup.checks {
+        if setup.checks_fence {
             let own = match &node.owner {
                 Some(owner) => fence(owner.epoch(), Source::Granted),
                 None => 0,
             };
-            let share = match node.standing.mode() {
+            let share = match node.mode_state.mode() {
                 Mode::Granted => 0,
                 Mode::Share { .. } => node.member.share_fence(),
             };
@@ -449,7 +450,7 @@
         if let Some(owner) = &mut changed.owner {
             owner.on_report(self.now, &TARGET, &report);
         }
-        if node.standing.mode() != Mode::Granted {
+        if node.mode_state.mode() != Mode::Granted {
             world.post(Message::Report(index, report));
         }
         next.push(world);
@@ -457,29 +458,29 @@
 
     fn change_mode(&self, setup: &Setup, index: u8, next: &mut Vec<Self>) {
         let node = &self.nodes[usize::from(index)];
-        match node.standing.mode() {
+        match node.mode_state.mode() {
             Mode::Granted => {
-                if self.budget.shares > 0 && node.standing.is_free(self.now) {
-                    self.change(index, "enters share mode", next, |node, budget| {
-                        budget.shares -= 1;
-                        node.standing.enter_share(self.now);
+                if self.budget.share_entries > 0 && node.mode_state.may_share(self.now) {
+                    self.change_node(index, "enters share mode", next, |node, budget| {
+                        budget.share_entries -= 1;
+                        node.mode_state.enter_share(self.now);
                         if setup.fault == Some(Fault::ShareIgnoresRunning) {
-                            node.member = Member::new(TERMS, node.id.clone());
+                            node.member = Member::new(TIMING, node.id.clone());
                         }
-                        let session = node.standing.session();
-                        node.member.on_mode(node.standing.mode(), session);
+                        let session = node.mode_state.session();
+                        node.member.on_mode(node.mode_state.mode(), session);
                     });
                 }
                 for owner in 0..setup.members {
                     self.promise(setup, index, owner, next);
                 }
             }
-            Mode::Share { .. } if self.budget.returns > 0 => {
-                self.change(index, "leaves share mode", next, |node, budget| {
-                    budget.returns -= 1;
-                    node.standing.leave_share();
-                    let session = node.standing.session();
-                    node.member.on_mode(node.standing.mode(), session);
+            Mode::Share { .. } if self.budget.share_exits > 0 => {
+                self.change_node(index, "leaves share mode", next, |node, budget| {
+                    budget.share_exits -= 1;
+                    node.mode_state.leave_share();
+                    let session = node.mode_state.session();
+                    node.member.on_mode(node.mode_state.mode(), session);
                 });
             }
             Mode::Share { .. } => {}
@@ -494,7 +495,7 @@
         let node = &self.nodes[usize::from(index)];
         let own_epoch = node.owner.as_ref().map_or(0, Owner::epoch);
         let known = node.member.epoch().max(own_epoch);
-        // A promise made in the knowledge of a newer record does not count.
+        // A promise made while holding a newer record does not count.
         let counts = setup.fault == Some(Fault::StalePromise);
         let is_stale = epoch.is_none_or(|epoch| epoch < known && !counts);
         if is_stale || self.budget.promises == 0 {
@@ -502,7 +503,7 @@
         }
         let mut world = self.clone();
         let node = Arc::make_mut(&mut world.nodes[usize::from(index)]);
-        let Some(session) = node.standing.promise(self.now) else {
+        let Some(session) = node.mode_state.promise(self.now) else {
             return;
         };
         world.step = format!("{} promises", node.id.name);
@@ -515,32 +516,32 @@
         next.push(world);
     }
 
-    /// What an owner does, and how a node becomes one.
-    fn own(&self, setup: &Setup, index: u8, next: &mut Vec<Self>) {
+    /// Steps of an owner, and steps by which a node becomes one.
+    fn ownership_steps(&self, setup: &Setup, index: u8, next: &mut Vec<Self>) {
         let node = &self.nodes[usize::from(index)];
         if let Some(owner) = &node.owner {
             self.poll(setup, index, next);
             self.confirm(setup, index, next);
-            for collect in owner.collects() {
+            for collect in owner.due_collects() {
                 self.collect(index, &collect, next);
             }
-        } else if self.named == index && self.budget.readings > 0 {
+        } else if self.recorded_owner == index && self.budget.record_reads > 0 {
             self.take_over(setup, index, next);
-        } else if self.budget.depositions > 0 {
-            self.depose(index, next);
+        } else if self.budget.owner_changes > 0 {
+            self.replace_owner(index, next);
         }
     }
 
-    fn collect(&self, index: u8, collect: &Collect, next: &mut Vec<Self>) {
+    fn collect(&self, index: u8, collect: &CollectRequest, next: &mut Vec<Self>) {
         let is_answer = |message: &Arc<Message>| match &**message {
-            Message::Holding(to, holding) => *to == index && holding.holder == collect.holder,
+            Message::CollectReply(to, reply) => *to == index && reply.holder == collect.holder,
             _ => false,
         };
-        if self.budget.holdings == 0 || self.messages.iter().any(is_answer) {
+        if self.budget.collect_replies == 0 || self.messages.iter().any(is_answer) {
             return;
         }
         let mut world = self.clone();
-        world.budget.holdings -= 1;
+        world.budget.collect_replies -= 1;
         let mut nodes = world.nodes.iter_mut();
         let Some(node) = nodes.find(|node| node.id == collect.holder) else {
             return;
@@ -548,41 +549,45 @@
         if node.is_paused {
             return;
         }
-        let Some(holding) = Arc::make_mut(node).member.on_collect(collect) else {
+        let Some(reply) = Arc::make_mut(node).member.on_collect(collect) else {
             return;
         };
-        world.step = format!("{} tells {} what it holds", node.id.name, id(index).name);
-        world.post(Message::Holding(index, holding));
+        world.step = format!(
+            "{} replies to the collect request of {}",
+            node.id.name,
+            id(index).name
+        );
+        world.post(Message::CollectReply(index, reply));
         next.push(world);
     }
 
     fn confirm(&self, setup: &Setup, index: u8, next: &mut Vec<Self>) {
-        if self.budget.readings == 0 {
+        if self.budget.record_reads == 0 {
             return;
         }
         if setup.fault == Some(Fault::NoConfirmationAge) {
-            self.change(index, "takes itself for confirmed", next, |node, budget| {
-                budget.readings -= 1;
+            self.change_node(index, "counts itself as confirmed", next, |node, budget| {
+                budget.record_reads -= 1;
                 node.owner.as_mut().unwrap().on_confirm(self.now);
             });
             return;
         }
         let epoch = self.epoch;
-        self.change(index, "reads the record", next, |node, budget| {
-            budget.readings -= 1;
-            let named = node.owner.as_mut().filter(|owner| owner.epoch() == epoch);
-            if let Some(owner) = named {
+        self.change_node(index, "reads the record", next, |node, budget| {
+            budget.record_reads -= 1;
+            let confirmed = node.owner.as_mut().filter(|owner| owner.epoch() == epoch);
+            if let Some(owner) = confirmed {
                 owner.on_confirm(self.now);
             }
         });
     }
 
-    /// The record comes to name another owner, which has yet to learn of it.
-    fn depose(&self, index: u8, next: &mut Vec<Self>) {
+    /// The record names another owner, which has not read the change yet.
+    fn replace_owner(&self, index: u8, next: &mut Vec<Self>) {
         let mut world = self.clone();
         world.epoch += 1;
-        world.named = index;
-        world.budget.depositions -= 1;
+        world.recorded_owner = index;
+        world.budget.owner_changes -= 1;
         world.step = format!("the record names {}", id(index).name);
         next.push(world);
     }
@@ -598,9 +603,9 @@
             _ => roster(setup.members),
         };
         let node = Arc::make_mut(&mut world.nodes[usize::from(index)]);
-        let mut owner = Owner::new(TERMS, world.epoch, self.now, members);
+        let mut owner = Owner::new(TIMING, world.epoch, self.now, members);
         owner.add_target(&TARGET);
-        hear_oneself(node, &mut owner, self.now);
+        collect_own_member(node, &mut owner, self.now);
         node.owner = Some(owner);
         world.step = format!("{} takes over", node.id.name);
         next.push(world);
@@ -610,7 +615,7 @@
         let mut world = self.clone();
         let message = world.messages.remove(index);
         let to = match &*message {
-            Message::Holding(to, _) | Message::Grant(to, _) | Message::Report(to, _) => {
+            Message::CollectReply(to, _) | Message::Grant(to, _) | Message::Report(to, _) => {
                 usize::from(*to)
             }
         };
@@ -626,9 +631,9 @@
 
     fn receive(&mut self, setup: &Setup, node: &mut Node, message: &Message) {
         match message {
-            Message::Holding(_, holding) => {
+            Message::CollectReply(_, reply) => {
                 if let Some(owner) = &mut node.owner {
-                    owner.on_holding(holding);
+                    owner.on_collect_reply(reply);
                 }
             }
             Message::Grant(_, grant) => self.receive_grant(setup, node, grant),
@@ -638,7 +643,7 @@
 
     fn receive_grant(&mut self, setup: &Setup, node: &mut Node, grant: &Grant) {
         let mut grant = grant.clone();
-        if setup.fault == Some(Fault::EndlessGrant) {
+        if setup.fault == Some(Fault::GrantNeverExpires) {
             grant.stamp = node.member.stamp(self.now);
         }
         match node.member.accept(self.now, &grant) {
@@ -653,23 +658,23 @@
     }
 
     fn receive_report(&mut self, setup: &Setup, node: &mut Node, report: &Report) {
-        if node.standing.mode() == Mode::Granted || self.budget.works == 0 {
+        if node.mode_state.mode() == Mode::Granted || self.budget.works == 0 {
             return;
         }
         let mut report = report.clone();
         if setup.fault == Some(Fault::ShareWithoutReport) {
-            report.taken_ms = self.now + TERMS.settle_ms;
+            report.taken_ms = self.now + TIMING.settle_ms;
             report.works.clear();
         }
         let roster = roster(setup.members);
-        if let Ok(held) = node.member.share(self.now, &TARGET, &report, &roster) {
+        if let Ok(held) = node.member.take_share(self.now, &TARGET, &report, &roster) {
             self.budget.works -= 1;
             node.unsent.push((self.now, held.key));
         }
     }
 
-    /// Work ends at the target; its holder learns of it if it runs.
-    fn end(&self, index: usize, next: &mut Vec<Self>) {
+    /// Work ends at the target; its holder is notified unless it is paused.
+    fn end_work(&self, index: usize, next: &mut Vec<Self>) {
         let mut world = self.clone();
         let work = world.works.remove(index);
         let mut nodes = world.nodes.iter();
@@ -683,7 +688,7 @@
         next.push(world);
     }
 
-    fn release(&mut self, key: &Key) {
+    fn release(&mut self, key: &WorkKey) {
         for node in self.nodes.iter_mut().filter(|node| !node.is_paused) {
             let epoch = node.owner.as_ref().map(Owner::epoch);
             if epoch.is_none_or(|epoch| epoch != key.epoch) {
@@ -706,7 +711,7 @@
             running,
             waiting: 0,
             preemptions: 0,
-            fence: setup.checks.then_some(self.fence),
+            fence: setup.checks_fence.then_some(self.fence),
             works: self.works.iter().map(|work| work.key.clone()).collect(),
         }
     }
@@ -716,7 +721,7 @@
         self.messages.sort_by_key(|message| digest(message));
     }
 
-    fn change<F>(&self, index: u8, step: &str, next: &mut Vec<Self>, change: F)
+    fn change_node<F>(&self, index: u8, step: &str, next: &mut Vec<Self>, change: F)
     where
         F: FnOnce(&mut Node, &mut Budget),
     {
--- a/filbertpaddle-core/tests/quarantine.rs
+++ b/filbertpaddle-core/tests/quarantine.rs
@@ -8,12 +8,12 @@
 use filbertpaddle_core::outcome::Reason;
 use filbertpaddle_core::policy::Policy;
 use filbertpaddle_core::policy::Settings;
-use filbertpaddle_core::scheduler::Ask;
-use filbertpaddle_core::scheduler::AskId;
 use filbertpaddle_core::scheduler::Ending;
 use filbertpaddle_core::scheduler::Placement;
+use filbertpaddle_core::scheduler::RequestId;
 use filbertpaddle_core::scheduler::Scheduler;
 use filbertpaddle_core::scheduler::SlotId;
+use filbertpaddle_core::scheduler::SlotRequest;
 use filbertpaddle_core::scheduler::TargetView;
 use filbertpaddle_core::suspect::CRASH_LIMIT;
 use filbertpaddle_core::suspect::CrashRecord;
@@ -38,7 +38,7 @@
     next_id: u64,
     targets: Vec<Name>,
     running: BTreeMap<u64, Placement>,
-    digests: BTreeMap<AskId, u64>,
+    digests: BTreeMap<RequestId, u64>,
     crashing: Vec<u64>,
     crashes: BTreeMap<u64, usize>,
     answered: BTreeSet<u64>,
@@ -69,9 +69,9 @@
 
     fn send(&mut self, digest: u64) {
         self.next_id += 1;
-        self.digests.insert(AskId(self.next_id), digest);
-        let request = Ask {
-            id: AskId(self.next_id),
+        self.digests.insert(RequestId(self.next_id), digest);
+        let request = SlotRequest {
+            id: RequestId(self.next_id),
             customer: Name::new(format!("customer-{}", digest % 3)),
             template: Name::new("summary"),
             priority: Priority(0),
@@ -128,7 +128,7 @@
         let crashed: BTreeSet<Name> = self
             .running
             .values()
-            .filter(|placement| crashing.contains(&placement.ask.digest))
+            .filter(|placement| crashing.contains(&placement.request.digest))
             .map(|placement| placement.target.clone())
             .collect();
         for target in &crashed {
@@ -137,7 +137,7 @@
                 .running
                 .values()
                 .filter(|p| on_target(p))
-                .map(|p| p.ask.digest)
+                .map(|p| p.request.digest)
                 .collect();
             for crashing_digest in crashing.iter().filter(|p| digests.contains(p)) {
                 let crashes = self.crashes.entry(*crashing_digest).or_default();
@@ -161,7 +161,7 @@
         let resent: BTreeSet<u64> = lost
             .iter()
             .filter_map(|slot| self.running.remove(slot))
-            .map(|placement| placement.ask.digest)
+            .map(|placement| placement.request.digest)
             .collect();
         self.now = self.now + Millis(100);
         for digest in resent {
@@ -179,7 +179,7 @@
         let slots: Vec<u64> = self
             .running
             .iter()
-            .filter(|(_, placement)| !self.crashing.contains(&placement.ask.digest))
+            .filter(|(_, placement)| !self.crashing.contains(&placement.request.digest))
             .map(|(slot, _)| *slot)
             .take(count)
             .collect();
@@ -187,7 +187,7 @@
             self.scheduler
                 .record_end(self.now, SlotId(slot), 50, Ending::Complete);
             let placement = self.running.remove(&slot);
-            self.answered.extend(placement.map(|p| p.ask.digest));
+            self.answered.extend(placement.map(|p| p.request.digest));
         }
         self.place();
     }
@@ -289,7 +289,12 @@
             .running
             .values()
             .filter(|p| {
-                p.target == name && pool.scheduler.suspects().uncleared_crashes(p.ask.digest) > 0
+                p.target == name
+                    && pool
+                        .scheduler
+                        .suspects()
+                        .uncleared_crashes(p.request.digest)
+                        > 0
             })
             .count();
         assert!(suspects <= 1, "{name} runs {suspects}");
--- a/filbertpaddle-core/tests/queue.rs
+++ b/filbertpaddle-core/tests/queue.rs
@@ -4,16 +4,16 @@
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::queue::Entry;
 use filbertpaddle_core::queue::Queue;
-use filbertpaddle_core::scheduler::Ask;
-use filbertpaddle_core::scheduler::AskId;
+use filbertpaddle_core::scheduler::RequestId;
+use filbertpaddle_core::scheduler::SlotRequest;
 use filbertpaddle_core::template::Priority;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 fn entry(id: u64, customer: &str, priority: u8, cost_tokens: u64, arrived_ms: u64) -> Entry {
     Entry {
-        request: Ask {
-            id: AskId(id),
+        request: SlotRequest {
+            id: RequestId(id),
             customer: Name::new(customer),
             template: Name::new("template"),
             priority: Priority(priority),
@@ -41,7 +41,7 @@
     queue.push(entry(1, "a", 0, 10, 0));
     queue.push(entry(2, "a", 3, 10, 0));
     let first = take_head(&mut queue, Millis(0)).unwrap();
-    assert_eq!(first.request.id, AskId(2));
+    assert_eq!(first.request.id, RequestId(2));
 }
 
 #[test]
@@ -54,7 +54,7 @@
         queue.push(entry(id, "a", 3, 10, now.0));
         taken.push(take_head(&mut queue, now).unwrap().request.id);
     }
-    assert!(taken.contains(&AskId(1)), "starved: {taken:?}");
+    assert!(taken.contains(&RequestId(1)), "starved: {taken:?}");
 }
 
 #[test]
@@ -158,7 +158,7 @@
                     let customer = if id % 2 == 0 { "even" } else { "odd" };
                     queue.push(entry(id, customer, priority, id + 1, now.0));
                 }
-                2 => prop_assert_eq!(queue.remove(AskId(id)).is_some(), queued.remove(&id)),
+                2 => prop_assert_eq!(queue.remove(RequestId(id)).is_some(), queued.remove(&id)),
                 3 => {
                     if let Some(entry) = take_head(&mut queue, now) {
                         prop_assert!(queued.remove(&entry.request.id.0));
--- a/filbertpaddle-core/tests/recount.rs
+++ b/filbertpaddle-core/tests/recount.rs
@@ -1,30 +1,32 @@
-//! An owner finds slots that lost messages have left counted.
+//! Recount by a pool's owner of the work that members hold.
+//!
+//! Without it, a slot whose release message was lost would stay counted forever.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
-use filbertpaddle_core::owner::Ask;
-use filbertpaddle_core::owner::Collect;
-use filbertpaddle_core::owner::Holding;
+use filbertpaddle_core::owner::CollectReply;
+use filbertpaddle_core::owner::CollectRequest;
 use filbertpaddle_core::owner::Owner;
+use filbertpaddle_core::owner::SlotRequest;
 use filbertpaddle_core::peer::Promise;
 use filbertpaddle_core::report::Report;
-use filbertpaddle_core::roster::Id;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::roster::Roster;
 use filbertpaddle_core::slot::Grant;
-use filbertpaddle_core::slot::Held;
-use filbertpaddle_core::terms::Terms;
+use filbertpaddle_core::slot::HeldWork;
+use filbertpaddle_core::timing::Timing;
 
 const TARGET: Name = Name::new_static("engine-1");
 const LIMIT: u32 = 1;
 
-fn member() -> Id {
-    Id {
+fn member() -> NodeId {
+    NodeId {
         name: "entry-1".into(),
         incarnation: 1,
     }
 }
 
-fn report(taken_ms: Millis, works: Vec<filbertpaddle_core::slot::Key>) -> Report {
+fn report(taken_ms: Millis, works: Vec<filbertpaddle_core::slot::WorkKey>) -> Report {
     Report {
         taken_ms,
         incarnation: 1,
@@ -39,36 +41,38 @@
     }
 }
 
-/// An owner that has long stood, with one member that holds nothing.
-struct Bench {
+/// An owner past its quarantine, with one member that holds no work.
+struct Harness {
     owner: Owner,
     now: Millis,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
         let roster = Roster {
             version: 1,
             sharers: vec![member()],
             ..Roster::default()
         };
-        let mut owner = Owner::new(Terms::default(), 1, Millis::ZERO, roster);
+        let mut owner = Owner::new(Timing::default(), 1, Millis::ZERO, roster);
         owner.add_target(&TARGET);
-        let mut bench = Self {
+        let mut harness = Self {
             owner,
             now: Millis::from_secs(60),
         };
-        bench.keep_standing();
-        for collect in bench.owner.collects() {
-            bench.owner.on_holding(&holding(&collect, Vec::new()));
+        harness.renew_confirmation();
+        for collect in harness.owner.due_collects() {
+            harness
+                .owner
+                .on_collect_reply(&collect_reply(&collect, Vec::new()));
         }
-        bench
+        harness
             .owner
-            .on_report(bench.now, &TARGET, &report(bench.now, Vec::new()));
-        bench
+            .on_report(harness.now, &TARGET, &report(harness.now, Vec::new()));
+        harness
     }
 
-    fn keep_standing(&mut self) {
+    fn renew_confirmation(&mut self) {
         let promise = Promise {
             session: 1,
             made_ms: self.now,
@@ -77,34 +81,38 @@
         self.owner.on_confirm(self.now);
     }
 
-    fn ask(&mut self, number: u64) -> Vec<Grant> {
-        self.owner.on_ask(Ask {
+    fn request(&mut self, number: u64) -> Vec<Grant> {
+        self.owner.on_request(SlotRequest {
             holder: member(),
             number,
             stamp: number,
             session: 1,
         });
-        self.owner.grants(self.now)
+        self.owner.grant_all(self.now)
     }
 
-    fn pass(&mut self, span: Millis, works: Vec<filbertpaddle_core::slot::Key>) -> Vec<Grant> {
+    fn advance(
+        &mut self,
+        span: Millis,
+        works: Vec<filbertpaddle_core::slot::WorkKey>,
+    ) -> Vec<Grant> {
         self.now = self.now + span;
-        self.keep_standing();
+        self.renew_confirmation();
         self.owner
             .on_report(self.now, &TARGET, &report(self.now, works));
-        self.owner.grants(self.now)
+        self.owner.grant_all(self.now)
     }
 
-    fn recount(&mut self, works: &[Held]) {
-        for collect in self.owner.recounts() {
+    fn recount(&mut self, works: &[HeldWork]) {
+        for collect in self.owner.recount_requests() {
             self.owner
-                .on_recount(self.now, &holding(&collect, works.to_vec()));
+                .on_recount_reply(self.now, &collect_reply(&collect, works.to_vec()));
         }
     }
 }
 
-fn holding(collect: &Collect, works: Vec<Held>) -> Holding {
-    Holding {
+fn collect_reply(collect: &CollectRequest, works: Vec<HeldWork>) -> CollectReply {
+    CollectReply {
         holder: collect.holder.clone(),
         session: 1,
         epoch: collect.epoch,
@@ -115,42 +123,42 @@
 
 #[test]
 fn a_slot_whose_release_was_lost_is_freed() {
-    let mut bench = Bench::new();
-    assert_eq!(bench.ask(1).len(), 1);
-    assert_eq!(bench.ask(2), [], "the limit is used");
-    // The work ended and the release was lost.
+    let mut harness = Harness::new();
+    assert_eq!(harness.request(1).len(), 1);
+    assert_eq!(harness.request(2), [], "the limit is used");
+    // The work ended and the release message was lost.
     for _ in 0..5 {
-        assert_eq!(bench.pass(Millis::from_secs(10), Vec::new()), []);
+        assert_eq!(harness.advance(Millis::from_secs(10), Vec::new()), []);
     }
-    bench.recount(&[]);
-    let granted = bench.pass(Terms::default().settle_ms, Vec::new());
+    harness.recount(&[]);
+    let granted = harness.advance(Timing::default().settle_ms, Vec::new());
     assert_eq!(granted.len(), 1, "the slot is free again");
 }
 
 #[test]
 fn work_that_a_report_still_shows_stays_counted() {
-    let mut bench = Bench::new();
-    let key = bench.ask(1).remove(0).key;
-    bench.ask(2);
-    bench.recount(&[]);
+    let mut harness = Harness::new();
+    let key = harness.request(1).remove(0).key;
+    harness.request(2);
+    harness.recount(&[]);
     for _ in 0..5 {
-        let granted = bench.pass(Millis::from_secs(10), vec![key.clone()]);
+        let granted = harness.advance(Millis::from_secs(10), vec![key.clone()]);
         assert_eq!(granted, [], "the target still runs it");
     }
 }
 
 #[test]
-fn work_that_its_holder_still_holds_stays_counted() {
-    let mut bench = Bench::new();
-    let grant = bench.ask(1).remove(0);
-    bench.ask(2);
-    let held = Held {
+fn work_that_its_holder_reports_stays_counted() {
+    let mut harness = Harness::new();
+    let grant = harness.request(1).remove(0);
+    harness.request(2);
+    let held = HeldWork {
         key: grant.key,
         target: TARGET,
     };
     for _ in 0..5 {
-        bench.recount(std::slice::from_ref(&held));
-        let granted = bench.pass(Millis::from_secs(10), Vec::new());
+        harness.recount(std::slice::from_ref(&held));
+        let granted = harness.advance(Millis::from_secs(10), Vec::new());
         assert_eq!(granted, [], "it may not have reached the target yet");
     }
 }
--- a/filbertpaddle-core/tests/scheduler.rs
+++ b/filbertpaddle-core/tests/scheduler.rs
@@ -7,22 +7,22 @@
 use filbertpaddle_core::outcome::Reason;
 use filbertpaddle_core::policy::Policy;
 use filbertpaddle_core::policy::Settings;
-use filbertpaddle_core::scheduler::Ask;
-use filbertpaddle_core::scheduler::AskId;
 use filbertpaddle_core::scheduler::Ending;
 use filbertpaddle_core::scheduler::Load;
 use filbertpaddle_core::scheduler::Placement;
+use filbertpaddle_core::scheduler::RequestId;
 use filbertpaddle_core::scheduler::Scheduler;
 use filbertpaddle_core::scheduler::SlotId;
+use filbertpaddle_core::scheduler::SlotRequest;
 use filbertpaddle_core::scheduler::TargetView;
 use filbertpaddle_core::template::Priority;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use strum::VariantArray;
 
-fn request(id: u64, now: Millis) -> Ask {
-    Ask {
-        id: AskId(id),
+fn request(id: u64, now: Millis) -> SlotRequest {
+    SlotRequest {
+        id: RequestId(id),
         customer: Name::new(format!("customer-{}", id % 3)),
         template: Name::new("template"),
         priority: Priority((id % 2) as u8),
@@ -53,17 +53,10 @@
     })
 }
 
-fn start(scheduler: &mut Scheduler, now: Millis, target: &str, request: Ask) {
+fn start(scheduler: &mut Scheduler, now: Millis, target: &str, request: SlotRequest) {
     let slot = SlotId(request.id.0);
     let target = Name::new(target);
-    scheduler.record_start(
-        now,
-        slot,
-        &Placement {
-            ask: request,
-            target,
-        },
-    );
+    scheduler.record_start(now, slot, &Placement { request, target });
 }
 
 /// Records complete outputs of `tokens` tokens for the template.
@@ -80,7 +73,7 @@
 fn place_all(scheduler: &mut Scheduler, now: Millis, views: &[TargetView]) -> usize {
     let mut count = 0;
     while let Some(placement) = scheduler.next_placement(now, views) {
-        let slot = SlotId(placement.ask.id.0);
+        let slot = SlotId(placement.request.id.0);
         scheduler.record_start(now, slot, &placement);
         count += 1;
         assert!(count <= 1_000, "no end of placements");
@@ -145,7 +138,7 @@
     let mut scheduler = scheduler(Policy::Predictive);
     record_outputs(&mut scheduler, 20);
     let views = [view("a", 64, 100_000), view("b", 64, 100_000)];
-    let with_prefix = |id| Ask {
+    let with_prefix = |id| SlotRequest {
         prefix: 9,
         prefix_tokens: 64,
         ..request(id, Millis(0))
@@ -269,8 +262,8 @@
                     })
                     .collect::<Result<_, _>>()?;
                 let Some(placement) = scheduler.next_placement(now, &views) else { break };
-                prop_assert!(placement.ask.deadline_ms > now);
-                let slot = SlotId(placement.ask.id.0);
+                prop_assert!(placement.request.deadline_ms > now);
+                let slot = SlotId(placement.request.id.0);
                 scheduler.record_start(now, slot, &placement);
                 let target = names.iter().position(|name| placement.target == *name);
                 prop_assert!(running.insert(slot.0, target.unwrap()).is_none());
--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -1,15 +1,15 @@
 //! Ties a node's pools to its data centre: record, relay, heartbeats, targets.
 
 use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::grant_mode::Mode;
+use filbertpaddle_core::grant_mode::ModeState;
 use filbertpaddle_core::membership;
 use filbertpaddle_core::membership::Confirmation;
 use filbertpaddle_core::membership::Relay;
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::policy;
-use filbertpaddle_core::roster::Id;
-use filbertpaddle_core::standing::Mode;
-use filbertpaddle_core::standing::Standing;
-use filbertpaddle_core::terms::Terms;
+use filbertpaddle_core::roster::NodeId;
+use filbertpaddle_core::timing::Timing;
 use filbertpaddle_platform::client::Client;
 use filbertpaddle_platform::protocol::Vm;
 use filbertpaddle_platform::protocol::VmRole;
@@ -77,7 +77,7 @@
 /// Starts a coordinator.
 pub(crate) fn start(parts: Parts) -> Address<Coordinator> {
     let now = parts.clock.now();
-    let terms = Terms::default();
+    let terms = Timing::default();
     let state = Coordinator {
         id: id(&parts.own),
         own: parts.own,
@@ -89,7 +89,7 @@
         log: parts.log,
         terms,
         placement: parts.placement,
-        standing: Standing::new(terms),
+        standing: ModeState::new(terms),
         record: Record::default(),
         read_ms: None,
         is_writing: false,
@@ -117,7 +117,7 @@
 }
 
 pub(crate) struct Coordinator {
-    pub(crate) id: Id,
+    pub(crate) id: NodeId,
     pub(crate) own: Peer,
     pub(crate) peers: Peers,
     pub(crate) platform: Client,
@@ -125,9 +125,9 @@
     pub(crate) service: Service,
     pub(crate) clock: Clock,
     pub(crate) log: Logger,
-    pub(crate) terms: Terms,
+    pub(crate) terms: Timing,
     pub(crate) placement: policy::Settings,
-    pub(crate) standing: Standing,
+    pub(crate) standing: ModeState,
     pub(crate) record: Record,
     pub(crate) read_ms: Option<Millis>,
     pub(crate) is_writing: bool,
@@ -187,8 +187,9 @@
 
     fn must_share(&self, now: Millis) -> bool {
         let confirmation = self.heart.confirmation(now);
-        confirmation
-            .is_some_and(|confirmation| membership::must_share(now, confirmation, &self.terms))
+        confirmation.is_some_and(|confirmation| {
+            membership::must_enter_share_mode(now, confirmation, &self.terms)
+        })
     }
 
     fn choose_mode(&mut self, now: Millis) {
@@ -339,11 +340,11 @@
         }
     }
 
-    pub(crate) fn on_member(&mut self, now: Millis, from: &Id, message: wire::Message) {
+    pub(crate) fn on_member(&mut self, now: Millis, from: &NodeId, message: wire::Message) {
         match message {
             wire::Message::Beat(beat) => {
                 let roster = &self.record.roster;
-                let answer = self.relay.on_beat(now, from, &beat, roster);
+                let answer = self.relay.on_heartbeat(now, from, &beat, roster);
                 if beat.version < roster.version {
                     let roster = Box::new(roster.clone());
                     self.send_member(now, from, wire::Message::Roster(roster));
@@ -377,7 +378,7 @@
             .values_mut()
             .filter_map(|pool| pool.owner.as_mut());
         for owner in owners {
-            if let Some(reading_ms) = confirmation.reading_ms {
+            if let Some(reading_ms) = confirmation.read_ms {
                 owner.on_confirm(reading_ms);
             }
             for (id, promise) in &confirmation.promises {
@@ -386,7 +387,7 @@
         }
     }
 
-    pub(crate) fn on_grant_message(&mut self, now: Millis, from: &Id, message: grant::Message) {
+    pub(crate) fn on_grant_message(&mut self, now: Millis, from: &NodeId, message: grant::Message) {
         let name = match &message {
             grant::Message::Ask(name, _)
             | grant::Message::Stamp(name, _)
@@ -425,7 +426,7 @@
         }
     }
 
-    fn send_member(&mut self, now: Millis, to: &Id, message: wire::Message) {
+    fn send_member(&mut self, now: Millis, to: &NodeId, message: wire::Message) {
         if *to == self.id {
             let id = self.id.clone();
             self.on_member(now, &id, message);
@@ -435,8 +436,8 @@
     }
 }
 
-pub(crate) fn id(peer: &Peer) -> Id {
-    Id {
+pub(crate) fn id(peer: &Peer) -> NodeId {
+    NodeId {
         name: peer.name.clone(),
         incarnation: peer.incarnation,
     }
--- a/filbertpaddle/src/placer.rs
+++ b/filbertpaddle/src/placer.rs
@@ -6,18 +6,18 @@
 use filbertpaddle_core::owner;
 use filbertpaddle_core::owner::Owner;
 use filbertpaddle_core::policy::Settings;
-use filbertpaddle_core::roster::Id;
-use filbertpaddle_core::scheduler::Ask;
-use filbertpaddle_core::scheduler::AskId;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::scheduler::Ending;
 use filbertpaddle_core::scheduler::Load;
 use filbertpaddle_core::scheduler::Placement;
 use filbertpaddle_core::scheduler::Refusal;
+use filbertpaddle_core::scheduler::RequestId;
 use filbertpaddle_core::scheduler::Scheduler;
 use filbertpaddle_core::scheduler::SlotId;
+use filbertpaddle_core::scheduler::SlotRequest;
 use filbertpaddle_core::scheduler::TargetView;
 use filbertpaddle_core::slot::Grant;
-use filbertpaddle_core::slot::Key;
+use filbertpaddle_core::slot::WorkKey;
 use filbertpaddle_core::suspect::CrashRecord;
 use filbertpaddle_core::suspect::QuarantineStatus;
 use filbertpaddle_target::protocol::LoadReport;
@@ -28,7 +28,7 @@
 /// A request that gets no slot.
 #[derive(Debug)]
 pub(crate) struct Denied {
-    pub(crate) ask: owner::Ask,
+    pub(crate) ask: owner::SlotRequest,
     pub(crate) refusal: Refusal,
 }
 
@@ -51,8 +51,8 @@
 pub(crate) struct Placer {
     settings: Settings,
     scheduler: Scheduler,
-    asks: IndexMap<AskId, owner::Ask>,
-    placed: IndexMap<Key, Placed>,
+    asks: IndexMap<RequestId, owner::SlotRequest>,
+    placed: IndexMap<WorkKey, Placed>,
     capacity_tokens: IndexMap<Name, u64>,
     next_id: u64,
     passed_ms: Millis,
@@ -83,18 +83,18 @@
     pub(crate) fn push(
         &mut self,
         now: Millis,
-        ask: owner::Ask,
+        ask: owner::SlotRequest,
         want: &Want,
     ) -> Result<(), Refusal> {
-        let id = AskId(self.number());
+        let id = RequestId(self.number());
         self.scheduler.push(now, scheduler_ask(now, id, want))?;
         self.asks.insert(id, ask);
         Ok(())
     }
 
     /// Forgets a request that its holder has given up.
-    pub(crate) fn withdraw(&mut self, holder: &Id, number: u64) {
-        let same = |ask: &owner::Ask| ask.holder == *holder && ask.number == number;
+    pub(crate) fn withdraw(&mut self, holder: &NodeId, number: u64) {
+        let same = |ask: &owner::SlotRequest| ask.holder == *holder && ask.number == number;
         let found = self.asks.iter().find(|(_, other)| same(other));
         if let Some(id) = found.map(|(id, _)| *id) {
             self.scheduler.cancel(id);
@@ -105,12 +105,12 @@
     /// Grants what the scheduler places and the owner allows.
     pub(crate) fn grants(&mut self, now: Millis, owner: &mut Owner) -> Vec<Grant> {
         let mut grants = Vec::new();
-        while owner.stands(now) && self.scheduler.queued() > 0 {
+        while owner.may_grant(now) && self.scheduler.queued() > 0 {
             let views = self.views(now, owner);
             let Some(placement) = self.scheduler.next_placement(now, &views) else {
                 break;
             };
-            let Some(ask) = self.asks.swap_remove(&placement.ask.id) else {
+            let Some(ask) = self.asks.swap_remove(&placement.request.id) else {
                 continue;
             };
             let slot = SlotId(self.number());
@@ -123,10 +123,10 @@
                 continue;
             }
             self.scheduler.record_end(now, slot, 0, Ending::Unsent);
-            if owner.is_waiting(&ask) {
+            if owner.is_queued(&ask) {
                 // The target's room is kept for other members; try again later.
-                if self.scheduler.push(now, placement.ask.clone()).is_ok() {
-                    self.asks.insert(placement.ask.id, ask);
+                if self.scheduler.push(now, placement.request.clone()).is_ok() {
+                    self.asks.insert(placement.request.id, ask);
                 }
                 break;
             }
@@ -161,10 +161,10 @@
     }
 
     /// Notes work that this node started by its own share.
-    pub(crate) fn shared(&mut self, now: Millis, key: &Key, target: &Name, want: &Want) {
+    pub(crate) fn shared(&mut self, now: Millis, key: &WorkKey, target: &Name, want: &Want) {
         let slot = SlotId(self.number());
         let placement = Placement {
-            ask: scheduler_ask(now, AskId(slot.0), want),
+            request: scheduler_ask(now, RequestId(slot.0), want),
             target: target.clone(),
         };
         self.scheduler.record_start(now, slot, &placement);
@@ -173,7 +173,7 @@
     }
 
     /// Notes how the use of a slot ended.
-    pub(crate) fn ended(&mut self, now: Millis, key: &Key, end: End) {
+    pub(crate) fn ended(&mut self, now: Millis, key: &WorkKey, end: End) {
         if let Some(placed) = self.placed.swap_remove(key) {
             self.scheduler
                 .record_end(now, placed.slot, end.tokens, end.ending);
@@ -206,8 +206,8 @@
         let Some(ledger) = ledger else {
             return;
         };
-        let is_counted = |key: &Key| ledger.slots().iter().any(|slot| slot.key == *key);
-        let lost: Vec<Key> = self
+        let is_counted = |key: &WorkKey| ledger.slots().iter().any(|slot| slot.key == *key);
+        let lost: Vec<WorkKey> = self
             .placed
             .iter()
             .filter(|(key, placed)| placed.target == *target && !is_counted(key))
@@ -256,9 +256,9 @@
     }
 }
 
-fn scheduler_ask(now: Millis, id: AskId, want: &Want) -> Ask {
+fn scheduler_ask(now: Millis, id: RequestId, want: &Want) -> SlotRequest {
     let customer = want.template.split('/').next().unwrap_or_default();
-    Ask {
+    SlotRequest {
         id,
         customer: Name::new(customer),
         template: want.template.clone(),
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -11,12 +11,12 @@
 use filbertpaddle_core::policy;
 use filbertpaddle_core::report::Report;
 use filbertpaddle_core::roster;
-use filbertpaddle_core::roster::Id;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::roster::Roster;
 use filbertpaddle_core::slot;
-use filbertpaddle_core::slot::Held;
+use filbertpaddle_core::slot::HeldWork;
 use filbertpaddle_core::slot::Source;
-use filbertpaddle_core::terms::Terms;
+use filbertpaddle_core::timing::Timing;
 use filbertpaddle_wire::grant;
 use filbertpaddle_wire::grant::Denial;
 use filbertpaddle_wire::grant::End;
@@ -67,7 +67,7 @@
 /// A message to another node, or to this one.
 #[derive(Debug)]
 pub(crate) struct Out {
-    pub(crate) to: Id,
+    pub(crate) to: NodeId,
     pub(crate) message: Message,
 }
 
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 pub(crate) struct Pool {
     pub(crate) name: Name,
-    pub(crate) terms: Terms,
+    pub(crate) terms: Timing,
     pub(crate) member: Member,
     pub(crate) owner: Option<Owner>,
     pub(crate) placer: Placer,
@@ -89,7 +89,7 @@
 }
 
 impl Pool {
-    pub(crate) fn new(name: Name, terms: Terms, id: Id, placement: policy::Settings) -> Self {
+    pub(crate) fn new(name: Name, terms: Timing, id: NodeId, placement: policy::Settings) -> Self {
         Self {
             name,
             terms,
@@ -107,7 +107,7 @@
     }
 
     /// Follows the record.
-    pub(crate) fn on_roster(&mut self, now: Millis, own: &Id, roster: &Roster) {
+    pub(crate) fn on_roster(&mut self, now: Millis, own: &NodeId, roster: &Roster) {
         let named = roster.owner(&self.name).cloned();
         let epoch = named.as_ref().map(|owner| owner.epoch);
         if self.owned_by.as_ref().map(|owner| owner.epoch) != epoch {
@@ -155,7 +155,7 @@
             if waiter.asked.is_some() || now < waiter.ask_ms {
                 continue;
             }
-            let ask = self.member.ask(now);
+            let ask = self.member.request_slot(now);
             waiter.asked = Some(ask.number);
             self.stamped_ms = now;
             let ask = grant::Ask {
@@ -227,7 +227,9 @@
                 .filter(|(_, target)| target.per_mille > 0);
             let held = targets
                 .filter_map(|(name, target)| Some((name.clone(), target.report.clone()?)))
-                .find_map(|(name, report)| self.member.share(now, &name, &report, roster).ok());
+                .find_map(|(name, report)| {
+                    self.member.take_share(now, &name, &report, roster).ok()
+                });
             let Some(held) = held else {
                 return;
             };
@@ -239,7 +241,7 @@
     }
 
     /// Handles a message of another member, or of this one.
-    pub(crate) fn on_message(&mut self, now: Millis, from: &Id, message: Message) {
+    pub(crate) fn on_message(&mut self, now: Millis, from: &NodeId, message: Message) {
         match message {
             Message::Ask(_, ask) => self.on_ask(now, from, &ask),
             Message::Stamp(_, stamp) => {
@@ -269,9 +271,9 @@
                 if let Some(owner) = &mut self.owner {
                     let holding = body::told(from, &holding);
                     if owner.has_collected(from, holding.session) {
-                        owner.on_recount(now, &holding);
+                        owner.on_recount_reply(now, &holding);
                     } else {
-                        owner.on_holding(&holding);
+                        owner.on_collect_reply(&holding);
                     }
                 }
             }
@@ -311,8 +313,8 @@
         }
     }
 
-    fn on_collect(&mut self, from: &Id, collect: &grant::Collect) {
-        let collect = owner::Collect {
+    fn on_collect(&mut self, from: &NodeId, collect: &grant::Collect) {
+        let collect = owner::CollectRequest {
             holder: from.clone(),
             epoch: collect.epoch,
             upto: collect.upto,
@@ -334,7 +336,7 @@
         self.out.push(Out { to, message });
     }
 
-    fn on_grant(&mut self, now: Millis, from: &Id, granted: grant::Grant) {
+    fn on_grant(&mut self, now: Millis, from: &NodeId, granted: grant::Grant) {
         let is_owner = |owner: &roster::Owner| owner.member == *from;
         let used = grant::Used {
             epoch: granted.epoch,
@@ -349,7 +351,7 @@
         let grant = slot::Grant {
             key: body::used_key(&own, used),
             target: granted.target,
-            ask: granted.ask,
+            request: granted.ask,
             stamp: granted.stamp,
             cold: granted.cold,
         };
@@ -371,12 +373,12 @@
                 let to = from.clone();
                 let message = Message::Release(self.name.clone(), used, End::UNSENT);
                 self.out.push(Out { to, message });
-                self.on_refuse(now, grant.ask);
+                self.on_refuse(now, grant.request);
             }
         }
     }
 
-    fn hand_over(&mut self, now: Millis, mut waiter: Waiter, held: Held) {
+    fn hand_over(&mut self, now: Millis, mut waiter: Waiter, held: HeldWork) {
         let Some(target) = self.targets.get(&held.target) else {
             self.member.on_end(&held.key);
             waiter.asked = None;
--- a/filbertpaddle/src/pool_owner.rs
+++ b/filbertpaddle/src/pool_owner.rs
@@ -4,7 +4,7 @@
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::owner;
 use filbertpaddle_core::report::Report;
-use filbertpaddle_core::roster::Id;
+use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_target::protocol::LoadReport;
 use filbertpaddle_wire::grant;
 use filbertpaddle_wire::grant::Message;
@@ -84,10 +84,10 @@
         }
         self.collected_ms = now;
         let collects = match now.since(self.recounted_ms) < RECOUNT_MS {
-            true => owner.collects(),
+            true => owner.due_collects(),
             false => {
                 self.recounted_ms = now;
-                owner.recounts()
+                owner.recount_requests()
             }
         };
         for collect in collects {
@@ -101,8 +101,8 @@
         }
     }
 
-    pub(crate) fn on_ask(&mut self, now: Millis, from: &Id, ask: &grant::Ask) {
-        let asked = owner::Ask {
+    pub(crate) fn on_ask(&mut self, now: Millis, from: &NodeId, ask: &grant::Ask) {
+        let asked = owner::SlotRequest {
             holder: from.clone(),
             number: ask.number,
             stamp: ask.stamp,
@@ -110,7 +110,7 @@
         };
         let to = from.clone();
         let owner = self.owner.as_mut();
-        let Some(owner) = owner.and_then(|owner| owner.on_ask(asked.clone()).then_some(owner))
+        let Some(owner) = owner.and_then(|owner| owner.on_request(asked.clone()).then_some(owner))
         else {
             let message = Message::Refuse(self.name.clone(), ask.number);
             self.out.push(Out { to, message });
