--- a/filbertpaddle-gateway/src/departures.rs
+++ b/filbertpaddle-gateway/src/departures.rs
@@ -50,7 +50,7 @@
 }
 
 async fn ask(state: &Rc<State>, target: &Target) {
-    let calls = state.dialect.engine;
+    let calls = state.platform.engine;
     let request = request(&target.address, &(calls.report)());
     state.metrics.count("target.reports");
     let called = state.links.call(&target.address, request, REPORT_TIMEOUT);
--- a/filbertpaddle-gateway/src/follower.rs
+++ b/filbertpaddle-gateway/src/follower.rs
@@ -18,12 +18,12 @@
 use tokio::time::sleep;
 
 use crate::clock::duration;
-use crate::dialect::Call;
-use crate::dialect::Page;
-use crate::dialect::Undecodable;
 use crate::links;
 use crate::nodes::Node;
 use crate::nodes::RENEW_MS;
+use crate::platform_api::Call;
+use crate::platform_api::DecodeError;
+use crate::platform_api::Page;
 use crate::state::State;
 
 /// How long the store holds a call back until something changes. Short, since a
@@ -65,7 +65,7 @@
     Status(StatusCode),
     /// Its answer cannot be read.
     #[error(transparent)]
-    Undecodable(#[from] Undecodable),
+    DecodeError(#[from] DecodeError),
     /// Changes that were not seen are no longer kept.
     #[error("history is gone")]
     HistoryGone,
@@ -183,14 +183,14 @@
         cores: settings.cores,
         written_ms: state.nodes.borrow().store_ms(now),
     };
-    let call = (state.dialect.store.write_node)(&node, dropped);
+    let call = (state.platform.store.write_node)(&node, dropped);
     ask(state, &call, ANSWER_MS).await?;
     state.written_ms.set(Some(now));
     Ok(())
 }
 
 async fn read_nodes(state: &Rc<State>) -> Result<Vec<Name>, Error> {
-    let calls = state.dialect.store;
+    let calls = state.platform.store;
     let bytes = ask(state, &(calls.read_nodes)(), ANSWER_MS).await?;
     let list = (calls.decode_nodes)(&bytes)?;
     Ok(state.take_nodes(list))
@@ -206,9 +206,9 @@
     } else {
         WAIT_MS
     };
-    let calls = state.dialect.store;
+    let calls = state.platform.store;
     let asked_ms = state.clock.now();
-    let call = (calls.follow)(table, revision, wait_ms);
+    let call = (calls.watch)(table, revision, wait_ms);
     let bytes = ask(state, &call, wait_ms + ANSWER_MS).await?;
     let page = (calls.decode)(table, false, &bytes)?;
     take(state, table, asked_ms, &page);
@@ -217,7 +217,7 @@
 
 /// Reads a whole table, page by page.
 async fn read(state: &Rc<State>, table: Table) -> Result<(), Error> {
-    let calls = state.dialect.store;
+    let calls = state.platform.store;
     let asked_ms = state.clock.now();
     let mut all: Option<Page> = None;
     let mut from: Option<String> = None;
--- a/filbertpaddle-gateway/src/generation.rs
+++ b/filbertpaddle-gateway/src/generation.rs
@@ -19,7 +19,6 @@
 
 use crate::clock::duration;
 use crate::crash;
-use crate::dialect::CopySource;
 use crate::job::Failure;
 use crate::job::From;
 use crate::job::Job;
@@ -28,6 +27,7 @@
 use crate::mover::Mover;
 use crate::output::CallerGone;
 use crate::output::Output;
+use crate::platform_api::CopySource;
 use crate::reply;
 use crate::reply::Refusal;
 use crate::reply::Reply;
--- a/filbertpaddle-gateway/src/job.rs
+++ b/filbertpaddle-gateway/src/job.rs
@@ -21,12 +21,12 @@
 use slog::info;
 
 use crate::crash;
-use crate::dialect::Answer;
-use crate::dialect::CopySource;
-use crate::dialect::Sending;
 use crate::links::Error as LinkError;
 use crate::links::Exchange;
 use crate::links::Reuse;
+use crate::platform_api::CopySource;
+use crate::platform_api::ResponseMetadata;
+use crate::platform_api::TargetHeaders;
 use crate::reply;
 use crate::reply::Refusal;
 use crate::state::State;
@@ -162,7 +162,7 @@
         &self,
         target: &Target,
         from: From<'_>,
-    ) -> Result<(Exchange, Answer), Failure> {
+    ) -> Result<(Exchange, ResponseMetadata), Failure> {
         let request = self.request(target, from);
         let reuse = if self.route.kind.is_idempotent() && !self.route.kind.is_stream() {
             Reuse::Idle
@@ -180,8 +180,8 @@
     }
 
     /// Checks that an answer belongs to this request and is the target's own.
-    fn check(&self, head: &Parts) -> Result<Answer, Failure> {
-        let answer = (self.state.dialect.headers.answer)(head.status, &head.headers);
+    fn check(&self, head: &Parts) -> Result<ResponseMetadata, Failure> {
+        let answer = (self.state.platform.headers.decode_response)(head.status, &head.headers);
         if answer.is_other_target {
             return Err(Failure::OtherTarget);
         }
@@ -316,7 +316,7 @@
             headers.insert(header::CONTENT_LENGTH, self.body.len().into());
         }
         let is_generation = self.envelope.generation.is_some();
-        let sending = Sending {
+        let sending = TargetHeaders {
             target,
             remaining_ms: Some(self.remaining_ms()),
             customer: self.customer.as_deref(),
@@ -324,7 +324,7 @@
             last_event: from.last_event,
             copy: from.copy,
         };
-        (self.state.dialect.headers.address)(headers, &sending);
+        (self.state.platform.headers.apply)(headers, &sending);
         request
     }
 }
--- a/filbertpaddle-gateway/src/mover.rs
+++ b/filbertpaddle-gateway/src/mover.rs
@@ -15,10 +15,10 @@
 use filbertpaddle_forward::target_selector::RequestDemand;
 use slog::info;
 
-use crate::dialect::CopyAnswer;
-use crate::dialect::CopyOrder;
 use crate::follower::request;
 use crate::job::Job;
+use crate::platform_api::CopyOutcome;
+use crate::platform_api::CopyRequest;
 use crate::source::Source;
 use crate::state::State;
 
@@ -27,13 +27,13 @@
 /// How long freeing a copy may take.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
-type CopyCall = Pin<Box<dyn Future<Output = CopyAnswer>>>;
+type CopyCall = Pin<Box<dyn Future<Output = CopyOutcome>>>;
 
 /// A copy that is being made, or that could not be made.
 #[derive(Debug)]
 pub struct Copied {
     to: Target,
-    answer: CopyAnswer,
+    answer: CopyOutcome,
 }
 
 /// Makes the copies of one generation.
@@ -109,16 +109,16 @@
             "from" => source.target.id.as_str(), "to" => to.id.as_str(),
             "answer" => ?answer);
         match answer {
-            CopyAnswer::Copied(copy) => {
+            CopyOutcome::Copied(copy) => {
                 self.source_address = source.target.address.clone();
                 self.migration.record_copied(copy);
             }
-            CopyAnswer::Refused => {
+            CopyOutcome::Refused => {
                 self.refused.push(to.id);
                 self.release_hold();
                 self.migration.record_copy_failed(now);
             }
-            CopyAnswer::NotRunning | CopyAnswer::Busy => self.migration.record_copy_failed(now),
+            CopyOutcome::NotRunning | CopyOutcome::Busy => self.migration.record_copy_failed(now),
         }
     }
 
@@ -210,9 +210,9 @@
     }
 }
 
-async fn copy(state: Rc<State>, attempt: Name, address: Name, to: Target) -> CopyAnswer {
-    let calls = state.dialect.engine;
-    let order = CopyOrder {
+async fn copy(state: Rc<State>, attempt: Name, address: Name, to: Target) -> CopyOutcome {
+    let calls = state.platform.engine;
+    let order = CopyRequest {
         attempt: &attempt,
         to: &to,
     };
@@ -223,13 +223,13 @@
         Err(error) => {
             info!(state.log, "no answer to a copy";
                 "id" => attempt.as_str(), "to" => to.id.as_str(), "error" => %error);
-            CopyAnswer::Refused
+            CopyOutcome::Refused
         }
     }
 }
 
 async fn release(state: &State, copy: &Copy, to: &Target) {
-    let call = (state.dialect.engine.release)(&copy.handle);
+    let call = (state.platform.engine.release)(&copy.handle);
     let request = request(&to.address, &call);
     let called = state
         .links
--- a/filbertpaddle-gateway/src/node.rs
+++ b/filbertpaddle-gateway/src/node.rs
@@ -19,12 +19,12 @@
 use tokio::time::sleep;
 
 use crate::departures;
-use crate::dialect::Dialect;
 use crate::exchange;
 use crate::follower;
 use crate::listener;
 use crate::log;
 use crate::peers;
+use crate::platform_api::PlatformApi;
 use crate::settings::Settings;
 use crate::state::State;
 use crate::tell;
@@ -68,23 +68,23 @@
 /// # Errors
 ///
 /// Returns [`Error`] if it cannot start.
-pub fn run(settings: Settings, dialect: Dialect, reload: Reload) -> Result<(), Error> {
+pub fn run(settings: Settings, platform: PlatformApi, reload: Reload) -> Result<(), Error> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(Error::Runtime)?;
-    let serving = serve(settings, dialect, reload);
+    let serving = serve(settings, platform, reload);
     LocalSet::new().block_on(&runtime, serving)
 }
 
-async fn serve(mut settings: Settings, dialect: Dialect, reload: Reload) -> Result<(), Error> {
+async fn serve(mut settings: Settings, platform: PlatformApi, reload: Reload) -> Result<(), Error> {
     let callers = listen(&mut settings.callers).await?;
     let ready = listen(&mut settings.ready).await?;
     let peers = listen(&mut settings.peers).await?;
     let mut terminate = signal(SignalKind::terminate()).map_err(Error::Signal)?;
     let mut hang_up = signal(SignalKind::hangup()).map_err(Error::Signal)?;
     let log = log::open(&settings.node);
-    let state = State::new(settings, dialect, log);
+    let state = State::new(settings, platform, log);
     let settings = &state.settings;
     info!(state.log, "node started";
         "data_centre" => settings.data_centre.as_str(), "callers" => %settings.callers,
--- a/filbertpaddle-gateway/src/nodes.rs
+++ b/filbertpaddle-gateway/src/nodes.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::dialect::NodeList;
+use crate::platform_api::NodeList;
 
 /// How often a node renews its entry.
 pub const RENEW_MS: Millis = Millis::from_secs(30);
--- a/filbertpaddle-gateway/src/peer_link.rs
+++ b/filbertpaddle-gateway/src/peer_link.rs
@@ -21,8 +21,8 @@
 use tokio_tungstenite::WebSocketStream;
 use tokio_tungstenite::tungstenite::Message as Frame;
 
-use crate::dialect::NodeList;
 use crate::links::set_options;
+use crate::platform_api::NodeList;
 use crate::state::State;
 
 /// How long a node may take to open a link or to take a message.
--- a/filbertpaddle-gateway/src/dialect.rs
+++ b/filbertpaddle-gateway/src/platform_api.rs
@@ -22,7 +22,7 @@
 
 /// What an adapter translates.
 #[derive(Clone, Copy, Debug)]
-pub struct Dialect {
+pub struct PlatformApi {
     /// Headers of callers and targets.
     pub headers: Headers,
     /// Calls to engines beside their requests.
@@ -35,13 +35,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Headers {
     /// Decodes a caller's headers.
-    pub envelope: fn(&HeaderMap) -> Result<RequestMetadata, BadHeader>,
+    pub decode_request: fn(&HeaderMap) -> Result<RequestMetadata, BadHeader>,
     /// Removes headers that are the system's own to set.
-    pub strip: fn(&mut HeaderMap),
+    pub strip_internal: fn(&mut HeaderMap),
     /// Adds what a target is told.
-    pub address: fn(&mut HeaderMap, &Sending<'_>),
+    pub apply: fn(&mut HeaderMap, &TargetHeaders<'_>),
     /// Decodes what a target's answer says of itself.
-    pub answer: fn(StatusCode, &HeaderMap) -> Answer,
+    pub decode_response: fn(StatusCode, &HeaderMap) -> ResponseMetadata,
 }
 
 /// A header that cannot be read.
@@ -51,7 +51,7 @@
 
 /// What a target is told beside the caller's own headers.
 #[derive(Clone, Copy, Debug)]
-pub struct Sending<'a> {
+pub struct TargetHeaders<'a> {
     /// The target that is meant.
     pub target: &'a Target,
     /// How long the caller still waits.
@@ -77,7 +77,7 @@
 
 /// What a target's answer says of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub struct ResponseMetadata {
     /// Attempt that the answer belongs to.
     pub attempt: Option<Name>,
     /// Whether it carries the target's seal.
@@ -105,18 +105,18 @@
     /// Asks an engine for its report.
     pub report: fn() -> Call,
     /// Decodes the report.
-    pub decode_report: fn(&[u8]) -> Result<Report, Undecodable>,
+    pub decode_report: fn(&[u8]) -> Result<Report, DecodeError>,
     /// Asks for a copy of a running generation.
-    pub copy: fn(&CopyOrder<'_>) -> Call,
+    pub copy: fn(&CopyRequest<'_>) -> Call,
     /// Decodes the answer to such a call.
-    pub decode_copy: fn(&CopyOrder<'_>, StatusCode, &[u8]) -> CopyAnswer,
+    pub decode_copy: fn(&CopyRequest<'_>, StatusCode, &[u8]) -> CopyOutcome,
     /// Frees a copy.
     pub release: fn(&str) -> Call,
 }
 
 /// A copy to be made.
 #[derive(Clone, Copy, Debug)]
-pub struct CopyOrder<'a> {
+pub struct CopyRequest<'a> {
     /// Attempt whose generation is copied.
     pub attempt: &'a str,
     /// Target that takes the copy.
@@ -125,7 +125,7 @@
 
 /// How a copy went.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CopyAnswer {
+pub enum CopyOutcome {
     /// It is complete.
     Copied(Copy),
     /// No such generation runs there.
@@ -142,13 +142,13 @@
     /// Reads a table from a key on.
     pub read: fn(Table, Option<&str>) -> Call,
     /// Waits for changes of a table after a revision.
-    pub follow: fn(Table, u64, Millis) -> Call,
+    pub watch: fn(Table, u64, Millis) -> Call,
     /// Decodes the answer to either; the flag says whether the table was read.
-    pub decode: fn(Table, bool, &[u8]) -> Result<Page, Undecodable>,
+    pub decode: fn(Table, bool, &[u8]) -> Result<Page, DecodeError>,
     /// Reads the list of nodes.
     pub read_nodes: fn() -> Call,
     /// Decodes the list of nodes.
-    pub decode_nodes: fn(&[u8]) -> Result<NodeList, Undecodable>,
+    pub decode_nodes: fn(&[u8]) -> Result<NodeList, DecodeError>,
     /// Writes a node's own entry and drops others.
     pub write_node: fn(&Node, &[Name]) -> Call,
 }
@@ -176,7 +176,7 @@
 /// Bytes that are not what the platform's protocol says.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("cannot decode {what}: {reason}")]
-pub struct Undecodable {
+pub struct DecodeError {
     /// What was expected.
     pub what: &'static str,
     /// Why it is not that.
--- a/filbertpaddle-gateway/src/request.rs
+++ b/filbertpaddle-gateway/src/request.rs
@@ -94,7 +94,7 @@
     request: Request<Incoming>,
 ) -> Result<Job, Reply> {
     let (head, body) = request.into_parts();
-    let envelope = (state.dialect.headers.envelope)(&head.headers)
+    let envelope = (state.platform.headers.decode_request)(&head.headers)
         .map_err(|error| deny(state, "", Refusal::BadRequest, &error.to_string()))?;
     let id = envelope.attempt.clone();
     let body = read_body(state, &envelope, body)
@@ -177,7 +177,7 @@
     reply::strip_connection(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
-    (state.dialect.headers.strip)(&mut headers);
+    (state.platform.headers.strip_internal)(&mut headers);
     headers
 }
 
--- a/filbertpaddle-gateway/src/state.rs
+++ b/filbertpaddle-gateway/src/state.rs
@@ -22,11 +22,11 @@
 use tokio::sync::watch;
 
 use crate::clock::Clock;
-use crate::dialect::Dialect;
-use crate::dialect::NodeList;
 use crate::links::Links;
 use crate::metrics::Metrics;
 use crate::nodes::Nodes;
+use crate::platform_api::NodeList;
+use crate::platform_api::PlatformApi;
 use crate::settings::Settings;
 use crate::settings::Tuning;
 
@@ -52,7 +52,7 @@
     /// Settings that may change while the node runs.
     pub tuning: RefCell<Tuning>,
     /// How the platform speaks.
-    pub dialect: Dialect,
+    pub platform: PlatformApi,
     /// Steady clock.
     pub clock: Clock,
     /// Log.
@@ -91,13 +91,13 @@
 
 impl State {
     /// Starts with nothing known.
-    pub fn new(settings: Settings, dialect: Dialect, log: Logger) -> Rc<Self> {
+    pub fn new(settings: Settings, platform: PlatformApi, log: Logger) -> Rc<Self> {
         let clock = Clock::new();
         let fleet = TargetSelector::new(settings.node.clone(), settings.data_centre.clone());
         Rc::new(Self {
             tuning: RefCell::new(settings.tuning.clone()),
             settings,
-            dialect,
+            platform,
             clock,
             log,
             metrics: Metrics::new(),
