--- a/filbertpaddle-gateway/src/job.rs
+++ b/filbertpaddle-gateway/src/job.rs
@@ -219,7 +219,7 @@
         let state = &self.state;
         let now = state.clock.now();
         let nodes = state.nodes.borrow().count();
-        let terms = state.tuning.borrow().retries;
+        let terms = state.reloadable.borrow().retries;
         let is_taken = state.budget(&self.ask.service, |budget| {
             budget.try_acquire(now, &terms, nodes)
         });
--- a/filbertpaddle-gateway/src/node.rs
+++ b/filbertpaddle-gateway/src/node.rs
@@ -153,20 +153,20 @@
             return;
         }
     };
-    let was = state.tuning.replace(settings.tuning.clone());
-    if was != settings.tuning {
+    let was = state.reloadable.replace(settings.reloadable.clone());
+    if was != settings.reloadable {
         info!(state.log, "settings changed";
-            "grace_ms" => settings.tuning.grace_ms.0,
-            "retry_ratio" => settings.tuning.retries.ratio,
-            "retry_slack" => settings.tuning.retries.slack,
-            "seeds" => settings.tuning.seeds.len());
+            "grace_ms" => settings.reloadable.grace_ms.0,
+            "retry_ratio" => settings.reloadable.retries.ratio,
+            "retry_slack" => settings.reloadable.retries.slack,
+            "seeds" => settings.reloadable.seeds.len());
     }
 }
 
 /// Finishes what runs and closes what is idle.
 async fn drain(state: &State, stop: &watch::Sender<bool>) {
     let began_ms = state.clock.now();
-    let grace_ms = state.tuning.borrow().grace_ms;
+    let grace_ms = state.reloadable.borrow().grace_ms;
     state.drain.set(Some(Drain { began_ms, grace_ms }));
     info!(state.log, "node stops"; "in_flight" => state.in_flight.get(), "grace_ms" => grace_ms.0);
     let elapsed_ms = || state.clock.now().since(began_ms);
--- a/filbertpaddle-gateway/src/peers.rs
+++ b/filbertpaddle-gateway/src/peers.rs
@@ -155,8 +155,8 @@
     if let Some(node) = known.choose(&mut rng) {
         return Some((Some(node.name.clone()), node.peers));
     }
-    let tuning = state.tuning.borrow();
-    let seeds: Vec<_> = tuning
+    let reloadable = state.reloadable.borrow();
+    let seeds: Vec<_> = reloadable
         .seeds
         .iter()
         .filter(|seed| **seed != settings.peers)
--- a/filbertpaddle-gateway/src/settings.rs
+++ b/filbertpaddle-gateway/src/settings.rs
@@ -28,12 +28,12 @@
     /// Processor that the node may use, in cores.
     pub cores: f64,
     /// What may change while the node runs.
-    pub tuning: Tuning,
+    pub reloadable: Reloadable,
 }
 
 /// Settings that are in force as soon as they are read again.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Tuning {
+pub struct Reloadable {
     /// Peer addresses of some nodes, for when the store cannot be read.
     pub seeds: Vec<SocketAddr>,
     /// What all nodes together may retry.
--- a/filbertpaddle-gateway/src/state.rs
+++ b/filbertpaddle-gateway/src/state.rs
@@ -27,8 +27,8 @@
 use crate::nodes::Nodes;
 use crate::platform_api::NodeList;
 use crate::platform_api::PlatformApi;
+use crate::settings::Reloadable;
 use crate::settings::Settings;
-use crate::settings::Tuning;
 
 /// Age from which knowledge is doubted while calls to the store fail.
 const DOUBT_MS: Millis = Millis(400);
@@ -50,7 +50,7 @@
     /// Settings.
     pub settings: Settings,
     /// Settings that may change while the node runs.
-    pub tuning: RefCell<Tuning>,
+    pub reloadable: RefCell<Reloadable>,
     /// How the platform speaks.
     pub platform: PlatformApi,
     /// Steady clock.
@@ -95,7 +95,7 @@
         let clock = Clock::new();
         let fleet = TargetSelector::new(settings.node.clone(), settings.data_centre.clone());
         Rc::new(Self {
-            tuning: RefCell::new(settings.tuning.clone()),
+            reloadable: RefCell::new(settings.reloadable.clone()),
             settings,
             platform,
             clock,
