--- a/filbertpaddle-gateway/src/whole.rs
+++ b/filbertpaddle-gateway/src/buffered.rs
@@ -11,16 +11,16 @@
 
 use crate::clock::duration;
 use crate::job::Failure;
-use crate::job::From;
 use crate::job::Job;
 use crate::job::Progress;
+use crate::job::ResumePoint;
 use crate::reply;
 use crate::reply::Refusal;
 use crate::reply::Reply;
 
 /// How many times its latency goal an idempotent request waits at one target
 /// while it may still be sent to another.
-const PATIENCE: u64 = 3;
+const ATTEMPT_GOAL_FACTOR: u64 = 3;
 
 /// Serves one request; the answer is final.
 ///
@@ -30,35 +30,35 @@
 pub async fn serve(job: &Job, progress: &mut Progress) -> Result<Reply, Refusal> {
     let mut last: Option<(Parts, Bytes)> = None;
     loop {
-        let Ok(target) = job.choose(progress) else {
+        let Ok(target) = job.choose_target(progress) else {
             return finish(job, progress, last);
         };
         if !job.may_send(progress) {
             return finish(job, progress, last);
         }
-        job.sent(progress, &target);
+        job.mark_sent(progress, &target);
         let result = attempt(job, progress, &target).await;
-        let mut fleet = job.state.fleet.borrow_mut();
-        fleet.record_ended(&target.id, &job.ask, false);
+        let mut selector = job.state.selector.borrow_mut();
+        selector.record_ended(&target.id, &job.demand, false);
         match result {
             Ok((head, bytes)) => {
-                fleet.record_success(&target.id);
-                drop(fleet);
+                selector.record_success(&target.id);
+                drop(selector);
                 progress.sends += 1;
-                progress.is_out = false;
-                let may_repeat = job.route.kind.is_idempotent()
+                progress.is_in_flight = false;
+                let may_resend = job.route.kind.is_idempotent()
                     && progress.sends < job.route.max_attempts
                     && head.status.is_server_error();
-                if !may_repeat {
-                    return answer(job, head, bytes);
+                if !may_resend {
+                    return checked_reply(job, head, bytes);
                 }
-                progress.passed_over.push(target.id.clone());
+                progress.excluded_targets.push(target.id.clone());
                 progress.may_have_run = true;
                 last = Some((head, bytes));
             }
             Err(failure) => {
-                drop(fleet);
-                job.failed(progress, &target, &failure);
+                drop(selector);
+                job.mark_failed(progress, &target, &failure);
                 if !job.may_retry(progress, &failure) {
                     return finish(job, progress, last);
                 }
@@ -72,32 +72,32 @@
     progress: &Progress,
     target: &Target,
 ) -> Result<(Parts, Bytes), Failure> {
-    let exchange = async {
-        let (exchange, _) = job.send(target, From::default()).await?;
-        let mut body = exchange.body;
-        let unknown = |error: crate::links::Error| Failure::Unknown(error.to_string());
-        let bytes = body.read_whole().await.map_err(unknown)?;
-        body.close(&exchange.head.headers);
-        Ok((exchange.head, bytes))
+    let response = async {
+        let (response, _) = job.send(target, ResumePoint::default()).await?;
+        let mut body = response.body;
+        let unknown = |error: crate::connection_pool::Error| Failure::Unknown(error.to_string());
+        let bytes = body.read_to_end().await.map_err(unknown)?;
+        body.recycle(&response.head.headers);
+        Ok((response.head, bytes))
     };
-    match timeout(patience(job, progress), exchange).await {
+    match timeout(attempt_timeout(job, progress), response).await {
         Ok(result) => result,
         Err(_) => Err(Failure::Unknown("timeout".to_owned())),
     }
 }
 
-fn patience(job: &Job, progress: &Progress) -> Duration {
-    let may_repeat = job.route.kind.is_idempotent() && progress.sends + 1 < job.route.max_attempts;
+fn attempt_timeout(job: &Job, progress: &Progress) -> Duration {
+    let may_resend = job.route.kind.is_idempotent() && progress.sends + 1 < job.route.max_attempts;
     let remaining_ms = job.remaining_ms();
-    if !may_repeat {
+    if !may_resend {
         return duration(remaining_ms);
     }
-    let goal_ms = Millis(job.route.latency_goal_ms.0 * PATIENCE);
+    let goal_ms = Millis(job.route.latency_goal_ms.0 * ATTEMPT_GOAL_FACTOR);
     duration(goal_ms.min(Millis(remaining_ms.0 / 2)))
 }
 
 /// Passes an answer on, unless its status would promise what is not so.
-fn answer(job: &Job, head: Parts, bytes: Bytes) -> Result<Reply, Refusal> {
+fn checked_reply(job: &Job, head: Parts, bytes: Bytes) -> Result<Reply, Refusal> {
     let promises_not_run = matches!(
         head.status,
         StatusCode::SERVICE_UNAVAILABLE
@@ -107,14 +107,14 @@
     if promises_not_run && !job.route.kind.is_idempotent() {
         return Err(Refusal::TargetFailed);
     }
-    Ok(reply::pass_on(head, bytes))
+    Ok(reply::forward(head, bytes))
 }
 
 /// Ends a request that no target answered well: with a target's own failure if
 /// there is one, else with the truth about what may have run.
 fn finish(job: &Job, progress: &Progress, last: Option<(Parts, Bytes)>) -> Result<Reply, Refusal> {
     match last {
-        Some((head, bytes)) => answer(job, head, bytes),
+        Some((head, bytes)) => checked_reply(job, head, bytes),
         None => Err(job.refusal(progress)),
     }
 }
--- a/filbertpaddle-gateway/src/links.rs
+++ b/filbertpaddle-gateway/src/connection_pool.rs
@@ -35,9 +35,9 @@
 /// data centres, and short enough to try another target in time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
 /// How long unacknowledged bytes wait before a connection is given up.
-const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Idle time after which a connection is probed, and between probes.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Probes that may stay unanswered.
 const KEEPALIVE_PROBES: u32 = 2;
 /// Idle time after which a connection is not used again if its target says nothing.
@@ -45,7 +45,7 @@
 /// Longest idle time after which a connection is used again.
 const MAX_IDLE_MS: Millis = Millis::from_secs(4);
 /// Most idle connections kept to one address.
-const MAX_IDLE: usize = 8;
+const MAX_IDLE_PER_ADDRESS: usize = 8;
 
 /// Why a request got no answer.
 #[derive(Debug, thiserror::Error)]
@@ -62,24 +62,24 @@
 }
 
 /// Open connections by address.
-pub struct Links {
+pub struct ConnectionPool {
     clock: Clock,
-    idle: RefCell<IndexMap<Name, Vec<Idle>>>,
+    idle: RefCell<IndexMap<Name, Vec<IdleConnection>>>,
 }
 
-struct Idle {
-    link: Link,
+struct IdleConnection {
+    connection: Connection,
     usable_until_ms: Millis,
 }
 
 /// A connection in use; dropping it closes it.
-struct Link {
+struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
 }
 
 /// An answer whose body is still to be read.
-pub struct Exchange {
+pub struct PendingResponse {
     /// Status and headers.
     pub head: http::response::Parts,
     /// The body.
@@ -90,9 +90,9 @@
 /// end and the connection is given back.
 pub struct Body {
     incoming: Incoming,
-    link: Link,
+    connection: Connection,
     address: Name,
-    links: Rc<Links>,
+    pool: Rc<ConnectionPool>,
 }
 
 /// How a request may use connections.
@@ -104,7 +104,7 @@
     New,
 }
 
-impl Links {
+impl ConnectionPool {
     /// Opens no connection yet.
     pub fn new(clock: Clock) -> Rc<Self> {
         Rc::new(Self {
@@ -123,19 +123,19 @@
         address: &Name,
         request: Request<Full<Bytes>>,
         reuse: Reuse,
-    ) -> Result<Exchange, Error> {
+    ) -> Result<PendingResponse, Error> {
         let mut request = request;
         while reuse == Reuse::Idle
-            && let Some(link) = self.take_idle(address)
+            && let Some(connection) = self.take_idle(address)
         {
-            match self.exchange(address, link, request).await {
-                Ok(exchange) => return Ok(exchange),
+            match self.send_on(address, connection, request).await {
+                Ok(response) => return Ok(response),
                 Err((error, None)) => return Err(error),
                 Err((_, Some(unsent))) => request = unsent,
             }
         }
-        let link = connect(address).await?;
-        let sent = self.exchange(address, link, request).await;
+        let connection = connect(address).await?;
+        let sent = self.send_on(address, connection, request).await;
         sent.map_err(|(error, _)| error)
     }
 
@@ -150,46 +150,47 @@
         request: Request<Full<Bytes>>,
         within: Duration,
     ) -> Result<(http::response::Parts, Bytes), Error> {
-        let exchange = async {
-            let exchange = self.send(address, request, Reuse::Idle).await?;
-            let Exchange { head, mut body } = exchange;
-            let bytes = body.read_whole().await?;
-            body.close(&head.headers);
+        let response = async {
+            let response = self.send(address, request, Reuse::Idle).await?;
+            let PendingResponse { head, mut body } = response;
+            let bytes = body.read_to_end().await?;
+            body.recycle(&head.headers);
             Ok((head, bytes))
         };
-        let late = || Error::Unknown("timeout".to_owned());
-        timeout(within, exchange).await.map_err(|_| late())?
+        let timed_out = || Error::Unknown("timeout".to_owned());
+        timeout(within, response).await.map_err(|_| timed_out())?
     }
 
     /// Closes idle connections that are not used in time.
     pub fn close_stale(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        for links in idle.values_mut() {
-            links.retain(|idle| now < idle.usable_until_ms && !idle.link.sender.is_closed());
+        for connections in idle.values_mut() {
+            connections
+                .retain(|idle| now < idle.usable_until_ms && !idle.connection.sender.is_closed());
         }
-        idle.retain(|_, links| !links.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
-    async fn exchange(
+    async fn send_on(
         self: &Rc<Self>,
         address: &Name,
-        mut link: Link,
+        mut connection: Connection,
         request: Request<Full<Bytes>>,
-    ) -> Result<Exchange, (Error, Option<Request<Full<Bytes>>>)> {
-        if let Err(error) = link.sender.ready().await {
+    ) -> Result<PendingResponse, (Error, Option<Request<Full<Bytes>>>)> {
+        if let Err(error) = connection.sender.ready().await {
             return Err((Error::NotSent(describe(&error)), Some(request)));
         }
-        match link.sender.try_send_request(request).await {
+        match connection.sender.try_send_request(request).await {
             Ok(response) => {
                 let (head, incoming) = Response::into_parts(response);
                 let body = Body {
                     incoming,
-                    link,
+                    connection,
                     address: address.clone(),
-                    links: Rc::clone(self),
+                    pool: Rc::clone(self),
                 };
-                Ok(Exchange { head, body })
+                Ok(PendingResponse { head, body })
             }
             Err(mut failed) => match failed.take_message() {
                 Some(request) => Err((Error::NotSent(describe(failed.error())), Some(request))),
@@ -198,41 +199,41 @@
         }
     }
 
-    fn take_idle(&self, address: &Name) -> Option<Link> {
+    fn take_idle(&self, address: &Name) -> Option<Connection> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(address)?;
-        while let Some(Idle {
-            link,
+        let connections = idle.get_mut(address)?;
+        while let Some(IdleConnection {
+            connection,
             usable_until_ms,
-        }) = links.pop()
+        }) = connections.pop()
         {
-            if now < usable_until_ms && link.sender.is_ready() {
-                return Some(link);
+            if now < usable_until_ms && connection.sender.is_ready() {
+                return Some(connection);
             }
         }
         None
     }
 
-    fn give_back(&self, address: Name, link: Link, headers: &HeaderMap) {
-        if link.sender.is_closed() || says_close(headers) {
+    fn return_idle(&self, address: Name, connection: Connection, headers: &HeaderMap) {
+        if connection.sender.is_closed() || requests_close(headers) {
             return;
         }
         let usable_ms = keep_alive_ms(headers)
             .map_or(DEFAULT_IDLE_MS, |stated| Millis(stated.0 / 2))
             .min(MAX_IDLE_MS);
         let mut idle = self.idle.borrow_mut();
-        let links = idle.entry(address).or_default();
-        if links.len() < MAX_IDLE {
-            links.push(Idle {
-                link,
+        let connections = idle.entry(address).or_default();
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
+            connections.push(IdleConnection {
+                connection,
                 usable_until_ms: self.clock.now() + usable_ms,
             });
         }
     }
 }
 
-impl fmt::Debug for Links {
+impl fmt::Debug for ConnectionPool {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Links").finish_non_exhaustive()
     }
@@ -259,7 +260,7 @@
     /// # Errors
     ///
     /// Returns [`Error::Unknown`] if the answer breaks off.
-    pub async fn read_whole(&mut self) -> Result<Bytes, Error> {
+    pub async fn read_to_end(&mut self) -> Result<Bytes, Error> {
         let Some(first) = self.next().await? else {
             return Ok(Bytes::new());
         };
@@ -279,14 +280,14 @@
 
     /// Keeps the connection of a body that was read to its end, unless the
     /// answer's headers say that it closes.
-    pub fn close(self, headers: &HeaderMap) {
+    pub fn recycle(self, headers: &HeaderMap) {
         let Self {
-            link,
+            connection,
             address,
-            links,
+            pool,
             ..
         } = self;
-        links.give_back(address, link, headers);
+        pool.return_idle(address, connection, headers);
     }
 }
 
@@ -297,13 +298,13 @@
     }
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-async fn connect(address: &Name) -> Result<Link, Error> {
+async fn connect(address: &Name) -> Result<Connection, Error> {
     let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address.as_str())).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
@@ -312,7 +313,7 @@
         Ok(Err(error)) => return Err(Error::NotSent(error.to_string())),
         Err(_) => return Err(Error::NotSent("connect timeout".to_owned())),
     };
-    set_options(&stream).map_err(|error| Error::NotSent(error.to_string()))?;
+    set_socket_options(&stream).map_err(|error| Error::NotSent(error.to_string()))?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|error| Error::NotSent(describe(&error)))?;
@@ -320,22 +321,22 @@
         // What fails here fails the exchange too, which tells it.
         connection.await.ok();
     });
-    Ok(Link { sender, driver })
+    Ok(Connection { sender, driver })
 }
 
 /// Makes a connection notice that its other end has gone silent.
-pub(crate) fn set_options(stream: &TcpStream) -> std::io::Result<()> {
+pub(crate) fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE)
-        .with_interval(KEEPALIVE)
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(KEEPALIVE_PROBES);
     let socket = SockRef::from(stream);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
 
-fn says_close(headers: &HeaderMap) -> bool {
+fn requests_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(header::CONNECTION).iter();
     values
         .filter_map(|value| value.to_str().ok())
--- a/filbertpaddle-gateway/src/crash.rs
+++ b/filbertpaddle-gateway/src/crash.rs
@@ -14,16 +14,16 @@
 
 /// How long after a connection broke off its target is looked at. A crashed
 /// target stays down for some seconds.
-const LOOK_AFTER: Duration = Duration::from_millis(200);
+const CHECK_DELAY: Duration = Duration::from_millis(200);
 /// How long a living target may take to accept a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Makes a suspect of a request whose target broke off, if the target is down
 /// and did not announce that it leaves.
-pub fn suspect(state: &Rc<State>, target: &Target, digest: u64) {
+pub fn record_if_crashed(state: &Rc<State>, target: &Target, digest: u64) {
     let (state, target) = (Rc::clone(state), target.clone());
     tokio::task::spawn_local(async move {
-        sleep(LOOK_AFTER).await;
+        sleep(CHECK_DELAY).await;
         if is_leaving(&state, &target) || is_up(&target).await {
             return;
         }
--- a/filbertpaddle-gateway/src/departures.rs
+++ b/filbertpaddle-gateway/src/drain_detection.rs
@@ -7,33 +7,33 @@
 use slog::info;
 use tokio::time::sleep;
 
-use crate::follower::request;
 use crate::state::State;
+use crate::store_sync::http_request;
 
 /// How often targets are asked. They give about two seconds' notice, and their
 /// reports are some hundred milliseconds old.
-const ASK: Duration = Duration::from_millis(300);
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
 /// How long a target's report may take.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Asks the targets that run this node's generations, as long as it runs.
-pub async fn watch(state: Rc<State>) {
+pub async fn run(state: Rc<State>) {
     loop {
-        sleep(ASK).await;
+        sleep(POLL_INTERVAL).await;
         if !state.is_store_lost() {
             continue;
         }
-        for target in busy_engines(&state) {
+        for target in engines_in_use(&state) {
             let state = Rc::clone(&state);
-            tokio::task::spawn_local(async move { ask(&state, &target).await });
+            tokio::task::spawn_local(async move { poll(&state, &target).await });
         }
     }
 }
 
 /// The engines at which generations of this node run.
-fn busy_engines(state: &State) -> Vec<Target> {
+fn engines_in_use(state: &State) -> Vec<Target> {
     let directory = state.directory.borrow();
-    let fleet = state.fleet.borrow();
+    let selector = state.selector.borrow();
     let Some(configuration) = directory.configuration() else {
         return Vec::new();
     };
@@ -43,17 +43,19 @@
     };
     let targets = directory.targets().map(|(target, _)| target);
     targets
-        .filter(|target| !target.is_draining && fleet.running(&target.id) > 0)
+        .filter(|target| !target.is_draining && selector.running(&target.id) > 0)
         .filter(|target| is_engine(target))
         .cloned()
         .collect()
 }
 
-async fn ask(state: &Rc<State>, target: &Target) {
+async fn poll(state: &Rc<State>, target: &Target) {
     let calls = state.platform.engine;
-    let request = request(&target.address, &(calls.report)());
+    let request = http_request(&target.address, &(calls.report)());
     state.metrics.count("target.reports");
-    let called = state.links.call(&target.address, request, REPORT_TIMEOUT);
+    let called = state
+        .connections
+        .call(&target.address, request, REPORT_TIMEOUT);
     let report = match called.await {
         Ok((_, bytes)) => (calls.decode_report)(&bytes),
         Err(error) => {
@@ -62,7 +64,7 @@
         }
     };
     match report {
-        Ok(report) if report.is_draining => state.target_leaves(target),
+        Ok(report) if report.is_draining => state.mark_target_draining(target),
         Ok(_) => {}
         Err(error) => {
             info!(state.log, "unreadable report";
--- a/filbertpaddle-gateway/src/generation.rs
+++ b/filbertpaddle-gateway/src/generation.rs
@@ -20,32 +20,32 @@
 use crate::clock::duration;
 use crate::crash;
 use crate::job::Failure;
-use crate::job::From;
 use crate::job::Job;
 use crate::job::Progress;
-use crate::mover::Copied;
-use crate::mover::Mover;
-use crate::output::CallerGone;
-use crate::output::Output;
+use crate::job::ResumePoint;
+use crate::migrator::CopyResult;
+use crate::migrator::Migrator;
 use crate::platform_api::CopySource;
 use crate::reply;
 use crate::reply::Refusal;
 use crate::reply::Reply;
-use crate::source::Piece;
-use crate::source::Source;
+use crate::response_writer::CallerGone;
+use crate::response_writer::ResponseWriter;
+use crate::target_stream::StreamItem;
+use crate::target_stream::TargetStream;
 
 /// Silence after which a generation goes on elsewhere if it can. Callers give a
 /// stream up after two seconds.
-const STALL_MS: Millis = Millis(900);
+const STALL_TIMEOUT_MS: Millis = Millis(900);
 
 /// How many times its latency goal a resumable stream waits for its first event
 /// at one target. A busy target needs longer than the goal, and what it has
 /// read is lost if the request goes elsewhere.
-const PATIENCE: u64 = 2;
+const FIRST_EVENT_GOAL_FACTOR: u64 = 2;
 
 /// Why a generation ended before it was complete.
 #[derive(Debug)]
-pub enum Stop {
+pub enum StopReason {
     /// A target's own failure is passed on.
     Failed(Box<Reply>),
     /// The node refuses or fails it.
@@ -58,16 +58,16 @@
     CallerGone,
 }
 
-impl std::convert::From<CallerGone> for Stop {
+impl std::convert::From<CallerGone> for StopReason {
     fn from(_: CallerGone) -> Self {
         Self::CallerGone
     }
 }
 
 /// What a generation waits for.
-enum Happening {
-    Piece(Piece),
-    Copied(Copied),
+enum WaitOutcome {
+    Item(StreamItem),
+    Copied(CopyResult),
     Switch,
     Stalled,
     Changed,
@@ -75,7 +75,7 @@
 
 /// Where a generation runs.
 #[derive(Clone, Debug)]
-struct Placed {
+struct Placement {
     target: Target,
     is_started: bool,
 }
@@ -84,11 +84,11 @@
 pub struct Generation<'a> {
     job: &'a Job,
     progress: &'a mut Progress,
-    output: &'a mut Output,
+    writer: &'a mut ResponseWriter,
     last_event: Option<u64>,
-    last_heard_ms: Millis,
-    placed: Option<Placed>,
-    mover: Mover<'a>,
+    last_activity_ms: Millis,
+    placement: Option<Placement>,
+    migrator: Migrator<'a>,
     changes: watch::Receiver<u64>,
 }
 
@@ -107,15 +107,15 @@
 pub async fn serve(
     job: &Job,
     progress: &mut Progress,
-    output: &mut Output,
+    writer: &mut ResponseWriter,
     gone: oneshot::Receiver<()>,
-) -> Result<(), Stop> {
-    let limit = job.state.clock.instant(job.limit_ms);
-    let mut generation = Generation::new(job, progress, output);
+) -> Result<(), StopReason> {
+    let deadline = job.state.clock.instant(job.deadline_at_ms);
+    let mut generation = Generation::new(job, progress, writer);
     let result = select! {
         biased;
-        _ = gone => Err(Stop::CallerGone),
-        () = sleep_until(limit) => Err(Stop::TimedOut),
+        _ = gone => Err(StopReason::CallerGone),
+        () = sleep_until(deadline) => Err(StopReason::TimedOut),
         result = generation.run() => result,
     };
     generation.close();
@@ -123,58 +123,58 @@
 }
 
 impl<'a> Generation<'a> {
-    fn new(job: &'a Job, progress: &'a mut Progress, output: &'a mut Output) -> Self {
+    fn new(job: &'a Job, progress: &'a mut Progress, writer: &'a mut ResponseWriter) -> Self {
         Self {
-            last_event: job.envelope.last_event,
-            last_heard_ms: job.received_ms,
-            placed: None,
-            mover: Mover::new(job),
+            last_event: job.metadata.last_event,
+            last_activity_ms: job.received_ms,
+            placement: None,
+            migrator: Migrator::new(job),
             changes: job.state.subscribe(),
             job,
             progress,
-            output,
+            writer,
         }
     }
 
     /// Gives back what the generation holds.
     fn close(mut self) {
-        self.leave();
-        self.mover.close();
+        self.release_placement();
+        self.migrator.close();
     }
 
-    async fn run(&mut self) -> Result<(), Stop> {
+    async fn run(&mut self) -> Result<(), StopReason> {
         let mut source = self.open().await?;
         loop {
             match self.next(&mut source).await {
-                Happening::Piece(Piece::Event(event)) => self.deliver(event).await?,
-                Happening::Piece(Piece::End) => {
-                    let mut fleet = self.job.state.fleet.borrow_mut();
-                    fleet.record_success(&source.target.id);
+                WaitOutcome::Item(StreamItem::Event(event)) => self.deliver(event).await?,
+                WaitOutcome::Item(StreamItem::End) => {
+                    let mut selector = self.job.state.selector.borrow_mut();
+                    selector.record_success(&source.target.id);
                     return Ok(());
                 }
-                Happening::Piece(Piece::Broken(reason)) => {
+                WaitOutcome::Item(StreamItem::Broken(reason)) => {
                     source = self.recover(source, &reason).await?;
                 }
-                Happening::Stalled => source = self.recover(source, "stalled").await?,
-                Happening::Copied(copied) => self.mover.copied(&source, copied),
-                Happening::Switch => source = self.switch(source).await?,
-                Happening::Changed => {}
+                WaitOutcome::Stalled => source = self.recover(source, "stalled").await?,
+                WaitOutcome::Copied(copied) => self.migrator.record_copy_result(&source, copied),
+                WaitOutcome::Switch => source = self.switch_to_copy(source).await?,
+                WaitOutcome::Changed => {}
             }
         }
     }
 
     /// Waits for the next event, copy or time to act.
-    async fn next(&mut self, source: &mut Source) -> Happening {
-        self.look(source);
+    async fn next(&mut self, source: &mut TargetStream) -> WaitOutcome {
+        self.check_draining(source);
         let clock = self.job.state.clock;
-        let due_ms = match self.mover.step(source) {
-            Step::Switch => return Happening::Switch,
+        let due_ms = match self.migrator.advance(source) {
+            Step::Switch => return WaitOutcome::Switch,
             Step::Wait(at) => at,
             Step::Copy => None,
         };
         let stall_ms = self
-            .can_go_on()
-            .then(|| self.last_heard_ms + STALL_MS)
+            .can_resume()
+            .then(|| self.last_activity_ms + STALL_TIMEOUT_MS)
             .filter(|_| self.last_event.is_some());
         let at = |at: Option<Millis>| async move {
             match at {
@@ -183,16 +183,16 @@
             }
         };
         select! {
-            piece = source.next() => Happening::Piece(piece),
-            copied = self.mover.wait() => Happening::Copied(copied),
-            _ = self.changes.changed() => Happening::Changed,
-            () = at(due_ms) => Happening::Changed,
-            () = at(stall_ms) => Happening::Stalled,
+            item = source.next() => WaitOutcome::Item(item),
+            copied = self.migrator.wait_for_copy() => WaitOutcome::Copied(copied),
+            _ = self.changes.changed() => WaitOutcome::Changed,
+            () = at(due_ms) => WaitOutcome::Changed,
+            () = at(stall_ms) => WaitOutcome::Stalled,
         }
     }
 
     /// Notices that the target leaves, once the generation has begun there.
-    fn look(&mut self, source: &Source) {
+    fn check_draining(&mut self, source: &TargetStream) {
         let state = &self.job.state;
         let is_leaving = {
             let directory = state.directory.borrow();
@@ -205,174 +205,187 @@
             && self.job.can_migrate
             && let Some(events) = self.last_event
         {
-            self.mover.noticed(events);
+            self.migrator.schedule_migration(events);
         }
     }
 
-    async fn deliver(&mut self, event: Event) -> Result<(), Stop> {
-        self.last_heard_ms = self.job.state.clock.now();
+    async fn deliver(&mut self, event: Event) -> Result<(), StopReason> {
+        self.last_activity_ms = self.job.state.clock.now();
         if let Some(id) = event.id {
             match self.last_event {
                 // Sent again by a target that goes on from a copy.
                 Some(last) if id <= last => return Ok(()),
-                Some(last) if id > last + 1 => return Err(Stop::Broken),
+                Some(last) if id > last + 1 => return Err(StopReason::Broken),
                 _ => self.last_event = Some(id),
             }
         }
-        self.output.part(Ok(event.bytes)).await?;
+        self.writer.send_part(Ok(event.bytes)).await?;
         Ok(())
     }
 
     /// Finds a target and waits for its first event.
-    async fn open(&mut self) -> Result<Source, Stop> {
+    async fn open(&mut self) -> Result<TargetStream, StopReason> {
         loop {
-            let Ok(target) = self.job.choose(self.progress) else {
-                return Err(Stop::Refused(self.job.refusal(self.progress)));
+            let Ok(target) = self.job.choose_target(self.progress) else {
+                return Err(StopReason::Refused(self.job.refusal(self.progress)));
             };
             if !self.job.may_send(self.progress) {
-                return Err(Stop::Refused(self.job.refusal(self.progress)));
+                return Err(StopReason::Refused(self.job.refusal(self.progress)));
             }
-            self.job.sent(self.progress, &target);
-            self.enter(target.clone());
-            let failure = match self.first_event(&target).await {
+            self.job.mark_sent(self.progress, &target);
+            self.record_placement(target.clone());
+            let failure = match self.wait_first_event(&target).await {
                 Ok(source) => return Ok(source),
-                Err(Opening::Stopped(stop)) => return Err(stop),
-                Err(Opening::Failed(failure)) => failure,
+                Err(OpenError::Stopped(stop)) => return Err(stop),
+                Err(OpenError::Failed(failure)) => failure,
             };
-            self.leave();
-            self.job.failed(self.progress, &target, &failure);
+            self.release_placement();
+            self.job.mark_failed(self.progress, &target, &failure);
             if !self.job.may_retry(self.progress, &failure) {
-                return Err(Stop::Refused(self.job.refusal(self.progress)));
+                return Err(StopReason::Refused(self.job.refusal(self.progress)));
             }
         }
     }
 
-    async fn first_event(&mut self, target: &Target) -> Result<Source, Opening> {
-        let from = From {
+    async fn wait_first_event(&mut self, target: &Target) -> Result<TargetStream, OpenError> {
+        let resume = ResumePoint {
             last_event: self.last_event,
             copy: None,
         };
-        if !self.may_repeat() {
-            return self.begin(target, from).await;
+        if !self.may_resend() {
+            return self.start_at(target, resume).await;
         }
-        let patience = duration(Millis(self.job.route.latency_goal_ms.0 * PATIENCE));
-        match timeout(patience, self.begin(target, from)).await {
+        let first_event_timeout = duration(Millis(
+            self.job.route.latency_goal_ms.0 * FIRST_EVENT_GOAL_FACTOR,
+        ));
+        match timeout(first_event_timeout, self.start_at(target, resume)).await {
             Ok(result) => result,
             Err(_) => Err(Failure::Unknown("no event in time".to_owned()).into()),
         }
     }
 
     /// Sends the request and waits for the first event of its answer.
-    async fn begin(&mut self, target: &Target, from: From<'_>) -> Result<Source, Opening> {
-        let (exchange, _) = self.job.send(target, from).await?;
-        let mut body = exchange.body;
-        if !exchange.head.status.is_success() {
-            let unknown = |error: crate::links::Error| Failure::Unknown(error.to_string());
-            let bytes = body.read_whole().await.map_err(unknown)?;
-            let reply = reply::pass_on(exchange.head, bytes);
-            return Err(Opening::Stopped(Stop::Failed(Box::new(reply))));
+    async fn start_at(
+        &mut self,
+        target: &Target,
+        resume: ResumePoint<'_>,
+    ) -> Result<TargetStream, OpenError> {
+        let (response, _) = self.job.send(target, resume).await?;
+        let mut body = response.body;
+        if !response.head.status.is_success() {
+            let unknown =
+                |error: crate::connection_pool::Error| Failure::Unknown(error.to_string());
+            let bytes = body.read_to_end().await.map_err(unknown)?;
+            let reply = reply::forward(response.head, bytes);
+            return Err(OpenError::Stopped(StopReason::Failed(Box::new(reply))));
         }
-        let mut source = Source::new(target.clone(), body);
+        let mut source = TargetStream::new(target.clone(), body);
         match source.next().await {
-            Piece::Event(event) => source.unread(event),
-            Piece::End => {}
-            Piece::Broken(reason) => return Err(Failure::Unknown(reason).into()),
+            StreamItem::Event(event) => source.put_back(event),
+            StreamItem::End => {}
+            StreamItem::Broken(reason) => return Err(Failure::Unknown(reason).into()),
         }
-        self.begun(target);
-        if !self.output.is_started() {
-            let started = self.output.start(exchange.head);
-            started.map_err(|gone| Opening::Stopped(gone.into()))?;
+        self.record_started(target);
+        if !self.writer.is_started() {
+            let started = self.writer.start_stream(response.head);
+            started.map_err(|gone| OpenError::Stopped(gone.into()))?;
         }
         Ok(source)
     }
 
-    fn begun(&mut self, target: &Target) {
+    fn record_started(&mut self, target: &Target) {
         let state = &self.job.state;
         self.progress.sends += 1;
-        self.progress.is_out = false;
+        self.progress.is_in_flight = false;
         self.progress.may_have_run = true;
         let now = state.clock.now();
-        let silent_ms = now.since(self.last_heard_ms);
-        self.last_heard_ms = now;
-        if self.output.is_started() {
+        let silent_ms = now.since(self.last_activity_ms);
+        self.last_activity_ms = now;
+        if self.writer.is_started() {
             info!(state.log, "generation goes on";
-                "id" => self.job.envelope.attempt.as_str(), "target" => target.id.as_str(),
+                "id" => self.job.metadata.attempt.as_str(), "target" => target.id.as_str(),
                 "last_event" => self.last_event, "silent_ms" => silent_ms.0);
             state.metrics.time("generation.move_pause", silent_ms);
         }
         state
-            .fleet
+            .selector
             .borrow_mut()
-            .record_prefilled(&target.id, &self.job.ask);
-        if let Some(placed) = &mut self.placed {
-            placed.is_started = true;
+            .record_prefilled(&target.id, &self.job.demand);
+        if let Some(placement) = &mut self.placement {
+            placement.is_started = true;
         }
-        let waited_ms = self.last_heard_ms.since(self.job.received_ms);
+        let waited_ms = self.last_activity_ms.since(self.job.received_ms);
         state.metrics.time("generation.first_event", waited_ms);
     }
 
     /// Goes on after the stream of `source` has broken off or gone silent.
-    async fn recover(&mut self, source: Source, reason: &str) -> Result<Source, Stop> {
+    async fn recover(
+        &mut self,
+        source: TargetStream,
+        reason: &str,
+    ) -> Result<TargetStream, StopReason> {
         let state = &self.job.state;
         info!(state.log, "stream broke off";
-            "id" => self.job.envelope.attempt.as_str(),
+            "id" => self.job.metadata.attempt.as_str(),
             "target" => source.target.id.as_str(), "reason" => reason,
-            "last_event" => self.last_event, "has_copy" => self.mover.has_copy());
+            "last_event" => self.last_event, "has_copy" => self.migrator.has_copy());
         state.metrics.count("stream.broken");
         state
-            .fleet
+            .selector
             .borrow_mut()
             .record_failure(state.clock.now(), &source.target.id);
-        crash::suspect(state, &source.target, self.job.digest);
-        if self.mover.has_copy() {
-            return self.switch(source).await;
+        crash::record_if_crashed(state, &source.target, self.job.digest);
+        if self.migrator.has_copy() {
+            return self.switch_to_copy(source).await;
         }
         self.reopen(source).await
     }
 
     /// Starts again behind the last event, where the route allows it.
-    async fn reopen(&mut self, source: Source) -> Result<Source, Stop> {
-        self.progress.passed_over.push(source.target.id.clone());
+    async fn reopen(&mut self, source: TargetStream) -> Result<TargetStream, StopReason> {
+        self.progress
+            .excluded_targets
+            .push(source.target.id.clone());
         source.close();
-        self.leave();
-        if !self.may_repeat() {
-            return Err(Stop::Broken);
+        self.release_placement();
+        if !self.may_resend() {
+            return Err(StopReason::Broken);
         }
         self.open().await
     }
 
     /// Goes on from the copy at another target.
-    async fn switch(&mut self, source: Source) -> Result<Source, Stop> {
-        let Some((copy, target)) = self.mover.take_copy() else {
+    async fn switch_to_copy(&mut self, source: TargetStream) -> Result<TargetStream, StopReason> {
+        let Some((copy, target)) = self.migrator.take_copy() else {
             return self.reopen(source).await;
         };
         let state = &self.job.state;
         info!(state.log, "generation moves";
-            "id" => self.job.envelope.attempt.as_str(),
+            "id" => self.job.metadata.attempt.as_str(),
             "from" => source.target.id.as_str(), "to" => target.id.as_str(),
             "last_event" => self.last_event, "copied_events" => copy.events);
         state.metrics.count("generation.moved");
         let address = source.target.address.clone();
         source.close();
-        self.leave();
-        self.job.count_move();
-        self.job.sent(self.progress, &target);
-        self.enter(target.clone());
-        let from = From {
+        self.release_placement();
+        self.job.charge_migration();
+        self.job.mark_sent(self.progress, &target);
+        self.record_placement(target.clone());
+        let resume = ResumePoint {
             last_event: self.last_event,
             copy: Some(CopySource {
                 address: &address,
                 handle: &copy.handle,
             }),
         };
-        match self.begin(&target, from).await {
+        match self.start_at(&target, resume).await {
             Ok(source) => Ok(source),
-            Err(Opening::Stopped(stop)) => Err(stop),
-            Err(Opening::Failed(failure)) => {
-                self.leave();
-                self.job.failed(self.progress, &target, &failure);
-                if !self.may_repeat() {
-                    return Err(Stop::Broken);
+            Err(OpenError::Stopped(stop)) => Err(stop),
+            Err(OpenError::Failed(failure)) => {
+                self.release_placement();
+                self.job.mark_failed(self.progress, &target, &failure);
+                if !self.may_resend() {
+                    return Err(StopReason::Broken);
                 }
                 self.open().await
             }
@@ -380,38 +393,38 @@
     }
 
     /// Whether the stream could go on somewhere else.
-    fn can_go_on(&self) -> bool {
-        self.mover.has_copy() || self.may_repeat()
+    fn can_resume(&self) -> bool {
+        self.migrator.has_copy() || self.may_resend()
     }
 
     /// Whether the request may be sent to one more target.
-    fn may_repeat(&self) -> bool {
+    fn may_resend(&self) -> bool {
         self.job.route.kind.is_idempotent() && self.progress.sends < self.job.route.max_attempts
     }
 
-    fn enter(&mut self, target: Target) {
-        self.placed = Some(Placed {
+    fn record_placement(&mut self, target: Target) {
+        self.placement = Some(Placement {
             target,
             is_started: false,
         });
     }
 
-    fn leave(&mut self) {
-        let Some(placed) = self.placed.take() else {
+    fn release_placement(&mut self) {
+        let Some(placement) = self.placement.take() else {
             return;
         };
-        let mut fleet = self.job.state.fleet.borrow_mut();
-        fleet.record_ended(&placed.target.id, &self.job.ask, placed.is_started);
+        let mut selector = self.job.state.selector.borrow_mut();
+        selector.record_ended(&placement.target.id, &self.job.demand, placement.is_started);
     }
 }
 
 /// Why a stream did not begin.
-enum Opening {
+enum OpenError {
     Failed(Failure),
-    Stopped(Stop),
+    Stopped(StopReason),
 }
 
-impl std::convert::From<Failure> for Opening {
+impl std::convert::From<Failure> for OpenError {
     fn from(failure: Failure) -> Self {
         Self::Failed(failure)
     }
--- a/filbertpaddle-gateway/src/job.rs
+++ b/filbertpaddle-gateway/src/job.rs
@@ -20,10 +20,10 @@
 use http_body_util::Full;
 use slog::info;
 
+use crate::connection_pool::Error as ConnectionError;
+use crate::connection_pool::PendingResponse;
+use crate::connection_pool::Reuse;
 use crate::crash;
-use crate::links::Error as LinkError;
-use crate::links::Exchange;
-use crate::links::Reuse;
 use crate::platform_api::CopySource;
 use crate::platform_api::ResponseMetadata;
 use crate::platform_api::TargetHeaders;
@@ -34,7 +34,7 @@
 /// Most connections that are tried for one request before it is refused.
 pub const MAX_CONNECTS: u32 = 12;
 /// Least urgent rank that targets know.
-const MAX_URGENCY: u8 = 9;
+const LEAST_URGENT: u8 = 9;
 /// When a caller may come back after targets were full or failing.
 const RETRY_AFTER_MS: Millis = Millis(250);
 
@@ -46,7 +46,7 @@
     /// Its route at the time of admission.
     pub route: Route,
     /// What its headers said.
-    pub envelope: RequestMetadata,
+    pub metadata: RequestMetadata,
     /// Customer it belongs to.
     pub customer: Option<Name>,
     /// Rank among the requests of its service; 0 is served first.
@@ -64,9 +64,9 @@
     /// When it was read.
     pub received_ms: Millis,
     /// When the caller or the route gives up.
-    pub limit_ms: Millis,
+    pub deadline_at_ms: Millis,
     /// What it asks of a target.
-    pub ask: RequestDemand,
+    pub demand: RequestDemand,
     /// Most output tokens in one event.
     pub event_tokens: u32,
     /// Whether its engines can copy a running generation to another.
@@ -85,9 +85,9 @@
     /// Whether some target may have run it.
     pub may_have_run: bool,
     /// Whether a target has it now.
-    pub is_out: bool,
+    pub is_in_flight: bool,
     /// Targets that it is not sent to again.
-    pub passed_over: Vec<Name>,
+    pub excluded_targets: Vec<Name>,
 }
 
 /// Why a target gave no answer to pass on.
@@ -108,7 +108,7 @@
 
 /// Where a generation goes on from.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct From<'a> {
+pub struct ResumePoint<'a> {
     /// Last event that the caller has.
     pub last_event: Option<u64>,
     /// Copy of its memory.
@@ -118,12 +118,12 @@
 impl Job {
     /// Time left until the caller or the route gives up.
     pub fn remaining_ms(&self) -> Millis {
-        self.limit_ms.since(self.state.clock.now())
+        self.deadline_at_ms.since(self.state.clock.now())
     }
 
     /// Output tokens that are expected after `events` have been delivered.
     pub fn remaining_tokens(&self, events: u64) -> u32 {
-        let Some(generation) = &self.envelope.generation else {
+        let Some(generation) = &self.metadata.generation else {
             return 0;
         };
         let made = events.saturating_mul(u64::from(self.event_tokens));
@@ -136,19 +136,19 @@
     /// # Errors
     ///
     /// Returns [`PlacementError`] if no target may be given the request now.
-    pub fn choose(&self, progress: &Progress) -> Result<Target, PlacementError> {
+    pub fn choose_target(&self, progress: &Progress) -> Result<Target, PlacementError> {
         let state = &self.state;
         let now = state.clock.now();
         let directory = state.directory.borrow();
-        let fleet = state.fleet.borrow();
-        let passed_over = &progress.passed_over;
+        let selector = state.selector.borrow();
+        let excluded_targets = &progress.excluded_targets;
         let draw = rand::random::<f64>;
-        let chosen = fleet.choose(now, &directory, &self.ask, passed_over, draw);
+        let chosen = selector.choose(now, &directory, &self.demand, excluded_targets, draw);
         if let Err(reason) = &chosen {
             info!(state.log, "no target";
-                "id" => self.envelope.attempt.as_str(), "reason" => %reason,
-                "passed_over" => passed_over.len(),
-                "age_ms" => state.age_ms(Table::Targets).0);
+                "id" => self.metadata.attempt.as_str(), "reason" => %reason,
+                "passed_over" => excluded_targets.len(),
+                "age_ms" => state.data_age_ms(Table::Targets).0);
         }
         chosen.cloned()
     }
@@ -161,26 +161,30 @@
     pub async fn send(
         &self,
         target: &Target,
-        from: From<'_>,
-    ) -> Result<(Exchange, ResponseMetadata), Failure> {
-        let request = self.request(target, from);
+        resume: ResumePoint<'_>,
+    ) -> Result<(PendingResponse, ResponseMetadata), Failure> {
+        let request = self.build_request(target, resume);
         let reuse = if self.route.kind.is_idempotent() && !self.route.kind.is_stream() {
             Reuse::Idle
         } else {
             Reuse::New
         };
-        let sent = self.state.links.send(&target.address, request, reuse).await;
-        let exchange = sent.map_err(|error| match error {
-            LinkError::Refused => Failure::Refused,
-            LinkError::NotSent(reason) => Failure::NotSent(reason),
-            LinkError::Unknown(reason) => Failure::Unknown(reason),
+        let sent = self
+            .state
+            .connections
+            .send(&target.address, request, reuse)
+            .await;
+        let response = sent.map_err(|error| match error {
+            ConnectionError::Refused => Failure::Refused,
+            ConnectionError::NotSent(reason) => Failure::NotSent(reason),
+            ConnectionError::Unknown(reason) => Failure::Unknown(reason),
         })?;
-        let answer = self.check(&exchange.head)?;
-        Ok((exchange, answer))
+        let answer = self.verify_response(&response.head)?;
+        Ok((response, answer))
     }
 
     /// Checks that an answer belongs to this request and is the target's own.
-    fn check(&self, head: &Parts) -> Result<ResponseMetadata, Failure> {
+    fn verify_response(&self, head: &Parts) -> Result<ResponseMetadata, Failure> {
         let answer = (self.state.platform.headers.decode_response)(head.status, &head.headers);
         if answer.is_other_target {
             return Err(Failure::OtherTarget);
@@ -188,7 +192,7 @@
         if answer.is_not_run {
             return Err(Failure::NotRun);
         }
-        if answer.attempt.as_ref() != Some(&self.envelope.attempt) {
+        if answer.attempt.as_ref() != Some(&self.metadata.attempt) {
             return Err(Failure::Unknown("answer to another attempt".to_owned()));
         }
         if !answer.is_sealed {
@@ -219,9 +223,9 @@
         let state = &self.state;
         let now = state.clock.now();
         let nodes = state.nodes.borrow().count();
-        let terms = state.reloadable.borrow().retries;
-        let is_taken = state.budget(&self.ask.service, |budget| {
-            budget.try_acquire(now, &terms, nodes)
+        let limits = state.reloadable.borrow().retries;
+        let is_taken = state.with_budget(&self.demand.service, |budget| {
+            budget.try_acquire(now, &limits, nodes)
         });
         if !is_taken {
             state.metrics.count("retry.refused");
@@ -231,64 +235,64 @@
 
     /// Counts a move against the service's budget. Targets may count it as a
     /// retry, but it cannot be put off.
-    pub fn count_move(&self) {
+    pub fn charge_migration(&self) {
         let now = self.state.clock.now();
         self.state
-            .budget(&self.ask.service, |budget| budget.record_migration(now));
+            .with_budget(&self.demand.service, |budget| budget.record_migration(now));
     }
 
     /// Records a send: the target's load, the log line.
-    pub fn sent(&self, progress: &mut Progress, target: &Target) {
+    pub fn mark_sent(&self, progress: &mut Progress, target: &Target) {
         let state = &self.state;
         let now = state.clock.now();
-        let mut fleet = state.fleet.borrow_mut();
+        let mut selector = state.selector.borrow_mut();
         info!(state.log, "request sent";
-            "id" => self.envelope.attempt.as_str(), "target" => target.id.as_str(),
+            "id" => self.metadata.attempt.as_str(), "target" => target.id.as_str(),
             "data_centre" => target.data_centre.as_str(),
-            "running" => fleet.running(&target.id), "attempt" => progress.sends + 1,
-            "remaining_ms" => self.remaining_ms().0, "age_ms" => state.age_ms(Table::Targets).0);
-        fleet.record_sent(now, target, &self.ask);
+            "running" => selector.running(&target.id), "attempt" => progress.sends + 1,
+            "remaining_ms" => self.remaining_ms().0, "age_ms" => state.data_age_ms(Table::Targets).0);
+        selector.record_sent(now, target, &self.demand);
         progress.connects += 1;
-        progress.is_out = true;
+        progress.is_in_flight = true;
     }
 
     /// Records a failed send and what it means for the target.
-    pub fn failed(&self, progress: &mut Progress, target: &Target, failure: &Failure) {
+    pub fn mark_failed(&self, progress: &mut Progress, target: &Target, failure: &Failure) {
         let state = &self.state;
         let now = state.clock.now();
-        let mut shunned_until_ms = Millis::ZERO;
-        progress.is_out = false;
-        progress.passed_over.push(target.id.clone());
+        let mut excluded_until_ms = Millis::ZERO;
+        progress.is_in_flight = false;
+        progress.excluded_targets.push(target.id.clone());
         match failure {
             Failure::Refused => {
-                shunned_until_ms = state.fleet.borrow_mut().record_refused(now, &target.id);
+                excluded_until_ms = state.selector.borrow_mut().record_refused(now, &target.id);
             }
             Failure::NotSent(_) => {
-                shunned_until_ms = state.fleet.borrow_mut().record_failure(now, &target.id);
+                excluded_until_ms = state.selector.borrow_mut().record_failure(now, &target.id);
             }
             Failure::NotRun => progress.sends += 1,
             Failure::OtherTarget => {
                 progress.was_misdirected = true;
-                shunned_until_ms = state.fleet.borrow_mut().record_failure(now, &target.id);
+                excluded_until_ms = state.selector.borrow_mut().record_failure(now, &target.id);
             }
             Failure::Unknown(_) => {
                 progress.sends += 1;
                 progress.may_have_run = true;
-                shunned_until_ms = state.fleet.borrow_mut().record_failure(now, &target.id);
-                crash::suspect(state, target, self.digest);
+                excluded_until_ms = state.selector.borrow_mut().record_failure(now, &target.id);
+                crash::record_if_crashed(state, target, self.digest);
             }
         }
         state.metrics.count("send.failed");
         info!(state.log, "send failed";
-            "id" => self.envelope.attempt.as_str(), "target" => target.id.as_str(),
-            "failure" => %failure, "reason" => reason(failure),
-            "passed_over_ms" => shunned_until_ms.since(now).0);
+            "id" => self.metadata.attempt.as_str(), "target" => target.id.as_str(),
+            "failure" => %failure, "reason" => failure_reason(failure),
+            "passed_over_ms" => excluded_until_ms.since(now).0);
     }
 
     /// The refusal that is true after `progress`.
     pub fn refusal(&self, progress: &Progress) -> Refusal {
         let is_late = self.remaining_ms() == Millis::ZERO;
-        match (progress.may_have_run || progress.is_out, is_late) {
+        match (progress.may_have_run || progress.is_in_flight, is_late) {
             (true, true) => Refusal::TimedOut,
             (true, false) => Refusal::TargetFailed,
             (false, true) => Refusal::TimedOutUnsent,
@@ -298,7 +302,7 @@
     }
 
     /// Makes the answer of a refusal.
-    pub fn refuse(&self, refusal: Refusal) -> reply::Reply {
+    pub fn refusal_reply(&self, refusal: Refusal) -> reply::Reply {
         let retry_after_ms = match refusal {
             Refusal::NoTarget | Refusal::TargetsFull => Some(RETRY_AFTER_MS),
             _ => None,
@@ -306,7 +310,7 @@
         reply::refuse(refusal, retry_after_ms)
     }
 
-    fn request(&self, target: &Target, from: From<'_>) -> Request<Full<Bytes>> {
+    fn build_request(&self, target: &Target, resume: ResumePoint<'_>) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
@@ -315,22 +319,22 @@
         if !self.body.is_empty() || self.method == Method::POST || self.method == Method::PUT {
             headers.insert(header::CONTENT_LENGTH, self.body.len().into());
         }
-        let is_generation = self.envelope.generation.is_some();
-        let sending = TargetHeaders {
+        let is_generation = self.metadata.generation.is_some();
+        let values = TargetHeaders {
             target,
             remaining_ms: Some(self.remaining_ms()),
             customer: self.customer.as_deref(),
-            urgency: is_generation.then_some(self.priority.min(MAX_URGENCY)),
-            last_event: from.last_event,
-            copy: from.copy,
+            urgency: is_generation.then_some(self.priority.min(LEAST_URGENT)),
+            last_event: resume.last_event,
+            copy: resume.copy,
         };
-        (self.state.platform.headers.apply)(headers, &sending);
+        (self.state.platform.headers.apply)(headers, &values);
         request
     }
 }
 
 /// Reads why a send failed, where that is known.
-fn reason(failure: &Failure) -> &str {
+fn failure_reason(failure: &Failure) -> &str {
     match failure {
         Failure::NotSent(reason) | Failure::Unknown(reason) => reason,
         Failure::Refused | Failure::NotRun | Failure::OtherTarget => "",
--- a/filbertpaddle-gateway/src/lib.rs
+++ b/filbertpaddle-gateway/src/lib.rs
@@ -3,28 +3,28 @@
 //! Decisions are in `filbertpaddle-forward`; this crate is their I/O. What the
 //! platform's own words are, an adapter tells it in a [`platform_api::PlatformApi`].
 
+pub mod buffered;
 pub mod clock;
+pub mod connection_pool;
 pub mod crash;
-pub mod departures;
-pub mod exchange;
-pub mod follower;
+pub mod drain_detection;
 pub mod generation;
 pub mod job;
-pub mod links;
 pub mod listener;
+pub mod load_exchange;
 pub mod log;
 pub mod metrics;
-pub mod mover;
+pub mod migrator;
 pub mod node;
 pub mod nodes;
-pub mod output;
+pub mod peer_follower;
 pub mod peer_link;
-pub mod peers;
+pub mod peer_publisher;
 pub mod platform_api;
 pub mod reply;
 pub mod request;
+pub mod response_writer;
 pub mod settings;
-pub mod source;
 pub mod state;
-pub mod tell;
-pub mod whole;
+pub mod store_sync;
+pub mod target_stream;
--- a/filbertpaddle-gateway/src/listener.rs
+++ b/filbertpaddle-gateway/src/listener.rs
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 
 use crate::clock::duration;
-use crate::links::set_options;
+use crate::connection_pool::set_socket_options;
 use crate::reply;
 use crate::request;
 use crate::state::State;
@@ -34,15 +34,19 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 let (state, stopping) = (Rc::clone(&state), stopping.clone());
-                tokio::task::spawn_local(connection(state, stream, stopping));
+                tokio::task::spawn_local(handle_connection(state, stream, stopping));
             }
             Err(error) => warn!(state.log, "cannot accept a caller"; "error" => %error),
         }
     }
 }
 
-async fn connection(state: Rc<State>, stream: TcpStream, mut stopping: watch::Receiver<bool>) {
-    if let Err(error) = set_options(&stream) {
+async fn handle_connection(
+    state: Rc<State>,
+    stream: TcpStream,
+    mut stopping: watch::Receiver<bool>,
+) {
+    if let Err(error) = set_socket_options(&stream) {
         debug!(state.log, "caller's connection lost"; "error" => %error);
         return;
     }
@@ -70,13 +74,15 @@
     let directory = state.directory.borrow();
     let configured_ms = directory
         .configuration()
-        .map_or(DEFAULT_IDLE_MS, |known| known.limits.idle_timeout_ms);
+        .map_or(DEFAULT_IDLE_MS, |configuration| {
+            configuration.limits.idle_timeout_ms
+        });
     configured_ms + IDLE_SLACK_MS
 }
 
 /// Answers the balancer whether the node takes callers.
 pub async fn serve_ready(state: Rc<State>, listener: TcpListener) {
-    answer(listener, move |_| {
+    serve_text(listener, move |_| {
         if state.is_ready() {
             (StatusCode::OK, String::new())
         } else {
@@ -88,11 +94,11 @@
 
 /// Serves the node's metrics as text.
 pub async fn serve_metrics(state: Rc<State>, listener: TcpListener) {
-    answer(listener, move |_| (StatusCode::OK, state.metrics.text())).await;
+    serve_text(listener, move |_| (StatusCode::OK, state.metrics.text())).await;
 }
 
 /// Answers every request at `listener` by `reply`, from its path.
-async fn answer<F>(listener: TcpListener, reply: F)
+async fn serve_text<F>(listener: TcpListener, reply: F)
 where
     F: Fn(&str) -> (StatusCode, String) + Clone + 'static,
 {
@@ -100,7 +106,7 @@
         let reply = reply.clone();
         let service = service_fn(move |request: http::Request<hyper::body::Incoming>| {
             let (status, text) = reply(request.uri().path());
-            let mut response = Response::new(reply::whole(text.into()));
+            let mut response = Response::new(reply::full_body(text.into()));
             *response.status_mut() = status;
             async move { Ok::<_, std::convert::Infallible>(response) }
         });
--- a/filbertpaddle-gateway/src/exchange.rs
+++ b/filbertpaddle-gateway/src/load_exchange.rs
@@ -14,26 +14,26 @@
 
 use crate::peer_link::Error;
 use crate::peer_link::Message;
+use crate::peer_link::PUBLISH_INTERVAL;
 use crate::peer_link::PeerLink;
-use crate::peer_link::SILENCE;
-use crate::peer_link::TELL;
-use crate::peer_link::take_suspects;
+use crate::peer_link::SILENCE_TIMEOUT;
+use crate::peer_link::merge_suspects;
 use crate::state::State;
 
 /// Exchanges work with the other readers as long as this node runs.
 pub async fn run(state: Rc<State>) {
     let mut links: IndexMap<Name, JoinHandle<()>> = IndexMap::new();
     loop {
-        sleep(TELL).await;
+        sleep(PUBLISH_INTERVAL).await;
         links.retain(|_, link| !link.is_finished());
         if !state.is_reader() {
             links.drain(..).for_each(|(_, link)| link.abort());
             continue;
         }
-        share_own(&state);
+        update_own_load(&state);
         for (name, address) in other_readers(&state) {
             if !links.contains_key(&name) {
-                let link = follow_group(Rc::clone(&state), name.clone(), address);
+                let link = sync_group(Rc::clone(&state), name.clone(), address);
                 links.insert(name, tokio::task::spawn_local(link));
             }
         }
@@ -41,19 +41,19 @@
 }
 
 /// Counts this reader's own work in its group, and takes that of all others.
-fn share_own(state: &State) {
-    let own = state.fleet.borrow().own_load(state.clock.now());
-    let mut board = state.board.borrow_mut();
-    board.remove_member(&state.settings.node);
+fn update_own_load(state: &State) {
+    let own = state.selector.borrow().own_load(state.clock.now());
+    let mut load_table = state.load_table.borrow_mut();
+    load_table.remove_member(&state.settings.node);
     let changes = own.iter().map(|(id, work)| (id.clone(), *work)).collect();
-    board.update_member(&state.settings.node, &changes);
-    let total = board.total();
-    drop(board);
-    set_others(state, &total, &own);
+    load_table.update_member(&state.settings.node, &changes);
+    let total = load_table.total();
+    drop(load_table);
+    update_other_load(state, &total, &own);
 }
 
 /// Sets the work of other nodes: all work but what is this node's own.
-pub fn set_others(state: &State, all: &LoadByTarget, own: &LoadByTarget) {
+pub fn update_other_load(state: &State, all: &LoadByTarget, own: &LoadByTarget) {
     let others = all
         .iter()
         .map(|(target, work)| {
@@ -61,7 +61,7 @@
             (target.clone(), work.without(&own))
         })
         .collect();
-    state.fleet.borrow_mut().set_other_load(others);
+    state.selector.borrow_mut().set_other_load(others);
 }
 
 fn other_readers(state: &State) -> Vec<(Name, SocketAddr)> {
@@ -76,20 +76,20 @@
         .collect()
 }
 
-async fn follow_group(state: Rc<State>, reader: Name, address: SocketAddr) {
-    if let Err(error) = take_group(&state, &reader, address).await {
+async fn sync_group(state: Rc<State>, reader: Name, address: SocketAddr) {
+    if let Err(error) = receive_group(&state, &reader, address).await {
         debug!(state.log, "reader not linked"; "peer" => %reader, "error" => %error);
     }
-    state.board.borrow_mut().remove_group(&reader);
+    state.load_table.borrow_mut().remove_group(&reader);
 }
 
-async fn take_group(state: &State, reader: &Name, address: SocketAddr) -> Result<(), Error> {
+async fn receive_group(state: &State, reader: &Name, address: SocketAddr) -> Result<(), Error> {
     let mut link = PeerLink::dial(state, address, true).await?;
     loop {
-        let message = timeout(SILENCE, link.receive()).await;
+        let message = timeout(SILENCE_TIMEOUT, link.receive()).await;
         match message.map_err(|_| Error::Timeout)?? {
-            Message::Work(changes) => state.board.borrow_mut().update_group(reader, &changes),
-            Message::Suspects(suspects) => take_suspects(state, &suspects),
+            Message::Work(changes) => state.load_table.borrow_mut().update_group(reader, &changes),
+            Message::Suspects(suspects) => merge_suspects(state, &suspects),
             _ => {}
         }
     }
--- a/filbertpaddle-gateway/src/mover.rs
+++ b/filbertpaddle-gateway/src/migrator.rs
@@ -15,12 +15,12 @@
 use filbertpaddle_forward::target_selector::RequestDemand;
 use slog::info;
 
-use crate::follower::request;
 use crate::job::Job;
 use crate::platform_api::CopyOutcome;
 use crate::platform_api::CopyRequest;
-use crate::source::Source;
 use crate::state::State;
+use crate::store_sync::http_request;
+use crate::target_stream::TargetStream;
 
 /// How long a copy may take: the memory of several large generations over one link.
 const COPY_TIMEOUT: Duration = Duration::from_secs(4);
@@ -31,42 +31,42 @@
 
 /// A copy that is being made, or that could not be made.
 #[derive(Debug)]
-pub struct Copied {
+pub struct CopyResult {
     to: Target,
     answer: CopyOutcome,
 }
 
 /// Makes the copies of one generation.
-pub struct Mover<'a> {
+pub struct Migrator<'a> {
     job: &'a Job,
     migration: Migration,
     copying: Option<(Target, CopyCall)>,
-    held: Option<Target>,
+    reserved: Option<Target>,
     source_address: Name,
-    refused: Vec<Name>,
+    refused_by: Vec<Name>,
 }
 
-impl fmt::Debug for Mover<'_> {
+impl fmt::Debug for Migrator<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Mover").finish_non_exhaustive()
     }
 }
 
-impl<'a> Mover<'a> {
+impl<'a> Migrator<'a> {
     /// Plans nothing.
     pub fn new(job: &'a Job) -> Self {
         Self {
             job,
             migration: Migration::new(),
             copying: None,
-            held: None,
+            reserved: None,
             source_address: Name::default(),
-            refused: Vec::new(),
+            refused_by: Vec::new(),
         }
     }
 
     /// The generation's target leaves; `events` of it have been delivered.
-    pub fn noticed(&mut self, events: u64) {
+    pub fn schedule_migration(&mut self, events: u64) {
         let now = self.job.state.clock.now();
         let remaining_tokens = self.job.remaining_tokens(events);
         self.migration.schedule(now, remaining_tokens);
@@ -78,34 +78,34 @@
     }
 
     /// Begins a copy if it is time; returns what remains to be done.
-    pub fn step(&mut self, source: &Source) -> Step {
+    pub fn advance(&mut self, source: &TargetStream) -> Step {
         let now = self.job.state.clock.now();
         self.drop_lost_copy();
         let step = self.migration.next_step(now);
         if step != Step::Copy {
             return step;
         }
-        self.begin_copy(now, source);
+        self.start_copy(now, source);
         self.migration.next_step(now)
     }
 
     /// Waits for the copy that is being made.
-    pub async fn wait(&mut self) -> Copied {
+    pub async fn wait_for_copy(&mut self) -> CopyResult {
         let Some((to, call)) = &mut self.copying else {
             return pending().await;
         };
         let answer = call.await;
         let to = to.clone();
         self.copying = None;
-        Copied { to, answer }
+        CopyResult { to, answer }
     }
 
     /// Takes what came of a copy.
-    pub fn copied(&mut self, source: &Source, copied: Copied) {
+    pub fn record_copy_result(&mut self, source: &TargetStream, result: CopyResult) {
         let now = self.job.state.clock.now();
-        let Copied { to, answer } = copied;
+        let CopyResult { to, answer } = result;
         info!(self.job.state.log, "copy answered";
-            "id" => self.job.envelope.attempt.as_str(),
+            "id" => self.job.metadata.attempt.as_str(),
             "from" => source.target.id.as_str(), "to" => to.id.as_str(),
             "answer" => ?answer);
         match answer {
@@ -114,8 +114,8 @@
                 self.migration.record_copied(copy);
             }
             CopyOutcome::Refused => {
-                self.refused.push(to.id);
-                self.release_hold();
+                self.refused_by.push(to.id);
+                self.release_reservation();
                 self.migration.record_copy_failed(now);
             }
             CopyOutcome::NotRunning | CopyOutcome::Busy => self.migration.record_copy_failed(now),
@@ -125,10 +125,10 @@
     /// Takes the copy to go on from; the destination is then the new source.
     pub fn take_copy(&mut self) -> Option<(Copy, Target)> {
         let copy = self.migration.take_copy();
-        let to = self.held.clone();
-        self.release_hold();
+        let to = self.reserved.clone();
+        self.release_reservation();
         self.copying = None;
-        self.refused.clear();
+        self.refused_by.clear();
         self.migration = Migration::new();
         Some((copy?, to?))
     }
@@ -136,90 +136,102 @@
     /// Frees what is held at other targets.
     pub fn close(mut self) {
         let copy = self.migration.take_copy();
-        let to = self.held.clone();
-        self.release_hold();
+        let to = self.reserved.clone();
+        self.release_reservation();
         if let (Some(copy), Some(to)) = (copy, to) {
             let state = Rc::clone(&self.job.state);
-            tokio::task::spawn_local(async move { release(&state, &copy, &to).await });
+            tokio::task::spawn_local(async move { release_copy(&state, &copy, &to).await });
         }
     }
 
     /// Gives up a copy whose holder leaves in turn.
     fn drop_lost_copy(&mut self) {
-        let Some(held) = &self.held else { return };
+        let Some(reserved) = &self.reserved else {
+            return;
+        };
         let directory = self.job.state.directory.borrow();
-        let listed = directory.target(&held.id);
-        let is_there =
-            listed.is_some_and(|listed| listed.is_same_instance(held) && !listed.is_draining);
+        let listed = directory.target(&reserved.id);
+        let is_available =
+            listed.is_some_and(|listed| listed.is_same_instance(reserved) && !listed.is_draining);
         drop(directory);
-        if !is_there && self.copying.is_none() {
+        if !is_available && self.copying.is_none() {
             self.migration.take_copy();
-            self.release_hold();
+            self.release_reservation();
         }
     }
 
-    fn begin_copy(&mut self, now: Millis, source: &Source) {
+    fn start_copy(&mut self, now: Millis, source: &TargetStream) {
         let Some(to) = self.destination(now, source) else {
-            self.refused.clear();
+            self.refused_by.clear();
             self.migration.record_copy_failed(now);
             return;
         };
-        let call = copy(
+        let call = request_copy(
             Rc::clone(&self.job.state),
-            self.job.envelope.attempt.clone(),
+            self.job.metadata.attempt.clone(),
             source.target.address.clone(),
             to.clone(),
         );
         self.migration.record_copy_started();
-        if self.held.is_none() {
-            let mut fleet = self.job.state.fleet.borrow_mut();
-            fleet.record_sent(now, &to, &self.moved_ask());
-            drop(fleet);
-            self.held = Some(to.clone());
+        if self.reserved.is_none() {
+            let mut selector = self.job.state.selector.borrow_mut();
+            selector.record_sent(now, &to, &self.resume_demand());
+            drop(selector);
+            self.reserved = Some(to.clone());
         }
         self.copying = Some((to, Box::pin(call)));
     }
 
-    fn destination(&self, now: Millis, source: &Source) -> Option<Target> {
-        if let Some(held) = &self.held {
-            return Some(held.clone());
+    fn destination(&self, now: Millis, source: &TargetStream) -> Option<Target> {
+        if let Some(reserved) = &self.reserved {
+            return Some(reserved.clone());
         }
         let state = &self.job.state;
         let directory = state.directory.borrow();
-        let fleet = state.fleet.borrow();
-        let ask = self.moved_ask();
+        let selector = state.selector.borrow();
+        let demand = self.resume_demand();
         let draw = rand::random::<f64>;
-        let chosen =
-            fleet.choose_copy_target(now, &directory, &source.target, &ask, &self.refused, draw);
+        let chosen = selector.choose_copy_target(
+            now,
+            &directory,
+            &source.target,
+            &demand,
+            &self.refused_by,
+            draw,
+        );
         chosen.cloned()
     }
 
     /// What the generation asks of its next target: its prompt is not read again.
-    fn moved_ask(&self) -> RequestDemand {
+    fn resume_demand(&self) -> RequestDemand {
         RequestDemand {
             prompt_tokens: 0,
-            ..self.job.ask.clone()
+            ..self.job.demand.clone()
         }
     }
 
-    fn release_hold(&mut self) {
-        if let Some(held) = self.held.take() {
-            let mut fleet = self.job.state.fleet.borrow_mut();
-            fleet.record_ended(&held.id, &self.moved_ask(), true);
+    fn release_reservation(&mut self) {
+        if let Some(reserved) = self.reserved.take() {
+            let mut selector = self.job.state.selector.borrow_mut();
+            selector.record_ended(&reserved.id, &self.resume_demand(), true);
         }
     }
 }
 
-async fn copy(state: Rc<State>, attempt: Name, address: Name, to: Target) -> CopyOutcome {
+async fn request_copy(state: Rc<State>, attempt: Name, address: Name, to: Target) -> CopyOutcome {
     let calls = state.platform.engine;
-    let order = CopyRequest {
+    let copy_request = CopyRequest {
         attempt: &attempt,
         to: &to,
     };
-    let request = request(&address, &(calls.copy)(&order));
+    let request = http_request(&address, &(calls.copy)(&copy_request));
     state.metrics.count("target.copies");
-    match state.links.call(&address, request, COPY_TIMEOUT).await {
-        Ok((head, bytes)) => (calls.decode_copy)(&order, head.status, &bytes),
+    match state
+        .connections
+        .call(&address, request, COPY_TIMEOUT)
+        .await
+    {
+        Ok((head, bytes)) => (calls.decode_copy)(&copy_request, head.status, &bytes),
         Err(error) => {
             info!(state.log, "no answer to a copy";
                 "id" => attempt.as_str(), "to" => to.id.as_str(), "error" => %error);
@@ -228,11 +240,11 @@
     }
 }
 
-async fn release(state: &State, copy: &Copy, to: &Target) {
+async fn release_copy(state: &State, copy: &Copy, to: &Target) {
     let call = (state.platform.engine.release)(&copy.handle);
-    let request = request(&to.address, &call);
+    let request = http_request(&to.address, &call);
     let called = state
-        .links
+        .connections
         .call(&to.address, request, RELEASE_TIMEOUT)
         .await;
     if let Err(error) = called {
--- a/filbertpaddle-gateway/src/node.rs
+++ b/filbertpaddle-gateway/src/node.rs
@@ -18,28 +18,28 @@
 use tokio::time::interval;
 use tokio::time::sleep;
 
-use crate::departures;
-use crate::exchange;
-use crate::follower;
+use crate::drain_detection;
 use crate::listener;
+use crate::load_exchange;
 use crate::log;
-use crate::peers;
+use crate::peer_follower;
+use crate::peer_publisher;
 use crate::platform_api::PlatformApi;
 use crate::settings::Settings;
 use crate::state::State;
-use crate::tell;
+use crate::store_sync;
 
 /// How often doubts and idle connections are looked at.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// How often the settings are read again.
-const REREAD: Duration = Duration::from_secs(5);
+const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 /// How long after the signal the balancer may still send callers here: it asks
 /// once a second and takes two misses.
-const BALANCER_MS: Millis = Millis(2_500);
+const BALANCER_GRACE_MS: Millis = Millis(2_500);
 /// How often a stopping node looks whether its requests have ended.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time before the grace ends at which a stopping node ends by itself.
-const EXIT_LEAD_MS: Millis = Millis(150);
+const EXIT_MARGIN_MS: Millis = Millis(150);
 
 /// Why a node cannot run.
 #[derive(Debug, thiserror::Error)]
@@ -98,19 +98,21 @@
         stopping,
     )));
     spawn(Box::pin(listener::serve_ready(Rc::clone(&state), ready)));
-    spawn(Box::pin(tell::serve(Rc::clone(&state), peers)));
-    spawn(Box::pin(peers::follow(Rc::clone(&state))));
-    spawn(Box::pin(follower::follow(
+    spawn(Box::pin(peer_publisher::serve(Rc::clone(&state), peers)));
+    spawn(Box::pin(peer_follower::run(Rc::clone(&state))));
+    spawn(Box::pin(store_sync::watch_table(
         Rc::clone(&state),
         Table::Operator,
     )));
-    spawn(Box::pin(follower::follow(
+    spawn(Box::pin(store_sync::watch_table(
         Rc::clone(&state),
         Table::Targets,
     )));
-    spawn(Box::pin(exchange::run(Rc::clone(&state))));
-    spawn(Box::pin(departures::watch(Rc::clone(&state))));
-    spawn(Box::pin(follower::register(Rc::clone(&state))));
+    spawn(Box::pin(load_exchange::run(Rc::clone(&state))));
+    spawn(Box::pin(drain_detection::run(Rc::clone(&state))));
+    spawn(Box::pin(store_sync::maintain_registration(Rc::clone(
+        &state,
+    ))));
     if let Some(mut address) = settings.metrics {
         match listen(&mut address).await {
             Ok(metrics) => {
@@ -122,20 +124,20 @@
             Err(error) => warn!(state.log, "no metrics"; "error" => %error),
         }
     }
-    let mut ticks = interval(TICK);
-    let mut rereads = interval(REREAD);
+    let mut ticks = interval(TICK_INTERVAL);
+    let mut reloads = interval(RELOAD_INTERVAL);
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             _ = hang_up.recv() => {
                 info!(state.log, "told that the settings changed");
-                reread(&state, reload);
+                reload_settings(&state, reload);
             }
             // The file may also change without a signal.
-            _ = rereads.tick() => reread(&state, reload),
+            _ = reloads.tick() => reload_settings(&state, reload),
             _ = ticks.tick() => {
-                state.tick();
-                state.links.close_stale();
+                state.apply_due_removals();
+                state.connections.close_stale();
             }
         }
     }
@@ -145,7 +147,7 @@
 
 /// Reads the settings again. Name, data centre and addresses stay those of the
 /// node's start; the rest is in force at once.
-fn reread(state: &State, reload: Reload) {
+fn reload_settings(state: &State, reload: Reload) {
     let settings = match reload() {
         Ok(settings) => settings,
         Err(error) => {
@@ -153,8 +155,8 @@
             return;
         }
     };
-    let was = state.reloadable.replace(settings.reloadable.clone());
-    if was != settings.reloadable {
+    let previous = state.reloadable.replace(settings.reloadable.clone());
+    if previous != settings.reloadable {
         info!(state.log, "settings changed";
             "grace_ms" => settings.reloadable.grace_ms.0,
             "retry_ratio" => settings.reloadable.retries.ratio,
@@ -170,19 +172,19 @@
     state.drain.set(Some(Drain { began_ms, grace_ms }));
     info!(state.log, "node stops"; "in_flight" => state.in_flight.get(), "grace_ms" => grace_ms.0);
     let elapsed_ms = || state.clock.now().since(began_ms);
-    while elapsed_ms() < BALANCER_MS.min(grace_ms) {
-        sleep(DRAIN_POLL).await;
+    while elapsed_ms() < BALANCER_GRACE_MS.min(grace_ms) {
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
     stop.send_replace(true);
-    while state.in_flight.get() > 0 && elapsed_ms() + EXIT_LEAD_MS < grace_ms {
-        sleep(DRAIN_POLL).await;
+    while state.in_flight.get() > 0 && elapsed_ms() + EXIT_MARGIN_MS < grace_ms {
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
     // What comes now would be cut, so it is refused unsent. The wait lets the last
     // bytes and lines leave.
     state.is_closing.set(true);
-    sleep(DRAIN_POLL).await;
-    while state.in_flight.get() > 0 && elapsed_ms() + EXIT_LEAD_MS < grace_ms {
-        sleep(DRAIN_POLL).await;
+    sleep(DRAIN_POLL_INTERVAL).await;
+    while state.in_flight.get() > 0 && elapsed_ms() + EXIT_MARGIN_MS < grace_ms {
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
     info!(state.log, "node stopped";
         "in_flight" => state.in_flight.get(), "elapsed_ms" => elapsed_ms().0);
--- a/filbertpaddle-gateway/src/nodes.rs
+++ b/filbertpaddle-gateway/src/nodes.rs
@@ -13,17 +13,17 @@
 use crate::platform_api::NodeList;
 
 /// How often a node renews its entry.
-pub const RENEW_MS: Millis = Millis::from_secs(30);
+pub const RENEW_INTERVAL_MS: Millis = Millis::from_secs(30);
 /// Age at which an entry no longer counts.
-pub const STALE_MS: Millis = Millis::from_secs(75);
+pub const STALE_AGE_MS: Millis = Millis::from_secs(75);
 /// Age at which an entry is dropped by whoever sees it.
-pub const DROP_MS: Millis = Millis::from_secs(180);
+pub const REMOVAL_AGE_MS: Millis = Millis::from_secs(180);
 /// Nodes of a data centre for which one reads the store.
 const NODES_PER_READER: usize = 32;
 /// Part of the largest node's processor that a reader has at least.
-const READER_SHARE: f64 = 0.6;
+const MIN_READER_CORES_RATIO: f64 = 0.6;
 /// How long a node that did not answer is passed over as a reader.
-const SILENT_MS: Millis = Millis::from_secs(10);
+const UNRESPONSIVE_MS: Millis = Millis::from_secs(10);
 
 /// A node's entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -46,10 +46,10 @@
     live: Vec<Node>,
     /// What the store's list said when it was last read; counts the readings.
     list: NodeList,
-    readings: u64,
+    reads: u64,
     store_ms: Millis,
     read_ms: Millis,
-    silent_until: IndexMap<Name, Millis>,
+    unresponsive_until: IndexMap<Name, Millis>,
 }
 
 impl Nodes {
@@ -59,8 +59,8 @@
     }
 
     /// How often the list has been read.
-    pub fn readings(&self) -> u64 {
-        self.readings
+    pub fn reads(&self) -> u64 {
+        self.reads
     }
 
     /// The list as it was last read, to pass it on.
@@ -86,13 +86,15 @@
         let members: Vec<_> = self
             .live
             .iter()
-            .filter(|node| node.data_centre == *data_centre && !self.is_silent(now, &node.name))
+            .filter(|node| {
+                node.data_centre == *data_centre && !self.is_unresponsive(now, &node.name)
+            })
             .collect();
         let largest = members.iter().map(|node| node.cores).fold(0.0, f64::max);
-        let strong = members
+        let eligible = members
             .iter()
-            .filter(|node| node.cores >= largest * READER_SHARE);
-        let ranked = rank(data_centre, strong.map(|node| &node.name));
+            .filter(|node| node.cores >= largest * MIN_READER_CORES_RATIO);
+        let ranked = rank(data_centre, eligible.map(|node| &node.name));
         let count = members.len().div_ceil(NODES_PER_READER);
         ranked
             .into_iter()
@@ -102,12 +104,13 @@
     }
 
     /// Passes a node over as a reader for a while.
-    pub fn silent(&mut self, now: Millis, name: &Name) {
-        self.silent_until.insert(name.clone(), now + SILENT_MS);
+    pub fn mark_unresponsive(&mut self, now: Millis, name: &Name) {
+        self.unresponsive_until
+            .insert(name.clone(), now + UNRESPONSIVE_MS);
     }
 
-    fn is_silent(&self, now: Millis, name: &Name) -> bool {
-        self.silent_until
+    fn is_unresponsive(&self, now: Millis, name: &Name) -> bool {
+        self.unresponsive_until
             .get(name)
             .is_some_and(|until| now < *until)
     }
@@ -121,15 +124,15 @@
     pub fn update(&mut self, now: Millis, list: NodeList) -> Vec<Name> {
         self.store_ms = list.store_ms;
         self.read_ms = now;
-        self.readings += 1;
+        self.reads += 1;
         self.list = list.clone();
         let age = |node: &Node| list.store_ms.since(node.written_ms);
-        let old = list.nodes.iter().filter(|node| age(node) >= DROP_MS);
-        let dropped = old.map(|node| node.name.clone()).collect();
+        let expired = list.nodes.iter().filter(|node| age(node) >= REMOVAL_AGE_MS);
+        let dropped = expired.map(|node| node.name.clone()).collect();
         self.live = list
             .nodes
             .iter()
-            .filter(|node| age(node) < STALE_MS)
+            .filter(|node| age(node) < STALE_AGE_MS)
             .cloned()
             .collect();
         dropped
--- a/filbertpaddle-gateway/src/peers.rs
+++ b/filbertpaddle-gateway/src/peer_follower.rs
@@ -21,68 +21,68 @@
 use tokio::time::sleep;
 use tokio::time::sleep_until;
 
-use crate::exchange::set_others;
+use crate::load_exchange::update_other_load;
 use crate::peer_link::Error;
 use crate::peer_link::Message;
+use crate::peer_link::PUBLISH_INTERVAL;
 use crate::peer_link::PeerLink;
-use crate::peer_link::SILENCE;
-use crate::peer_link::TELL;
-use crate::peer_link::take_suspects;
-use crate::state::Link;
+use crate::peer_link::SILENCE_TIMEOUT;
+use crate::peer_link::merge_suspects;
+use crate::state::PeerStatus;
 use crate::state::State;
 
 /// Age at which what a node knows is too old to follow it. Above the time that
 /// the store holds back a call and the time that it may take to answer.
-const MAX_AGE_MS: Millis = Millis(2_800);
+const MAX_DATA_AGE_MS: Millis = Millis(2_800);
 /// How often a node looks whether it needs to follow another.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Follows other nodes as long as this one runs.
-pub async fn follow(state: Rc<State>) {
+pub async fn run(state: Rc<State>) {
     loop {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
         let is_reader = state.is_reader();
         if is_reader && !state.directory.borrow().is_store_lost() {
             continue;
         }
-        let Some((name, address)) = pick(&state, is_reader) else {
+        let Some((name, address)) = pick_peer(&state, is_reader) else {
             continue;
         };
-        let result = follow_one(&state, address).await;
-        state.set_link(Link::default());
+        let result = follow_peer(&state, address).await;
+        state.set_followed_peer(PeerStatus::default());
         info!(state.log, "node no longer followed";
             "peer" => %address, "reason" => result.as_ref().err().map(ToString::to_string));
         if let (Err(_), Some(name)) = (result, name) {
             let now = state.clock.now();
-            state.nodes.borrow_mut().silent(now, &name);
+            state.nodes.borrow_mut().mark_unresponsive(now, &name);
         }
     }
 }
 
-async fn follow_one(state: &State, address: SocketAddr) -> Result<(), Error> {
+async fn follow_peer(state: &State, address: SocketAddr) -> Result<(), Error> {
     let mut link = PeerLink::dial(state, address, false).await?;
     info!(state.log, "following a node";
         "peer" => %address, "is_reader" => state.is_reader(),
-        "age_ms" => state.age_ms(Table::Targets).0);
+        "age_ms" => state.data_age_ms(Table::Targets).0);
     state.metrics.count("peer.followed");
-    let mut work = LoadByTarget::new();
-    let mut due = interval(TELL);
-    let mut heard = Instant::now();
+    let mut load = LoadByTarget::new();
+    let mut publish_timer = interval(PUBLISH_INTERVAL);
+    let mut last_received = Instant::now();
     loop {
         tokio::select! {
-            _ = due.tick() => {
-                let own = state.fleet.borrow().own_load(state.clock.now());
-                link.tell(state, own).await?;
+            _ = publish_timer.tick() => {
+                let own = state.selector.borrow().own_load(state.clock.now());
+                link.publish(state, own).await?;
             }
-            () = sleep_until(heard + SILENCE) => return Err(Error::Timeout),
+            () = sleep_until(last_received + SILENCE_TIMEOUT) => return Err(Error::Timeout),
             message = link.receive() => {
-                heard = Instant::now();
+                last_received = Instant::now();
                 match message? {
                     Message::Work(changes) => {
-                        load_table::apply_changes(&mut work, &changes);
-                        set_others(state, &work, link.told_work());
+                        load_table::apply_changes(&mut load, &changes);
+                        update_other_load(state, &load, link.published_load());
                     }
-                    message => take(state, message)?,
+                    message => apply_message(state, message)?,
                 }
             }
         }
@@ -106,7 +106,7 @@
 }
 
 /// Takes what a followed node says.
-fn take(state: &State, message: Message) -> Result<(), Error> {
+fn apply_message(state: &State, message: Message) -> Result<(), Error> {
     let now = state.clock.now();
     let as_of = |age_ms: Millis| Millis(now.0.saturating_sub(age_ms.0));
     match message {
@@ -116,7 +116,7 @@
             targets_ms,
             is_store_lost,
         } => {
-            let is_old = operator_ms.max(targets_ms) > MAX_AGE_MS;
+            let is_old = operator_ms.max(targets_ms) > MAX_DATA_AGE_MS;
             if is_old && state.is_reader() {
                 return Err(Error::TooOld);
             }
@@ -124,16 +124,16 @@
             directory.record_current(Table::Operator, as_of(operator_ms));
             directory.record_current(Table::Targets, as_of(targets_ms));
             drop(directory);
-            state.set_link(Link {
+            state.set_followed_peer(PeerStatus {
                 is_up: true,
                 is_store_lost: is_store_lost || is_old,
             });
         }
         Message::Nodes(list) => {
             // Who reads the store drops old entries.
-            state.take_nodes(list);
+            state.update_nodes(list);
         }
-        Message::Suspects(suspects) => take_suspects(state, &suspects),
+        Message::Suspects(suspects) => merge_suspects(state, &suspects),
         message => debug!(state.log, "unexpected message"; "message" => ?message),
     }
     Ok(())
@@ -141,7 +141,7 @@
 
 /// Picks a node to follow: a reader of this data centre, or any if this node is
 /// itself a reader that cannot read. Before any is known, a seed.
-fn pick(state: &State, is_reader: bool) -> Option<(Option<Name>, SocketAddr)> {
+fn pick_peer(state: &State, is_reader: bool) -> Option<(Option<Name>, SocketAddr)> {
     let settings = &state.settings;
     let now = state.clock.now();
     let nodes = state.nodes.borrow();
--- a/filbertpaddle-gateway/src/peer_link.rs
+++ b/filbertpaddle-gateway/src/peer_link.rs
@@ -21,16 +21,16 @@
 use tokio_tungstenite::WebSocketStream;
 use tokio_tungstenite::tungstenite::Message as Frame;
 
-use crate::links::set_options;
+use crate::connection_pool::set_socket_options;
 use crate::platform_api::NodeList;
 use crate::state::State;
 
 /// How long a node may take to open a link or to take a message.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long the other end of a link may stay silent.
-pub const SILENCE: Duration = Duration::from_millis(800);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(800);
 /// How often changed work and suspects are told.
-pub const TELL: Duration = Duration::from_millis(50);
+pub const PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What nodes say to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -98,8 +98,8 @@
 /// A link to another node.
 pub struct PeerLink {
     socket: WebSocketStream<TcpStream>,
-    told_work: LoadByTarget,
-    told_suspects_ms: Millis,
+    published_load: LoadByTarget,
+    suspects_published_ms: Millis,
 }
 
 impl fmt::Debug for PeerLink {
@@ -119,7 +119,7 @@
         let stream = connected
             .map_err(|_| Error::Timeout)?
             .map_err(Error::Connect)?;
-        set_options(&stream).map_err(Error::Connect)?;
+        set_socket_options(&stream).map_err(Error::Connect)?;
         let url = format!("ws://{address}/");
         let opened = timeout(OPEN_TIMEOUT, tokio_tungstenite::client_async(url, stream));
         let (socket, _) = opened.await.map_err(|_| Error::Timeout)??;
@@ -135,11 +135,11 @@
     ///
     /// Returns an error if it does not say who it is.
     pub async fn accept(stream: TcpStream) -> Result<(Self, Name, bool), Error> {
-        set_options(&stream).map_err(Error::Connect)?;
+        set_socket_options(&stream).map_err(Error::Connect)?;
         let accepted = timeout(OPEN_TIMEOUT, tokio_tungstenite::accept_async(stream));
         let mut link = Self::new(accepted.await.map_err(|_| Error::Timeout)??);
-        let greeting = timeout(OPEN_TIMEOUT, link.receive()).await;
-        match greeting.map_err(|_| Error::Timeout)?? {
+        let hello = timeout(OPEN_TIMEOUT, link.receive()).await;
+        match hello.map_err(|_| Error::Timeout)?? {
             Message::Hello { node, is_reader } => Ok((link, node, is_reader)),
             _ => Err(Error::Unreadable("no greeting".to_owned())),
         }
@@ -155,7 +155,9 @@
         ciborium::into_writer(message, &mut bytes)
             .map_err(|error| Error::Unreadable(error.to_string()))?;
         let sent = self.socket.send(Frame::Binary(Bytes::from(bytes)));
-        timeout(SILENCE, sent).await.map_err(|_| Error::Timeout)??;
+        timeout(SILENCE_TIMEOUT, sent)
+            .await
+            .map_err(|_| Error::Timeout)??;
         Ok(())
     }
 
@@ -178,8 +180,8 @@
     }
 
     /// Work as the other end was last told.
-    pub fn told_work(&self) -> &LoadByTarget {
-        &self.told_work
+    pub fn published_load(&self) -> &LoadByTarget {
+        &self.published_load
     }
 
     /// Tells what changed of some work and of the suspects since it was last told.
@@ -187,16 +189,16 @@
     /// # Errors
     ///
     /// Returns an error if the link has ended.
-    pub async fn tell(&mut self, state: &State, work: LoadByTarget) -> Result<(), Error> {
-        let changed = load_table::changes_since(&self.told_work, &work);
+    pub async fn publish(&mut self, state: &State, load: LoadByTarget) -> Result<(), Error> {
+        let changed = load_table::changes_since(&self.published_load, &load);
         if !changed.is_empty() {
             self.send(&Message::Work(changed)).await?;
-            self.told_work = work;
+            self.published_load = load;
         }
         let now = state.clock.now();
         let suspects: Vec<_> = {
             let suspects = state.suspects.borrow();
-            let changes = suspects.changes(self.told_suspects_ms);
+            let changes = suspects.changes(self.suspects_published_ms);
             changes
                 .map(|(digest, record)| (digest, record.clone()))
                 .collect()
@@ -205,21 +207,21 @@
             self.send(&Message::Suspects(suspects)).await?;
         }
         // What changes within this millisecond is told once more.
-        self.told_suspects_ms = now;
+        self.suspects_published_ms = now;
         Ok(())
     }
 
     fn new(socket: WebSocketStream<TcpStream>) -> Self {
         Self {
             socket,
-            told_work: LoadByTarget::new(),
-            told_suspects_ms: Millis::ZERO,
+            published_load: LoadByTarget::new(),
+            suspects_published_ms: Millis::ZERO,
         }
     }
 }
 
 /// Joins what another node knows of suspects.
-pub fn take_suspects(state: &State, suspects: &[(u64, Record)]) {
+pub fn merge_suspects(state: &State, suspects: &[(u64, Record)]) {
     let now = state.clock.now();
     let mut known = state.suspects.borrow_mut();
     for (digest, record) in suspects {
--- a/filbertpaddle-gateway/src/tell.rs
+++ b/filbertpaddle-gateway/src/peer_publisher.rs
@@ -13,21 +13,21 @@
 
 use crate::peer_link::Error;
 use crate::peer_link::Message;
+use crate::peer_link::PUBLISH_INTERVAL;
 use crate::peer_link::PeerLink;
-use crate::peer_link::TELL;
-use crate::peer_link::take_suspects;
+use crate::peer_link::merge_suspects;
 use crate::state::State;
 
 /// How often a followed node says how old its knowledge is.
-const HEARTBEAT: Duration = Duration::from_millis(300);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
 /// What one follower has been told.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
+struct Published {
     /// Number of the last change of a table.
     sequence: u64,
     /// Number of the last reading of the list of nodes.
-    readings: u64,
+    reads: u64,
 }
 
 /// Lets other nodes follow this one, as long as it runs.
@@ -37,7 +37,7 @@
             Ok((stream, from)) => {
                 let state = Rc::clone(&state);
                 tokio::task::spawn_local(async move {
-                    if let Err(error) = tell(&state, stream).await {
+                    if let Err(error) = serve_peer(&state, stream).await {
                         debug!(state.log, "follower lost"; "from" => %from, "error" => %error);
                     }
                 });
@@ -47,51 +47,51 @@
     }
 }
 
-async fn tell(state: &State, stream: TcpStream) -> Result<(), Error> {
+async fn serve_peer(state: &State, stream: TcpStream) -> Result<(), Error> {
     let (mut link, node, is_reader) = PeerLink::accept(stream).await?;
     if is_reader {
-        return tell_reader(state, &mut link).await;
+        return publish_to_reader(state, &mut link).await;
     }
-    let result = tell_follower(state, &mut link, &node).await;
-    state.board.borrow_mut().remove_member(&node);
+    let result = publish_to_follower(state, &mut link, &node).await;
+    state.load_table.borrow_mut().remove_member(&node);
     result
 }
 
 /// Tells another reader what this node's group has at targets.
-async fn tell_reader(state: &State, link: &mut PeerLink) -> Result<(), Error> {
-    let mut due = interval(TELL);
-    let mut heartbeat = interval(HEARTBEAT);
+async fn publish_to_reader(state: &State, link: &mut PeerLink) -> Result<(), Error> {
+    let mut publish_timer = interval(PUBLISH_INTERVAL);
+    let mut heartbeat = interval(HEARTBEAT_INTERVAL);
     loop {
         tokio::select! {
-            _ = due.tick() => {
-                let sum = state.board.borrow().group_total();
-                link.tell(state, sum).await?;
+            _ = publish_timer.tick() => {
+                let group_load = state.load_table.borrow().group_total();
+                link.publish(state, group_load).await?;
             }
-            _ = heartbeat.tick() => link.send(&ages(state)).await?,
+            _ = heartbeat.tick() => link.send(&ages_message(state)).await?,
             message = link.receive() => drop(message?),
         }
     }
 }
 
 /// Tells a follower what the store says and what all nodes have at targets.
-async fn tell_follower(state: &State, link: &mut PeerLink, node: &Name) -> Result<(), Error> {
+async fn publish_to_follower(state: &State, link: &mut PeerLink, node: &Name) -> Result<(), Error> {
     let mut changes = state.subscribe();
-    let mut told = Told::default();
-    let mut due = interval(TELL);
-    let mut heartbeat = interval(HEARTBEAT);
+    let mut published = Published::default();
+    let mut publish_timer = interval(PUBLISH_INTERVAL);
+    let mut heartbeat = interval(HEARTBEAT_INTERVAL);
     loop {
-        tell_tables(state, link, &mut told).await?;
-        tell_nodes(state, link, &mut told).await?;
+        send_tables(state, link, &mut published).await?;
+        send_nodes(state, link, &mut published).await?;
         tokio::select! {
             _ = changes.changed() => {}
-            _ = due.tick() => {
-                let total = state.board.borrow().total();
-                link.tell(state, total).await?;
+            _ = publish_timer.tick() => {
+                let total = state.load_table.borrow().total();
+                link.publish(state, total).await?;
             }
-            _ = heartbeat.tick() => link.send(&ages(state)).await?,
+            _ = heartbeat.tick() => link.send(&ages_message(state)).await?,
             message = link.receive() => match message? {
-                Message::Work(changes) => state.board.borrow_mut().update_member(node, &changes),
-                Message::Suspects(suspects) => take_suspects(state, &suspects),
+                Message::Work(changes) => state.load_table.borrow_mut().update_member(node, &changes),
+                Message::Suspects(suspects) => merge_suspects(state, &suspects),
                 message => debug!(state.log, "unexpected message"; "message" => ?message),
             }
         }
@@ -99,38 +99,46 @@
 }
 
 /// Sends what changed of both tables.
-async fn tell_tables(state: &State, link: &mut PeerLink, told: &mut Told) -> Result<(), Error> {
+async fn send_tables(
+    state: &State,
+    link: &mut PeerLink,
+    published: &mut Published,
+) -> Result<(), Error> {
     let (sequence, batches) = {
         let directory = state.directory.borrow();
         let tables = [Table::Operator, Table::Targets];
-        let batches = tables.map(|table| directory.changes_after(table, told.sequence));
+        let batches = tables.map(|table| directory.changes_after(table, published.sequence));
         (directory.sequence(), batches)
     };
     for batch in batches {
         if batch.revision > 0 && !batch.changes.is_empty() {
-            let age_ms = state.age_ms(batch.table);
+            let age_ms = state.data_age_ms(batch.table);
             link.send(&Message::Table { age_ms, batch }).await?;
         }
     }
-    told.sequence = sequence;
+    published.sequence = sequence;
     Ok(())
 }
 
 /// Sends the list of nodes if it was read again.
-async fn tell_nodes(state: &State, link: &mut PeerLink, told: &mut Told) -> Result<(), Error> {
-    let readings = state.nodes.borrow().readings();
-    if readings != told.readings {
+async fn send_nodes(
+    state: &State,
+    link: &mut PeerLink,
+    published: &mut Published,
+) -> Result<(), Error> {
+    let reads = state.nodes.borrow().reads();
+    if reads != published.reads {
         let list = state.nodes.borrow().list().clone();
         link.send(&Message::Nodes(list)).await?;
-        told.readings = readings;
+        published.reads = reads;
     }
     Ok(())
 }
 
-fn ages(state: &State) -> Message {
+fn ages_message(state: &State) -> Message {
     Message::Ages {
-        operator_ms: state.age_ms(Table::Operator),
-        targets_ms: state.age_ms(Table::Targets),
+        operator_ms: state.data_age_ms(Table::Operator),
+        targets_ms: state.data_age_ms(Table::Targets),
         is_store_lost: state.is_store_lost(),
     }
 }
--- a/filbertpaddle-gateway/src/reply.rs
+++ b/filbertpaddle-gateway/src/reply.rs
@@ -18,14 +18,14 @@
 /// The answer ended before it was whole; the connection is closed on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("answer cut short")]
-pub struct Cut;
+pub struct Truncated;
 
 /// Body of an answer.
-pub type Body = UnsyncBoxBody<Bytes, Cut>;
+pub type Body = UnsyncBoxBody<Bytes, Truncated>;
 /// Answer to a caller.
 pub type Reply = Response<Body>;
 /// Next part of a streamed body.
-pub type Part = Result<Bytes, Cut>;
+pub type Part = Result<Bytes, Truncated>;
 
 /// Why a request is refused or failed by the node itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
@@ -82,7 +82,7 @@
 
 /// Makes the answer to a refused request, with when to come back.
 pub fn refuse(refusal: Refusal, retry_after_ms: Option<Millis>) -> Reply {
-    let mut reply = Response::new(whole(Bytes::from(format!("{refusal}\n"))));
+    let mut reply = Response::new(full_body(Bytes::from(format!("{refusal}\n"))));
     *reply.status_mut() = refusal.status();
     if let Some(span) = retry_after_ms {
         let seconds = format!("{}.{:03}", span.0 / 1_000, span.0 % 1_000);
@@ -94,15 +94,15 @@
 }
 
 /// Makes an answer of a target's status, headers and whole body.
-pub fn pass_on(head: http::response::Parts, bytes: Bytes) -> Reply {
-    let mut reply = Response::from_parts(head, whole(bytes));
+pub fn forward(head: http::response::Parts, bytes: Bytes) -> Reply {
+    let mut reply = Response::from_parts(head, full_body(bytes));
     strip_connection(reply.headers_mut());
     reply.headers_mut().remove(header::CONTENT_LENGTH);
     reply
 }
 
 /// Makes a streamed answer of a target's status and headers.
-pub fn stream(head: http::response::Parts, parts: mpsc::Receiver<Part>) -> Reply {
+pub fn forward_stream(head: http::response::Parts, parts: mpsc::Receiver<Part>) -> Reply {
     let frames = ReceiverStream::new(parts).map(|part| part.map(Frame::data));
     let mut reply = Response::from_parts(head, StreamBody::new(frames).boxed_unsync());
     strip_connection(reply.headers_mut());
@@ -111,7 +111,7 @@
 }
 
 /// Keeps `held` until the answer has been read or its caller has gone.
-pub fn hold<T>(reply: Reply, held: T) -> Reply
+pub fn hold_until_read<T>(reply: Reply, held: T) -> Reply
 where
     T: Send + 'static,
 {
@@ -125,7 +125,7 @@
 }
 
 /// Makes a whole body.
-pub fn whole(bytes: Bytes) -> Body {
+pub fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
--- a/filbertpaddle-gateway/src/request.rs
+++ b/filbertpaddle-gateway/src/request.rs
@@ -26,17 +26,17 @@
 use tokio::time::timeout;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
+use crate::buffered;
 use crate::clock::duration;
 use crate::generation;
-use crate::generation::Stop;
+use crate::generation::StopReason;
 use crate::job::Job;
 use crate::job::Progress;
-use crate::output::Output;
 use crate::reply;
 use crate::reply::Refusal;
 use crate::reply::Reply;
+use crate::response_writer::ResponseWriter;
 use crate::state::State;
-use crate::whole;
 
 /// How long a body may take if its caller names no deadline.
 const BODY_TIMEOUT_MS: Millis = Millis::from_secs(10);
@@ -54,10 +54,10 @@
 /// Never fails: every failure is an answer.
 pub async fn serve(state: Rc<State>, request: Request<Incoming>) -> Result<Reply, Infallible> {
     let received_ms = state.clock.now();
-    let counted = Counted::new(Rc::clone(&state));
+    let guard = InFlightGuard::new(Rc::clone(&state));
     let admitted = admit(&state, received_ms, request).await;
     let mut reply = match admitted {
-        Ok(job) => run(job, counted).await,
+        Ok(job) => run(job, guard).await,
         Err(denied) => denied,
     };
     if state.drain.get().is_some() {
@@ -68,16 +68,16 @@
 }
 
 /// Counts a request as in flight until its answer has been read.
-struct Counted(Rc<State>);
+struct InFlightGuard(Rc<State>);
 
-impl Counted {
+impl InFlightGuard {
     fn new(state: Rc<State>) -> Self {
         add(&state.in_flight, 1);
         Self(state)
     }
 }
 
-impl Drop for Counted {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         add(&self.0.in_flight, -1);
     }
@@ -94,10 +94,10 @@
     request: Request<Incoming>,
 ) -> Result<Job, Reply> {
     let (head, body) = request.into_parts();
-    let envelope = (state.platform.headers.decode_request)(&head.headers)
+    let metadata = (state.platform.headers.decode_request)(&head.headers)
         .map_err(|error| deny(state, "", Refusal::BadRequest, &error.to_string()))?;
-    let id = envelope.attempt.clone();
-    let body = read_body(state, &envelope, body)
+    let id = metadata.attempt.clone();
+    let body = read_body(state, &metadata, body)
         .await
         .map_err(|refusal| deny(state, &id, refusal, ""))?;
     let configuration = state.directory.borrow().configuration().cloned();
@@ -107,14 +107,14 @@
         .route(host(&head), head.uri.path())
         .ok_or_else(|| deny(state, &id, Refusal::UnknownRoute, head.uri.path()))?;
     let customer = configuration
-        .customer(route, envelope.key.as_deref())
+        .customer(route, metadata.key.as_deref())
         .map_err(|_| deny(state, &id, Refusal::UnknownKey, &route.name))?;
-    if !takes(state, route, &envelope) {
+    if !can_finish(state, route, &metadata) {
         return Err(deny(state, &id, Refusal::Stopping, &route.name));
     }
     let received = Received {
         at_ms: received_ms,
-        envelope,
+        metadata,
         head,
         body,
     };
@@ -122,7 +122,7 @@
     if state.suspects.borrow().standing(job.digest) == Standing::Condemned {
         return Err(deny(state, &id, Refusal::Quarantined, &route.name));
     }
-    state.budget(&job.ask.service, |budget| {
+    state.with_budget(&job.demand.service, |budget| {
         budget.record_request(received_ms)
     });
     log_admitted(&job, configuration.version);
@@ -132,7 +132,7 @@
 /// A whole request as its caller sent it.
 struct Received {
     at_ms: Millis,
-    envelope: RequestMetadata,
+    metadata: RequestMetadata,
     head: Parts,
     body: Bytes,
 }
@@ -146,26 +146,26 @@
         route: &Route,
         customer: Option<&Customer>,
     ) -> Job {
-        let ask = ask(route, &self.envelope);
-        let service = configuration.services.get(&ask.service);
+        let demand = demand(route, &self.metadata);
+        let service = configuration.services.get(&demand.service);
         let engine = service.and_then(|service| service.engine.as_ref());
         let own_priority = customer.and_then(|customer| customer.priority);
         let customer = customer.map(|customer| customer.name.clone());
-        let deadline_ms = self.envelope.deadline_ms.unwrap_or(route.timeout_ms);
+        let deadline_ms = self.metadata.deadline_ms.unwrap_or(route.timeout_ms);
         Job {
             state: Rc::clone(state),
             route: route.clone(),
             priority: own_priority.unwrap_or(route.priority),
             digest: digest(self.head.uri.path(), customer.as_deref(), &self.body),
             customer,
-            envelope: self.envelope,
+            metadata: self.metadata,
             method: self.head.method,
             uri: self.head.uri,
-            headers: forwarded(state, self.head.headers),
+            headers: forwarded_headers(state, self.head.headers),
             body: self.body,
             received_ms: self.at_ms,
-            limit_ms: self.at_ms + deadline_ms.min(route.timeout_ms),
-            ask,
+            deadline_at_ms: self.at_ms + deadline_ms.min(route.timeout_ms),
+            demand,
             event_tokens: engine.map_or(1, |engine| engine.event_tokens),
             can_migrate: engine.is_some_and(|engine| engine.can_migrate),
         }
@@ -173,7 +173,7 @@
 }
 
 /// The caller's headers that go on to a target.
-fn forwarded(state: &State, mut headers: HeaderMap) -> HeaderMap {
+fn forwarded_headers(state: &State, mut headers: HeaderMap) -> HeaderMap {
     reply::strip_connection(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
@@ -183,23 +183,23 @@
 
 fn log_admitted(job: &Job, version: u64) {
     info!(job.state.log, "request admitted";
-        "id" => job.envelope.attempt.as_str(), "route" => job.route.name.as_str(),
+        "id" => job.metadata.attempt.as_str(), "route" => job.route.name.as_str(),
         "kind" => %job.route.kind, "customer" => job.customer.as_deref(),
-        "service" => job.ask.service.as_str(), "priority" => job.priority,
-        "tokens" => job.ask.total_tokens,
-        "deadline_ms" => job.envelope.deadline_ms.map(|span| span.0),
+        "service" => job.demand.service.as_str(), "priority" => job.priority,
+        "tokens" => job.demand.total_tokens,
+        "deadline_ms" => job.metadata.deadline_ms.map(|span| span.0),
         "configuration" => version, "in_flight" => job.state.in_flight.get());
 }
 
 /// Whether a stopping node can still end a request.
-fn takes(state: &State, route: &Route, envelope: &RequestMetadata) -> bool {
+fn can_finish(state: &State, route: &Route, metadata: &RequestMetadata) -> bool {
     if state.is_closing.get() {
         return false;
     }
     let Some(drain) = state.drain.get() else {
         return true;
     };
-    let span = envelope.generation.as_ref().map_or(
+    let span = metadata.generation.as_ref().map_or(
         drain::DurationEstimate {
             expected_ms: route.timeout_ms,
             max_ms: route.timeout_ms,
@@ -211,7 +211,7 @@
 
 async fn read_body(
     state: &State,
-    envelope: &RequestMetadata,
+    metadata: &RequestMetadata,
     body: Incoming,
 ) -> Result<Bytes, Refusal> {
     let limits = state.directory.borrow().configuration().cloned();
@@ -221,8 +221,12 @@
             configuration.limits.clone()
         })
         .max_body_bytes;
-    let patience = envelope.deadline_ms.unwrap_or(BODY_TIMEOUT_MS);
-    let collected = timeout(duration(patience), Limited::new(body, max_bytes).collect()).await;
+    let timeout_ms = metadata.deadline_ms.unwrap_or(BODY_TIMEOUT_MS);
+    let collected = timeout(
+        duration(timeout_ms),
+        Limited::new(body, max_bytes).collect(),
+    )
+    .await;
     match collected {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => Err(Refusal::TooLarge),
@@ -252,32 +256,32 @@
 
 /// Runs an admitted request in a task of its own, so that it ends in order
 /// whatever becomes of the caller's connection.
-async fn run(job: Job, counted: Counted) -> Reply {
+async fn run(job: Job, guard: InFlightGuard) -> Reply {
     let (head, reply) = oneshot::channel();
-    let (present, gone) = oneshot::channel();
+    let (caller_present, gone) = oneshot::channel();
     tokio::task::spawn_local(async move {
-        let output = Output::new(head);
+        let writer = ResponseWriter::new(head);
         if job.route.kind.is_stream() {
-            run_generation(&job, output, gone).await;
+            run_generation(&job, writer, gone).await;
         } else {
-            run_whole(&job, output, gone).await;
+            run_buffered(&job, writer, gone).await;
         }
-        drop(counted);
+        drop(guard);
     });
     match reply.await {
-        Ok(reply) => reply::hold(reply, present),
+        Ok(reply) => reply::hold_until_read(reply, caller_present),
         Err(_) => reply::refuse(Refusal::TargetFailed, None),
     }
 }
 
-async fn run_whole(job: &Job, mut output: Output, gone: oneshot::Receiver<()>) {
+async fn run_buffered(job: &Job, mut writer: ResponseWriter, gone: oneshot::Receiver<()>) {
     let mut progress = Progress::default();
-    let limit = job.state.clock.instant(job.limit_ms);
+    let deadline = job.state.clock.instant(job.deadline_at_ms);
     let result = tokio::select! {
         biased;
         _ = gone => None,
-        () = tokio::time::sleep_until(limit) => Some(Err(Refusal::TimedOut)),
-        result = whole::serve(job, &mut progress) => Some(result),
+        () = tokio::time::sleep_until(deadline) => Some(Err(Refusal::TimedOut)),
+        result = buffered::serve(job, &mut progress) => Some(result),
     };
     let Some(result) = result else {
         log_end(job, &progress, "caller_gone", 0);
@@ -285,41 +289,41 @@
     };
     let (outcome, reply) = match result {
         Ok(reply) => {
-            answered(job);
+            clear_suspect(job);
             ("answered".to_owned(), reply)
         }
         Err(Refusal::TimedOut) => {
             let refusal = job.refusal(&progress);
-            (refusal.to_string(), job.refuse(refusal))
+            (refusal.to_string(), job.refusal_reply(refusal))
         }
-        Err(refusal) => (refusal.to_string(), job.refuse(refusal)),
+        Err(refusal) => (refusal.to_string(), job.refusal_reply(refusal)),
     };
     log_end(job, &progress, &outcome, reply.status().as_u16());
-    output.reply(reply).ok();
+    writer.send_reply(reply).ok();
 }
 
-async fn run_generation(job: &Job, mut output: Output, gone: oneshot::Receiver<()>) {
+async fn run_generation(job: &Job, mut writer: ResponseWriter, gone: oneshot::Receiver<()>) {
     let mut progress = Progress::default();
-    let result = generation::serve(job, &mut progress, &mut output, gone).await;
-    let is_started = output.is_started();
+    let result = generation::serve(job, &mut progress, &mut writer, gone).await;
+    let is_started = writer.is_started();
     match result {
         Ok(()) => {
             log_end(job, &progress, "complete", 200);
-            answered(job);
-            output.close();
+            clear_suspect(job);
+            writer.finish();
         }
-        Err(Stop::CallerGone) => log_end(job, &progress, "caller_gone", 0),
+        Err(StopReason::CallerGone) => log_end(job, &progress, "caller_gone", 0),
         Err(stop) if is_started => {
-            log_end(job, &progress, stop_name(&stop), 200);
-            output.cut();
+            log_end(job, &progress, stop_reason_name(&stop), 200);
+            writer.abort();
         }
-        Err(Stop::Failed(reply)) => {
+        Err(StopReason::Failed(reply)) => {
             log_end(job, &progress, "failed", reply.status().as_u16());
-            output.reply(*reply).ok();
+            writer.send_reply(*reply).ok();
         }
         Err(stop) => {
             let refusal = match stop {
-                Stop::Refused(refusal) => refusal,
+                StopReason::Refused(refusal) => refusal,
                 _ => job.refusal(&progress),
             };
             log_end(
@@ -328,23 +332,23 @@
                 &refusal.to_string(),
                 refusal.status().as_u16(),
             );
-            output.reply(job.refuse(refusal)).ok();
+            writer.send_reply(job.refusal_reply(refusal)).ok();
         }
     }
 }
 
 /// Clears a request that was answered whole of the crashes that it was part of.
-fn answered(job: &Job) {
+fn clear_suspect(job: &Job) {
     let mut suspects = job.state.suspects.borrow_mut();
     suspects.answered(job.state.clock.now(), job.digest);
 }
 
-fn stop_name(stop: &Stop) -> &'static str {
+fn stop_reason_name(stop: &StopReason) -> &'static str {
     match stop {
-        Stop::Failed(_) => "failed",
-        Stop::Refused(_) | Stop::Broken => "broken",
-        Stop::TimedOut => "timed_out",
-        Stop::CallerGone => "caller_gone",
+        StopReason::Failed(_) => "failed",
+        StopReason::Refused(_) | StopReason::Broken => "broken",
+        StopReason::TimedOut => "timed_out",
+        StopReason::CallerGone => "caller_gone",
     }
 }
 
@@ -352,19 +356,19 @@
     let state = &job.state;
     let elapsed_ms = state.clock.now().since(job.received_ms);
     info!(state.log, "request ended";
-        "id" => job.envelope.attempt.as_str(), "route" => job.route.name.as_str(),
+        "id" => job.metadata.attempt.as_str(), "route" => job.route.name.as_str(),
         "outcome" => outcome, "status" => status, "sends" => progress.sends,
         "connects" => progress.connects,
-        "may_have_run" => progress.may_have_run || progress.is_out, "elapsed_ms" => elapsed_ms.0);
+        "may_have_run" => progress.may_have_run || progress.is_in_flight, "elapsed_ms" => elapsed_ms.0);
     state.metrics.count(&format!("request.{outcome}"));
     state
         .metrics
         .time(&format!("request.{}", job.route.kind), elapsed_ms);
 }
 
-fn ask(route: &Route, envelope: &RequestMetadata) -> RequestDemand {
+fn demand(route: &Route, metadata: &RequestMetadata) -> RequestDemand {
     let service = route.pick_service(rand::random());
-    let generation = envelope.generation.as_ref();
+    let generation = metadata.generation.as_ref();
     RequestDemand {
         service: service.cloned().unwrap_or_default(),
         prompt_tokens: generation.map_or(0, |generation| generation.prompt_tokens),
--- a/filbertpaddle-gateway/src/output.rs
+++ b/filbertpaddle-gateway/src/response_writer.rs
@@ -5,16 +5,16 @@
 use tokio::sync::oneshot;
 
 use crate::reply;
-use crate::reply::Cut;
 use crate::reply::Part;
 use crate::reply::Reply;
+use crate::reply::Truncated;
 
 /// Events that may wait for a caller who reads slowly.
 const QUEUE_EVENTS: usize = 64;
 
 /// The caller's side of a request.
 #[derive(Debug)]
-pub struct Output {
+pub struct ResponseWriter {
     head: Option<oneshot::Sender<Reply>>,
     parts: Option<mpsc::Sender<Part>>,
 }
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerGone;
 
-impl Output {
+impl ResponseWriter {
     /// Answers to `head`.
     pub fn new(head: oneshot::Sender<Reply>) -> Self {
         Self {
@@ -42,10 +42,10 @@
     /// # Errors
     ///
     /// Returns [`CallerGone`] if nobody waits any more.
-    pub fn start(&mut self, head: Parts) -> Result<(), CallerGone> {
+    pub fn start_stream(&mut self, head: Parts) -> Result<(), CallerGone> {
         let (parts, receiver) = mpsc::channel(QUEUE_EVENTS);
         self.parts = Some(parts);
-        self.reply(reply::stream(head, receiver))
+        self.send_reply(reply::forward_stream(head, receiver))
     }
 
     /// Answers whole.
@@ -53,7 +53,7 @@
     /// # Errors
     ///
     /// Returns [`CallerGone`] if nobody waits any more.
-    pub fn reply(&mut self, reply: Reply) -> Result<(), CallerGone> {
+    pub fn send_reply(&mut self, reply: Reply) -> Result<(), CallerGone> {
         let head = self.head.take().ok_or(CallerGone)?;
         head.send(reply).map_err(|_| CallerGone)
     }
@@ -63,20 +63,20 @@
     /// # Errors
     ///
     /// Returns [`CallerGone`] if nobody reads any more.
-    pub async fn part(&self, part: Part) -> Result<(), CallerGone> {
+    pub async fn send_part(&self, part: Part) -> Result<(), CallerGone> {
         let parts = self.parts.as_ref().ok_or(CallerGone)?;
         parts.send(part).await.map_err(|_| CallerGone)
     }
 
     /// Ends a streamed answer so that it does not look whole.
-    pub fn cut(self) {
+    pub fn abort(self) {
         let Some(parts) = self.parts else { return };
         // The caller may still have events to read before the end.
-        tokio::task::spawn_local(async move { parts.send(Err(Cut)).await.ok() });
+        tokio::task::spawn_local(async move { parts.send(Err(Truncated)).await.ok() });
     }
 
     /// Ends a streamed answer as whole.
-    pub fn close(self) {
+    pub fn finish(self) {
         drop(self.parts);
     }
 }
--- a/filbertpaddle-gateway/src/state.rs
+++ b/filbertpaddle-gateway/src/state.rs
@@ -22,7 +22,7 @@
 use tokio::sync::watch;
 
 use crate::clock::Clock;
-use crate::links::Links;
+use crate::connection_pool::ConnectionPool;
 use crate::metrics::Metrics;
 use crate::nodes::Nodes;
 use crate::platform_api::NodeList;
@@ -31,13 +31,13 @@
 use crate::settings::Settings;
 
 /// Age from which knowledge is doubted while calls to the store fail.
-const DOUBT_MS: Millis = Millis(400);
+const STORE_LOST_AGE_MS: Millis = Millis(400);
 /// How long a node without a link waits for another before it reads the store.
-const RELINK_MS: Millis = Millis(500);
+const RELINK_WAIT_MS: Millis = Millis(500);
 
 /// What a link to another node says of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Link {
+pub struct PeerStatus {
     /// Whether a node is being followed that answers.
     pub is_up: bool,
     /// Whether that node's last call to the store failed, or its knowledge is old.
@@ -60,19 +60,19 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Connections to targets and the store.
-    pub links: Rc<Links>,
+    pub connections: Rc<ConnectionPool>,
     /// Configuration, targets, data centres.
     pub directory: RefCell<Directory>,
     /// Load and health of targets.
-    pub fleet: RefCell<TargetSelector>,
+    pub selector: RefCell<TargetSelector>,
     /// Other nodes.
     pub nodes: RefCell<Nodes>,
     /// The link to a node that reads the store for this one.
-    pub link: Cell<Link>,
+    pub followed_peer: Cell<PeerStatus>,
     /// What other nodes have given targets.
-    pub board: RefCell<LoadTable>,
+    pub load_table: RefCell<LoadTable>,
     /// When the last link was lost, or the node could first have had one.
-    pub link_lost_ms: Cell<Millis>,
+    pub peer_lost_ms: Cell<Millis>,
     budgets: RefCell<IndexMap<Name, RetryBudget>>,
     /// Requests that were running when their target crashed.
     pub suspects: RefCell<Suspects>,
@@ -93,7 +93,7 @@
     /// Starts with nothing known.
     pub fn new(settings: Settings, platform: PlatformApi, log: Logger) -> Rc<Self> {
         let clock = Clock::new();
-        let fleet = TargetSelector::new(settings.node.clone(), settings.data_centre.clone());
+        let selector = TargetSelector::new(settings.node.clone(), settings.data_centre.clone());
         Rc::new(Self {
             reloadable: RefCell::new(settings.reloadable.clone()),
             settings,
@@ -101,13 +101,13 @@
             clock,
             log,
             metrics: Metrics::new(),
-            links: Links::new(clock),
+            connections: ConnectionPool::new(clock),
             directory: RefCell::new(Directory::new()),
-            fleet: RefCell::new(fleet),
+            selector: RefCell::new(selector),
             nodes: RefCell::new(Nodes::new()),
-            link: Cell::default(),
-            link_lost_ms: Cell::default(),
-            board: RefCell::new(LoadTable::new()),
+            followed_peer: Cell::default(),
+            peer_lost_ms: Cell::default(),
+            load_table: RefCell::new(LoadTable::new()),
             budgets: RefCell::default(),
             suspects: RefCell::new(Suspects::new()),
             is_registered: Cell::new(false),
@@ -123,18 +123,18 @@
     pub fn apply(&self, source: &str, as_of_ms: Millis, batch: &Batch) {
         let now = self.clock.now();
         let effect = self.directory.borrow_mut().apply(now, as_of_ms, batch);
-        self.took(source, as_of_ms, &effect);
+        self.record_applied(source, as_of_ms, &effect);
     }
 
     /// Believes what time has shown.
-    pub fn tick(&self) {
+    pub fn apply_due_removals(&self) {
         let now = self.clock.now();
         let effect = self.directory.borrow_mut().apply_due_removals(now);
-        self.took("timer", now, &effect);
+        self.record_applied("timer", now, &effect);
     }
 
     /// Does something with the retry budget of a service.
-    pub fn budget<T, F>(&self, service: &Name, action: F) -> T
+    pub fn with_budget<T, F>(&self, service: &Name, action: F) -> T
     where
         F: FnOnce(&mut RetryBudget) -> T,
     {
@@ -143,11 +143,11 @@
     }
 
     /// Takes over the list of nodes; returns the entries to drop.
-    pub fn take_nodes(&self, list: NodeList) -> Vec<Name> {
+    pub fn update_nodes(&self, list: NodeList) -> Vec<Name> {
         let mut nodes = self.nodes.borrow_mut();
         let dropped = nodes.update(self.clock.now(), list);
         let names = nodes.live().iter().map(|node| node.name.clone()).collect();
-        self.fleet.borrow_mut().set_nodes(names);
+        self.selector.borrow_mut().set_nodes(names);
         dropped
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// Takes a target's own word that it leaves.
-    pub fn target_leaves(&self, target: &Target) {
+    pub fn mark_target_draining(&self, target: &Target) {
         let is_news = self.directory.borrow_mut().mark_draining(target);
         if is_news {
             info!(self.log, "target says that it leaves"; "target" => target.id.as_str());
@@ -171,7 +171,7 @@
     }
 
     /// Age of what is known of a table.
-    pub fn age_ms(&self, table: Table) -> Millis {
+    pub fn data_age_ms(&self, table: Table) -> Millis {
         let heard_ms = self.directory.borrow().current_at_ms(table);
         self.clock.now().since(heard_ms)
     }
@@ -181,12 +181,12 @@
         if self.is_reader() {
             return true;
         }
-        let link = self.link.get();
-        if link.is_up {
-            return link.is_store_lost;
+        let status = self.followed_peer.get();
+        if status.is_up {
+            return status.is_store_lost;
         }
         // Another reader is likely to be linked in a moment.
-        self.clock.now() >= self.link_lost_ms.get() + RELINK_MS
+        self.clock.now() >= self.peer_lost_ms.get() + RELINK_WAIT_MS
     }
 
     /// Whether this node is one of those that read the store for others.
@@ -206,21 +206,21 @@
     pub fn is_store_lost(&self) -> bool {
         if self.must_read() {
             let age_ms = self
-                .age_ms(Table::Operator)
-                .max(self.age_ms(Table::Targets));
-            self.directory.borrow().is_store_lost() && age_ms > DOUBT_MS
+                .data_age_ms(Table::Operator)
+                .max(self.data_age_ms(Table::Targets));
+            self.directory.borrow().is_store_lost() && age_ms > STORE_LOST_AGE_MS
         } else {
-            self.link.get().is_store_lost
+            self.followed_peer.get().is_store_lost
         }
     }
 
     /// Sets what the link says.
-    pub fn set_link(&self, link: Link) {
-        let was = self.link.replace(link);
-        if was.is_up && !link.is_up {
-            self.link_lost_ms.set(self.clock.now());
+    pub fn set_followed_peer(&self, status: PeerStatus) {
+        let previous = self.followed_peer.replace(status);
+        if previous.is_up && !status.is_up {
+            self.peer_lost_ms.set(self.clock.now());
         }
-        if was != link {
+        if previous != status {
             self.notify();
         }
     }
@@ -230,7 +230,7 @@
         self.drain.get().is_none() && self.directory.borrow().is_complete()
     }
 
-    fn took(&self, source: &str, as_of_ms: Millis, effect: &AppliedChanges) {
+    fn record_applied(&self, source: &str, as_of_ms: Millis, effect: &AppliedChanges) {
         if effect.is_empty() {
             return;
         }
@@ -247,7 +247,7 @@
         for id in &effect.targets {
             self.log_target(id, source, age_ms);
         }
-        self.fleet
+        self.selector
             .borrow_mut()
             .update_targets(&self.directory.borrow());
         self.notify();
--- a/filbertpaddle-gateway/src/follower.rs
+++ b/filbertpaddle-gateway/src/store_sync.rs
@@ -18,9 +18,9 @@
 use tokio::time::sleep;
 
 use crate::clock::duration;
-use crate::links;
+use crate::connection_pool;
 use crate::nodes::Node;
-use crate::nodes::RENEW_MS;
+use crate::nodes::RENEW_INTERVAL_MS;
 use crate::platform_api::Call;
 use crate::platform_api::DecodeError;
 use crate::platform_api::Page;
@@ -28,38 +28,38 @@
 
 /// How long the store holds a call back until something changes. Short, since a
 /// connection may go silent without a reset, and only the timeout shows it.
-const WAIT_MS: Millis = Millis(1_800);
+const LONG_POLL_MS: Millis = Millis(1_800);
 /// The same after a failed call, to learn soon that the store is back.
-const WAIT_AFTER_FAILURE_MS: Millis = Millis(300);
+const LONG_POLL_AFTER_FAILURE_MS: Millis = Millis(300);
 /// How long an answer may take beyond the time it is held back. A slow store
 /// takes about 60 times its usual 4 ms.
-const ANSWER_MS: Millis = Millis(600);
+const RESPONSE_TIMEOUT_MS: Millis = Millis(600);
 /// Pause after an answer, so that rows that change together come together.
-const GATHER: Duration = Duration::from_millis(200);
+const READER_BATCH_INTERVAL: Duration = Duration::from_millis(200);
 /// The same of a node that reads for itself alone.
-const GATHER_ALONE: Duration = Duration::from_millis(600);
+const SOLO_BATCH_INTERVAL: Duration = Duration::from_millis(600);
 /// Pause of a node whose reader cannot read either; drawn, so that not all
 /// nodes try at once.
-const PROBE_MS: std::ops::Range<u64> = 1_500..3_500;
+const PROBE_INTERVAL_MS: std::ops::Range<u64> = 1_500..3_500;
 /// How often a node looks whether it knows the others, at its start.
-const LOOK: Duration = Duration::from_millis(10);
+const REGISTRATION_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Pause after a failed call.
-const PAUSE_MS: Millis = Millis(150);
+const RETRY_DELAY_MS: Millis = Millis(150);
 /// Longest pause after failed calls.
-const MAX_PAUSE_MS: Millis = Millis(600);
+const MAX_RETRY_DELAY_MS: Millis = Millis(600);
 
 /// How long the nodes of a first start take to write their entries: they start
 /// within 0.3 s of each other.
-const FIRST_LOOK: Duration = Duration::from_millis(500);
+const FIRST_READ_DELAY: Duration = Duration::from_millis(500);
 /// How soon after its start a node looks for those that started with it.
-const SECOND_LOOK_MS: Millis = Millis::from_secs(2);
+const SECOND_READ_DELAY_MS: Millis = Millis::from_secs(2);
 
 /// Why a call to the store gave nothing.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// It got no answer.
     #[error(transparent)]
-    Link(#[from] links::Error),
+    Link(#[from] connection_pool::Error),
     /// It was refused.
     #[error("status {0}")]
     Status(StatusCode),
@@ -72,11 +72,11 @@
 }
 
 /// Follows one table as long as the node runs.
-pub async fn follow(state: Rc<State>, table: Table) {
+pub async fn watch_table(state: Rc<State>, table: Table) {
     let mut failures = 0;
     let mut changes = state.subscribe();
     while !state.is_registered.get() {
-        sleep(LOOK).await;
+        sleep(REGISTRATION_CHECK_INTERVAL).await;
     }
     loop {
         if !state.must_read() {
@@ -87,14 +87,14 @@
                 .record_store_regained(state.clock.now(), table);
             tokio::select! {
                 _ = changes.changed() => {}
-                () = sleep(duration(MAX_PAUSE_MS)) => {}
+                () = sleep(duration(MAX_RETRY_DELAY_MS)) => {}
             }
             continue;
         }
-        let mut result = step(&state, table, failures > 0).await;
+        let mut result = read_or_watch(&state, table, failures > 0).await;
         if matches!(result, Err(Error::HistoryGone)) {
             info!(state.log, "history gone, reading the whole table"; "table" => %table);
-            result = read(&state, table).await;
+            result = read_table(&state, table).await;
         }
         match result {
             Ok(()) => {
@@ -103,7 +103,12 @@
                 }
                 failures = 0;
                 let is_reader = state.is_reader();
-                sleep(if is_reader { GATHER } else { GATHER_ALONE }).await;
+                sleep(if is_reader {
+                    READER_BATCH_INTERVAL
+                } else {
+                    SOLO_BATCH_INTERVAL
+                })
+                .await;
             }
             Err(error) => {
                 failures += 1;
@@ -112,7 +117,7 @@
                     warn!(state.log, "store lost"; "table" => %table, "error" => %error);
                     state.metrics.count("store.lost");
                 }
-                sleep(duration(pause_ms(&state, failures))).await;
+                sleep(duration(retry_delay_ms(&state, failures))).await;
             }
         }
     }
@@ -120,33 +125,33 @@
 
 /// Pause after failed calls. Readers try for all; the others try seldom, in
 /// case the store turns away their readers alone.
-fn pause_ms(state: &State, failures: u64) -> Millis {
-    if !state.is_reader() && state.link.get().is_up {
-        return Millis(rand::random_range(PROBE_MS));
+fn retry_delay_ms(state: &State, failures: u64) -> Millis {
+    if !state.is_reader() && state.followed_peer.get().is_up {
+        return Millis(rand::random_range(PROBE_INTERVAL_MS));
     }
-    Millis(PAUSE_MS.0 * failures.min(4)).min(MAX_PAUSE_MS)
+    Millis(RETRY_DELAY_MS.0 * failures.min(4)).min(MAX_RETRY_DELAY_MS)
 }
 
 /// Renews this node's entry as long as it runs, and reads the list of nodes
 /// where no reader passes it on.
-pub async fn register(state: Rc<State>) {
+pub async fn maintain_registration(state: Rc<State>) {
     if let Err(error) = write_node(&state, &[]).await {
         warn!(state.log, "entry not written"; "error" => %error);
     }
     if state.settings.is_first_start {
-        sleep(FIRST_LOOK).await;
+        sleep(FIRST_READ_DELAY).await;
     }
-    let mut pause = duration(SECOND_LOOK_MS);
+    let mut delay = duration(SECOND_READ_DELAY_MS);
     loop {
-        let result = look(&state).await;
+        let result = refresh_registration(&state).await;
         if !state.is_registered.replace(true) {
-            state.link_lost_ms.set(state.clock.now());
+            state.peer_lost_ms.set(state.clock.now());
         }
         match result {
-            Ok(()) => sleep(std::mem::replace(&mut pause, duration(RENEW_MS))).await,
+            Ok(()) => sleep(std::mem::replace(&mut delay, duration(RENEW_INTERVAL_MS))).await,
             Err(error) => {
                 warn!(state.log, "node list not read"; "error" => %error);
-                sleep(duration(Millis(rand::random_range(PROBE_MS)))).await;
+                sleep(duration(Millis(rand::random_range(PROBE_INTERVAL_MS)))).await;
             }
         }
     }
@@ -154,15 +159,15 @@
 
 /// Reads the list if nobody passes it on, drops old entries and renews its own
 /// before it would count as stale.
-async fn look(state: &Rc<State>) -> Result<(), Error> {
-    let is_stranger = !state.is_registered.get() && !state.link.get().is_up;
-    let dropped = if is_stranger || state.must_read() {
+async fn refresh_registration(state: &Rc<State>) -> Result<(), Error> {
+    let has_no_peer = !state.is_registered.get() && !state.followed_peer.get().is_up;
+    let dropped = if has_no_peer || state.must_read() {
         read_nodes(state).await?
     } else {
         Vec::new()
     };
     let now = state.clock.now();
-    let is_fresh = |written: Millis| now < written + RENEW_MS;
+    let is_fresh = |written: Millis| now < written + RENEW_INTERVAL_MS;
     if !state.written_ms.get().is_some_and(is_fresh) || !dropped.is_empty() {
         write_node(state, &dropped).await?;
     }
@@ -172,7 +177,7 @@
 async fn write_node(state: &Rc<State>, dropped: &[Name]) -> Result<(), Error> {
     let settings = &state.settings;
     let now = state.clock.now();
-    if state.nodes.borrow().readings() == 0 {
+    if state.nodes.borrow().reads() == 0 {
         // The store's clock is not known yet.
         read_nodes(state).await?;
     }
@@ -184,46 +189,46 @@
         written_ms: state.nodes.borrow().store_ms(now),
     };
     let call = (state.platform.store.write_node)(&node, dropped);
-    ask(state, &call, ANSWER_MS).await?;
+    call_store(state, &call, RESPONSE_TIMEOUT_MS).await?;
     state.written_ms.set(Some(now));
     Ok(())
 }
 
 async fn read_nodes(state: &Rc<State>) -> Result<Vec<Name>, Error> {
     let calls = state.platform.store;
-    let bytes = ask(state, &(calls.read_nodes)(), ANSWER_MS).await?;
+    let bytes = call_store(state, &(calls.read_nodes)(), RESPONSE_TIMEOUT_MS).await?;
     let list = (calls.decode_nodes)(&bytes)?;
-    Ok(state.take_nodes(list))
+    Ok(state.update_nodes(list))
 }
 
-async fn step(state: &Rc<State>, table: Table, has_failed: bool) -> Result<(), Error> {
+async fn read_or_watch(state: &Rc<State>, table: Table, has_failed: bool) -> Result<(), Error> {
     let revision = state.directory.borrow().revision(table);
     if revision == 0 {
-        return read(state, table).await;
+        return read_table(state, table).await;
     }
     let wait_ms = if has_failed {
-        WAIT_AFTER_FAILURE_MS
+        LONG_POLL_AFTER_FAILURE_MS
     } else {
-        WAIT_MS
+        LONG_POLL_MS
     };
     let calls = state.platform.store;
-    let asked_ms = state.clock.now();
+    let requested_ms = state.clock.now();
     let call = (calls.watch)(table, revision, wait_ms);
-    let bytes = ask(state, &call, wait_ms + ANSWER_MS).await?;
+    let bytes = call_store(state, &call, wait_ms + RESPONSE_TIMEOUT_MS).await?;
     let page = (calls.decode)(table, false, &bytes)?;
-    take(state, table, asked_ms, &page);
+    apply_page(state, table, requested_ms, &page);
     Ok(())
 }
 
 /// Reads a whole table, page by page.
-async fn read(state: &Rc<State>, table: Table) -> Result<(), Error> {
+async fn read_table(state: &Rc<State>, table: Table) -> Result<(), Error> {
     let calls = state.platform.store;
-    let asked_ms = state.clock.now();
+    let requested_ms = state.clock.now();
     let mut all: Option<Page> = None;
     let mut from: Option<String> = None;
     loop {
         let call = (calls.read)(table, from.as_deref());
-        let bytes = ask(state, &call, ANSWER_MS).await?;
+        let bytes = call_store(state, &call, RESPONSE_TIMEOUT_MS).await?;
         let page = (calls.decode)(table, true, &bytes)?;
         from = page.next.clone();
         match &mut all {
@@ -239,12 +244,12 @@
         }
     }
     if let Some(page) = all {
-        take(state, table, asked_ms, &page);
+        apply_page(state, table, requested_ms, &page);
     }
     Ok(())
 }
 
-fn take(state: &Rc<State>, table: Table, asked_ms: Millis, page: &Page) {
+fn apply_page(state: &Rc<State>, table: Table, requested_ms: Millis, page: &Page) {
     for key in &page.unreadable {
         warn!(state.log, "unreadable entry"; "table" => %table, "key" => key.as_str());
     }
@@ -254,16 +259,20 @@
         .borrow_mut()
         .record_store_regained(now, table);
     // A held call is answered with what the table says at its end.
-    let as_of_ms = if page.batch.is_whole { asked_ms } else { now };
+    let as_of_ms = if page.batch.is_whole {
+        requested_ms
+    } else {
+        now
+    };
     state.apply("store", as_of_ms, &page.batch);
 }
 
-async fn ask(state: &Rc<State>, call: &Call, within: Millis) -> Result<Bytes, Error> {
+async fn call_store(state: &Rc<State>, call: &Call, timeout: Millis) -> Result<Bytes, Error> {
     let address: Name = state.settings.store.to_string().into();
-    let request = request(&address, call);
+    let request = http_request(&address, call);
     state.metrics.count("store.calls");
-    let within: Duration = duration(within);
-    let (head, bytes) = state.links.call(&address, request, within).await?;
+    let timeout: Duration = duration(timeout);
+    let (head, bytes) = state.connections.call(&address, request, timeout).await?;
     match head.status {
         StatusCode::OK => Ok(bytes),
         StatusCode::GONE => Err(Error::HistoryGone),
@@ -272,7 +281,7 @@
 }
 
 /// Builds the HTTP request of a call.
-pub(crate) fn request(address: &str, call: &Call) -> Request<Full<Bytes>> {
+pub(crate) fn http_request(address: &str, call: &Call) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     if let Ok(uri) = call.path.parse() {
--- a/filbertpaddle-gateway/src/source.rs
+++ b/filbertpaddle-gateway/src/target_stream.rs
@@ -6,11 +6,11 @@
 use filbertpaddle_forward::event_stream::EventSplitter;
 use filbertpaddle_forward::target::Target;
 
-use crate::links::Body;
+use crate::connection_pool::Body;
 
 /// The stream of one target.
 #[derive(Debug)]
-pub struct Source {
+pub struct TargetStream {
     /// The target.
     pub target: Target,
     body: Body,
@@ -20,7 +20,7 @@
 
 /// What came of a stream.
 #[derive(Debug)]
-pub enum Piece {
+pub enum StreamItem {
     /// A whole event.
     Event(Event),
     /// The stream ended as it should.
@@ -29,7 +29,7 @@
     Broken(String),
 }
 
-impl Source {
+impl TargetStream {
     /// Reads the events of `body`.
     pub fn new(target: Target, body: Body) -> Self {
         Self {
@@ -41,31 +41,31 @@
     }
 
     /// Waits for the next event or the end. May be dropped and called again.
-    pub async fn next(&mut self) -> Piece {
+    pub async fn next(&mut self) -> StreamItem {
         loop {
             if let Some(event) = self.ready.pop_front() {
-                return Piece::Event(event);
+                return StreamItem::Event(event);
             }
             match self.body.next().await {
                 Ok(Some(bytes)) => {
                     if let Err(error) = self.splitter.push(&bytes) {
-                        return Piece::Broken(error.to_string());
+                        return StreamItem::Broken(error.to_string());
                     }
                     while let Some(event) = self.splitter.next_event() {
                         self.ready.push_back(event);
                     }
                 }
                 Ok(None) if self.splitter.has_partial_event() => {
-                    return Piece::Broken("ended within an event".to_owned());
+                    return StreamItem::Broken("ended within an event".to_owned());
                 }
-                Ok(None) => return Piece::End,
-                Err(error) => return Piece::Broken(error.to_string()),
+                Ok(None) => return StreamItem::End,
+                Err(error) => return StreamItem::Broken(error.to_string()),
             }
         }
     }
 
     /// Puts back the event that was read last.
-    pub fn unread(&mut self, event: Event) {
+    pub fn put_back(&mut self, event: Event) {
         self.ready.push_front(event);
     }
 
