--- a/filbertpaddle-gateway/src/clock.rs
+++ b/filbertpaddle-gateway/src/clock.rs
@@ -1,11 +1,11 @@
-//! The node's steady clock.
+//! The node's monotonic clock.
 
 use std::time::Duration;
 
 use filbertpaddle_core::clock::Millis;
 use tokio::time::Instant;
 
-/// Milliseconds since the node's start.
+/// Counts milliseconds since the node's start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -19,13 +19,13 @@
         }
     }
 
-    /// The time now.
+    /// Returns the time since the start.
     pub fn now(&self) -> Millis {
         let elapsed = self.start.elapsed().as_millis();
         Millis(u64::try_from(elapsed).unwrap_or(u64::MAX))
     }
 
-    /// The instant of a time, for timers.
+    /// Converts a time to an [`Instant`] for timers.
     pub fn instant(&self, at: Millis) -> Instant {
         self.start + duration(at)
     }
@@ -37,7 +37,7 @@
     }
 }
 
-/// Converts a span for timers.
+/// Converts a span to a [`Duration`] for timers.
 pub fn duration(span: Millis) -> Duration {
     Duration::from_millis(span.0)
 }
--- a/filbertpaddle-gateway/src/crash.rs
+++ b/filbertpaddle-gateway/src/crash.rs
@@ -1,4 +1,4 @@
-//! Requests that were running when their target crashed.
+//! Detects target crashes and records the requests that were running there as suspects.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 
 use crate::state::State;
 
-/// How long after a connection broke off its target is looked at. A crashed
-/// target stays down for some seconds.
+/// Delay between a broken connection and the check of its target. A crashed target
+/// stays down for some seconds.
 const CHECK_DELAY: Duration = Duration::from_millis(200);
-/// How long a living target may take to accept a connection.
+/// Time within which a live target accepts a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Makes a suspect of a request whose target broke off, if the target is down
-/// and did not announce that it leaves.
+/// Records a request as a crash suspect after its connection broke, if the target is
+/// down and is not listed as draining.
 pub fn record_if_crashed(state: &Rc<State>, target: &Target, digest: u64) {
     let (state, target) = (Rc::clone(state), target.clone());
     tokio::task::spawn_local(async move {
@@ -31,7 +31,7 @@
         let crash = crash_id(&target.id, target.started_ms.unwrap_or_default());
         let mut suspects = state.suspects.borrow_mut();
         suspects.crashed(now, digest, crash);
-        info!(state.log, "request was part of a crash";
+        info!(state.log, "request recorded as crash suspect: its target went down";
             "digest" => digest, "target" => target.id.as_str(),
             "crashes" => suspects.level(digest));
     });
--- a/filbertpaddle-gateway/src/drain_detection.rs
+++ b/filbertpaddle-gateway/src/drain_detection.rs
@@ -1,4 +1,7 @@
-//! Asks targets themselves whether they leave, while the store cannot tell.
+//! Polls engines for their drain state while the store is unreachable.
+//!
+//! Draining is normally announced through the store's table of targets. While that
+//! cannot be read, the engines that run this node's generations are asked directly.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,13 +13,12 @@
 use crate::state::State;
 use crate::store_sync::http_request;
 
-/// How often targets are asked. They give about two seconds' notice, and their
-/// reports are some hundred milliseconds old.
+/// Targets announce a drain about two seconds ahead, and their reports are some
+/// hundred milliseconds old.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
-/// How long a target's report may take.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Asks the targets that run this node's generations, as long as it runs.
+/// Polls the engines in use for as long as the node runs.
 pub async fn run(state: Rc<State>) {
     loop {
         sleep(POLL_INTERVAL).await;
@@ -30,7 +32,7 @@
     }
 }
 
-/// The engines at which generations of this node run.
+/// Returns the engines that run generations of this node and are not draining.
 fn engines_in_use(state: &State) -> Vec<Target> {
     let directory = state.directory.borrow();
     let selector = state.selector.borrow();
@@ -59,7 +61,7 @@
     let report = match called.await {
         Ok((_, bytes)) => (calls.decode_report)(&bytes),
         Err(error) => {
-            info!(state.log, "no report"; "target" => target.id.as_str(), "error" => %error);
+            info!(state.log, "target did not answer the request for its report"; "target" => target.id.as_str(), "error" => %error);
             return;
         }
     };
@@ -67,7 +69,7 @@
         Ok(report) if report.is_draining => state.mark_target_draining(target),
         Ok(_) => {}
         Err(error) => {
-            info!(state.log, "unreadable report";
+            info!(state.log, "report of target ignored: cannot be decoded";
                 "target" => target.id.as_str(), "error" => %error);
         }
     }
--- a/filbertpaddle-gateway/src/lib.rs
+++ b/filbertpaddle-gateway/src/lib.rs
@@ -1,7 +1,9 @@
-//! A node of the forwarding path: callers' requests in, targets' answers out.
+//! A gateway node: accepts callers' requests, sends each to a target and returns
+//! the target's response.
 //!
-//! Decisions are in `filbertpaddle-forward`; this crate is their I/O. What the
-//! platform's own words are, an adapter tells it in a [`platform_api::PlatformApi`].
+//! This crate does the I/O; the decisions are in `filbertpaddle-forward`. An adapter
+//! supplies the platform's headers, calls and row formats as a
+//! [`platform_api::PlatformApi`].
 
 pub mod buffered;
 pub mod clock;
--- a/filbertpaddle-gateway/src/log.rs
+++ b/filbertpaddle-gateway/src/log.rs
@@ -1,4 +1,4 @@
-//! Structured logs to standard output, bounded and never blocking.
+//! JSON log to standard output; writing never blocks the node.
 
 use std::io;
 
@@ -7,10 +7,10 @@
 use slog::o;
 use slog_async::OverflowStrategy;
 
-/// Most lines that wait to be written; further ones are dropped and counted.
+/// Maximum number of queued lines; further ones are dropped and counted.
 const QUEUE_LINES: usize = 1_024;
 
-/// Opens the log of a node.
+/// Creates the logger of a node.
 pub fn open(node: &str) -> Logger {
     let json = slog_json::Json::default(io::stdout()).ignore_res();
     let queue = slog_async::Async::new(json)
--- a/filbertpaddle-gateway/src/metrics.rs
+++ b/filbertpaddle-gateway/src/metrics.rs
@@ -14,11 +14,9 @@
 use hdrhistogram::Histogram;
 use indexmap::IndexMap;
 
-/// Longest latency that is told apart.
+/// Longer latencies are recorded as this value.
 const MAX_LATENCY_MS: u64 = 120_000;
-/// Significant digits of a latency.
 const LATENCY_DIGITS: u8 = 2;
-/// Quantiles that are served.
 const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 1.0];
 
 /// The metrics of a node.
@@ -38,14 +36,14 @@
 struct Sink(Arc<Registry>);
 
 impl Metrics {
-    /// Starts with no metrics.
+    /// Creates an empty set of metrics.
     pub fn new() -> Self {
         let registry = Arc::new(Registry::default());
         let client = StatsdClient::from_sink("filbertpaddle", Sink(Arc::clone(&registry)));
         Self { client, registry }
     }
 
-    /// Counts one event.
+    /// Increments a counter.
     pub fn count(&self, name: &str) {
         self.client.incr(name).ok();
     }
@@ -55,7 +53,7 @@
         self.client.time(name, span.0).ok();
     }
 
-    /// Returns all metrics as text, one a line.
+    /// Returns all metrics as text, one per line.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let counters = self.registry.counters.lock();
@@ -109,7 +107,7 @@
 }
 
 impl MetricSink for Sink {
-    /// Takes one metric as `name:value|kind`, the form in which the client sends it.
+    /// Records a metric in the client's form, `name:value|kind`.
     fn emit(&self, metric: &str) -> io::Result<usize> {
         let parts = metric.split_once(':').and_then(|(name, rest)| {
             let (value, kind) = rest.split_once('|')?;
--- a/filbertpaddle-gateway/src/platform_api.rs
+++ b/filbertpaddle-gateway/src/platform_api.rs
@@ -1,7 +1,7 @@
-//! What an adapter tells the gateway of the platform's headers, calls and rows.
+//! The interface to the platform: its headers, engine calls and store calls.
 //!
-//! Plain functions, filled in by an adapter. Each decodes into the project's
-//! types or encodes from them; none decides anything.
+//! An adapter fills in plain functions. Each encodes from the project's types or
+//! decodes into them; none takes decisions.
 
 use bytes::Bytes;
 use filbertpaddle_core::clock::Millis;
@@ -20,165 +20,165 @@
 
 use crate::nodes::Node;
 
-/// What an adapter translates.
+/// Functions that an adapter supplies.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformApi {
     /// Headers of callers and targets.
     pub headers: Headers,
-    /// Calls to engines beside their requests.
+    /// Calls to engines other than the forwarded requests.
     pub engine: EngineCalls,
     /// Calls to the store.
     pub store: StoreCalls,
 }
 
-/// Headers of callers and targets.
+/// Functions that read and write the headers of callers and targets.
 #[derive(Clone, Copy, Debug)]
 pub struct Headers {
     /// Decodes a caller's headers.
     pub decode_request: fn(&HeaderMap) -> Result<RequestMetadata, BadHeader>,
-    /// Removes headers that are the system's own to set.
+    /// Removes headers that only the system may set.
     pub strip_internal: fn(&mut HeaderMap),
-    /// Adds what a target is told.
+    /// Adds the headers that are meant for the target.
     pub apply: fn(&mut HeaderMap, &TargetHeaders<'_>),
-    /// Decodes what a target's answer says of itself.
+    /// Decodes the metadata of a target's response.
     pub decode_response: fn(StatusCode, &HeaderMap) -> ResponseMetadata,
 }
 
-/// A header that cannot be read.
+/// A missing or malformed header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("cannot read header `{0}`")]
+#[error("missing or malformed header `{0}`")]
 pub struct BadHeader(pub &'static str);
 
-/// What a target is told beside the caller's own headers.
+/// Values of the headers that are added for the target.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetHeaders<'a> {
-    /// The target that is meant.
+    /// Target that the request is sent to.
     pub target: &'a Target,
-    /// How long the caller still waits.
+    /// Time until the caller's deadline.
     pub remaining_ms: Option<Millis>,
     /// Customer that the request belongs to.
     pub customer: Option<&'a str>,
-    /// Urgency among the target's requests, from 0, the most urgent, to 9.
+    /// Priority among the target's requests, from 0 (most urgent) to 9.
     pub urgency: Option<u8>,
-    /// Last event that the caller has, if the stream goes on.
+    /// Last event that the caller has received, if a stream is resumed.
     pub last_event: Option<u64>,
-    /// Copy that the generation goes on from.
+    /// Copy from which the generation resumes.
     pub copy: Option<CopySource<'a>>,
 }
 
-/// Where a copy of a generation's memory came from.
+/// Identifies the copy of a generation's memory.
 #[derive(Clone, Copy, Debug)]
 pub struct CopySource<'a> {
-    /// Address of the target at which the generation ran.
+    /// Address of the target that ran the generation before.
     pub address: &'a str,
-    /// Name of the copy.
+    /// Handle of the copy.
     pub handle: &'a str,
 }
 
-/// What a target's answer says of itself.
+/// What a target states about its response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseMetadata {
-    /// Attempt that the answer belongs to.
+    /// Attempt that the response belongs to.
     pub attempt: Option<Name>,
-    /// Whether it carries the target's seal.
+    /// Whether it carries the target's seal, which proves that the target made it.
     pub is_sealed: bool,
     /// Whether it proves that the request was not run.
     pub is_not_run: bool,
-    /// Whether another target stands at the address.
+    /// Whether another target now listens at the address.
     pub is_other_target: bool,
 }
 
-/// A call whose body and answer are small.
+/// An HTTP call with a small body and a small response.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// Method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Body, encoded.
+    /// Encoded body.
     pub body: Bytes,
 }
 
-/// Calls to engines beside their requests.
+/// Calls to engines other than the forwarded requests.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineCalls {
-    /// Asks an engine for its report.
+    /// Requests an engine's load report.
     pub report: fn() -> Call,
     /// Decodes the report.
     pub decode_report: fn(&[u8]) -> Result<Report, DecodeError>,
-    /// Asks for a copy of a running generation.
+    /// Requests a copy of a running generation's memory.
     pub copy: fn(&CopyRequest<'_>) -> Call,
-    /// Decodes the answer to such a call.
+    /// Decodes the response to a copy request.
     pub decode_copy: fn(&CopyRequest<'_>, StatusCode, &[u8]) -> CopyOutcome,
     /// Frees a copy.
     pub release: fn(&str) -> Call,
 }
 
-/// A copy to be made.
+/// A request to copy a generation to another target.
 #[derive(Clone, Copy, Debug)]
 pub struct CopyRequest<'a> {
     /// Attempt whose generation is copied.
     pub attempt: &'a str,
-    /// Target that takes the copy.
+    /// Destination of the copy.
     pub to: &'a Target,
 }
 
-/// How a copy went.
+/// Result of a copy request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CopyOutcome {
-    /// It is complete.
+    /// The copy is complete.
     Copied(Copy),
-    /// No such generation runs there.
+    /// The generation does not run at the source.
     NotRunning,
     /// Another copy of the generation is being made.
     Busy,
-    /// There is no room, or the destination cannot be reached.
+    /// The destination has no room or cannot be reached.
     Refused,
 }
 
 /// Calls to the store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreCalls {
-    /// Reads a table from a key on.
+    /// Reads a table, starting from a key if one is given.
     pub read: fn(Table, Option<&str>) -> Call,
-    /// Waits for changes of a table after a revision.
+    /// Waits for changes of a table after a revision (long poll).
     pub watch: fn(Table, u64, Millis) -> Call,
-    /// Decodes the answer to either; the flag says whether the table was read.
+    /// Decodes the response to `read` (if the flag is set) or to `watch`.
     pub decode: fn(Table, bool, &[u8]) -> Result<Page, DecodeError>,
     /// Reads the list of nodes.
     pub read_nodes: fn() -> Call,
     /// Decodes the list of nodes.
     pub decode_nodes: fn(&[u8]) -> Result<NodeList, DecodeError>,
-    /// Writes a node's own entry and drops others.
+    /// Writes a node's own entry and removes the named ones.
     pub write_node: fn(&Node, &[Name]) -> Call,
 }
 
-/// Part of a table.
+/// One page of a table, or a set of its changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Page {
-    /// What it says.
+    /// Decoded changes.
     pub batch: Batch,
-    /// Key from which to read on, if the table is longer.
+    /// Key at which the next page starts, if there is one.
     pub next: Option<String>,
-    /// Rows that could not be read, by key.
+    /// Keys of rows that could not be decoded.
     pub unreadable: Vec<Name>,
 }
 
 /// The nodes that have entries in the store.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeList {
-    /// The entries.
+    /// Entries of the nodes.
     pub nodes: Vec<Node>,
-    /// The store's clock.
+    /// Time by the store's clock when the list was read.
     pub store_ms: Millis,
 }
 
-/// Bytes that are not what the platform's protocol says.
+/// A response body that does not follow the platform's protocol.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("cannot decode {what}: {reason}")]
 pub struct DecodeError {
     /// What was expected.
     pub what: &'static str,
-    /// Why it is not that.
+    /// Why it cannot be decoded.
     pub reason: String,
 }
--- a/filbertpaddle-gateway/src/settings.rs
+++ b/filbertpaddle-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway node, as an adapter gives them.
+//! Settings of a gateway node, as supplied by an adapter.
 
 use std::net::SocketAddr;
 
@@ -11,33 +11,33 @@
 pub struct Settings {
     /// Name of the node.
     pub node: Name,
-    /// Data centre it stands in.
+    /// Data centre of the node.
     pub data_centre: Name,
-    /// Address for callers.
+    /// Listening address for callers.
     pub callers: SocketAddr,
-    /// Address at which the balancer asks whether the node is ready.
+    /// Listening address for the balancer's readiness checks.
     pub ready: SocketAddr,
-    /// Address for other nodes.
+    /// Listening address for other nodes.
     pub peers: SocketAddr,
-    /// Address of the node's metrics.
+    /// Listening address for metrics.
     pub metrics: Option<SocketAddr>,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Whether the whole system starts for the first time.
+    /// Whether all nodes of the system start together for the first time.
     pub is_first_start: bool,
-    /// Processor that the node may use, in cores.
+    /// CPU cores that the node may use.
     pub cores: f64,
-    /// What may change while the node runs.
+    /// Settings that are reread while the node runs.
     pub reloadable: Reloadable,
 }
 
-/// Settings that are in force as soon as they are read again.
+/// Settings that take effect as soon as they are reread.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reloadable {
-    /// Peer addresses of some nodes, for when the store cannot be read.
+    /// Peer addresses of some nodes, used before any node is known from the store.
     pub seeds: Vec<SocketAddr>,
-    /// What all nodes together may retry.
+    /// Limits on the retries of all nodes together.
     pub retries: retry_budget::RetryLimits,
-    /// How long a node that was told to stop may finish its requests.
+    /// Time that a stopping node has to finish its requests.
     pub grace_ms: Millis,
 }
