--- a/filbertpaddle-gateway/src/load_exchange.rs
+++ b/filbertpaddle-gateway/src/load_exchange.rs
@@ -1,4 +1,7 @@
-//! Readers of the store tell each other what their groups have at targets.
+//! Exchange of load between the readers of the store.
+//!
+//! Each reader sums up the load that its own node and its followers have placed on
+//! targets (its group), and subscribes to the sums of all other readers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,7 +23,7 @@
 use crate::peer_link::merge_suspects;
 use crate::state::State;
 
-/// Exchanges work with the other readers as long as this node runs.
+/// Keeps a link to every other reader while this node is a reader itself.
 pub async fn run(state: Rc<State>) {
     let mut links: IndexMap<Name, JoinHandle<()>> = IndexMap::new();
     loop {
@@ -40,7 +43,8 @@
     }
 }
 
-/// Counts this reader's own work in its group, and takes that of all others.
+/// Updates this reader's share of its group's load, and the load of other nodes as
+/// the target selector sees it.
 fn update_own_load(state: &State) {
     let own = state.selector.borrow().own_load(state.clock.now());
     let mut load_table = state.load_table.borrow_mut();
@@ -52,7 +56,7 @@
     update_other_load(state, &total, &own);
 }
 
-/// Sets the work of other nodes: all work but what is this node's own.
+/// Sets the load of other nodes: the total without this node's own part.
 pub fn update_other_load(state: &State, all: &LoadByTarget, own: &LoadByTarget) {
     let others = all
         .iter()
@@ -78,7 +82,7 @@
 
 async fn sync_group(state: Rc<State>, reader: Name, address: SocketAddr) {
     if let Err(error) = receive_group(&state, &reader, address).await {
-        debug!(state.log, "reader not linked"; "peer" => %reader, "error" => %error);
+        debug!(state.log, "link to reader failed, its group's load is dropped"; "peer" => %reader, "error" => %error);
     }
     state.load_table.borrow_mut().remove_group(&reader);
 }
--- a/filbertpaddle-gateway/src/nodes.rs
+++ b/filbertpaddle-gateway/src/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes that are alive, and which of them read the store for the others.
+//! The live nodes, and which of them read the store for the others.
 
 use std::net::SocketAddr;
 
@@ -12,39 +12,39 @@
 
 use crate::platform_api::NodeList;
 
-/// How often a node renews its entry.
+/// Interval at which a node renews its entry.
 pub const RENEW_INTERVAL_MS: Millis = Millis::from_secs(30);
-/// Age at which an entry no longer counts.
+/// Age at which the node of an entry no longer counts as live.
 pub const STALE_AGE_MS: Millis = Millis::from_secs(75);
-/// Age at which an entry is dropped by whoever sees it.
+/// Age at which any node that reads the entry removes it.
 pub const REMOVAL_AGE_MS: Millis = Millis::from_secs(180);
-/// Nodes of a data centre for which one reads the store.
+/// Number of nodes of a data centre per reader.
 const NODES_PER_READER: usize = 32;
-/// Part of the largest node's processor that a reader has at least.
+/// Minimum CPU cores of a reader, relative to the largest node of its data centre.
 const MIN_READER_CORES_RATIO: f64 = 0.6;
-/// How long a node that did not answer is passed over as a reader.
+/// How long a node that did not respond is not chosen as a reader.
 const UNRESPONSIVE_MS: Millis = Millis::from_secs(10);
 
-/// A node's entry.
+/// A node's entry in the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Node {
     /// Name of the node.
     pub name: Name,
-    /// Data centre it stands in.
+    /// Data centre of the node.
     pub data_centre: Name,
-    /// Address for other nodes.
+    /// Listening address for other nodes.
     pub peers: SocketAddr,
-    /// Processor that it may use, in cores.
+    /// CPU cores that it may use.
     pub cores: f64,
-    /// When the entry was written, by the store's clock.
+    /// Time when the entry was written, by the store's clock.
     pub written_ms: Millis,
 }
 
-/// The nodes that are taken to be alive.
+/// The list of nodes and the live ones among them.
 #[derive(Clone, Debug, Default)]
 pub struct Nodes {
     live: Vec<Node>,
-    /// What the store's list said when it was last read; counts the readings.
+    /// The list as last read from the store.
     list: NodeList,
     reads: u64,
     store_ms: Millis,
@@ -53,35 +53,35 @@
 }
 
 impl Nodes {
-    /// Knows of no other node.
+    /// Creates an empty list.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// How often the list has been read.
+    /// Returns how often the list has been read.
     pub fn reads(&self) -> u64 {
         self.reads
     }
 
-    /// The list as it was last read, to pass it on.
+    /// Returns the list as last read, for followers.
     pub fn list(&self) -> &NodeList {
         &self.list
     }
 
-    /// Number of nodes that are alive, this one among them; `None` if no list
-    /// tells.
+    /// Returns the number of live nodes including this one, or `None` if no live node is
+    /// known.
     pub fn count(&self) -> Option<usize> {
         Some(self.live.len()).filter(|count| *count > 0)
     }
 
-    /// The nodes that are alive.
+    /// Returns the live nodes.
     pub fn live(&self) -> &[Node] {
         &self.live
     }
 
-    /// The nodes that read the store for `data_centre`, as far as they answer.
+    /// Returns the nodes that read the store for `data_centre`, without unresponsive ones.
     ///
-    /// The order depends on the entries alone, so nodes with the same list agree.
+    /// The ranking depends on the entries alone, so nodes with the same list agree.
     pub fn readers(&self, now: Millis, data_centre: &Name) -> Vec<&Node> {
         let members: Vec<_> = self
             .live
@@ -103,7 +103,7 @@
             .collect()
     }
 
-    /// Passes a node over as a reader for a while.
+    /// Excludes a node from the readers for a while.
     pub fn mark_unresponsive(&mut self, now: Millis, name: &Name) {
         self.unresponsive_until
             .insert(name.clone(), now + UNRESPONSIVE_MS);
@@ -115,12 +115,12 @@
             .is_some_and(|until| now < *until)
     }
 
-    /// The store's clock, as far as it is known.
+    /// Returns the estimated time of the store's clock.
     pub fn store_ms(&self, now: Millis) -> Millis {
         self.store_ms + now.since(self.read_ms)
     }
 
-    /// Takes the list as the store has it; returns the entries to drop.
+    /// Replaces the list by the one read from the store; returns the entries to remove.
     pub fn update(&mut self, now: Millis, list: NodeList) -> Vec<Name> {
         self.store_ms = list.store_ms;
         self.read_ms = now;
--- a/filbertpaddle-gateway/src/peer_follower.rs
+++ b/filbertpaddle-gateway/src/peer_follower.rs
@@ -1,8 +1,8 @@
-//! Links between nodes: most learn what the store says from one that reads it.
+//! Receives the store's tables from another node instead of the store.
 //!
-//! A node that is no reader follows a reader of its data centre. One that cannot
-//! read the store follows any node that can. The followed node sends what changes,
-//! and at intervals how old its knowledge is.
+//! A node that is no reader follows a reader of its data centre. A reader that cannot
+//! read the store follows any node that can. The followed node sends changes, and at
+//! intervals the age of its data.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -31,13 +31,12 @@
 use crate::state::PeerStatus;
 use crate::state::State;
 
-/// Age at which what a node knows is too old to follow it. Above the time that
-/// the store holds back a call and the time that it may take to answer.
+/// Age of a node's data above which it is not worth following. Exceeds the time that the
+/// store may hold back a response plus the time that the response may take.
 const MAX_DATA_AGE_MS: Millis = Millis(2_800);
-/// How often a node looks whether it needs to follow another.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Follows other nodes as long as this one runs.
+/// Follows another node whenever this one needs to, for as long as it runs.
 pub async fn run(state: Rc<State>) {
     loop {
         sleep(CHECK_INTERVAL).await;
@@ -50,7 +49,7 @@
         };
         let result = follow_peer(&state, address).await;
         state.set_followed_peer(PeerStatus::default());
-        info!(state.log, "node no longer followed";
+        info!(state.log, "stopped following a node";
             "peer" => %address, "reason" => result.as_ref().err().map(ToString::to_string));
         if let (Err(_), Some(name)) = (result, name) {
             let now = state.clock.now();
@@ -92,7 +91,7 @@
     }
 }
 
-/// Whether a node goes on following the one at an address.
+/// Returns whether to keep following the node at `address`.
 fn should_follow(state: &State, address: SocketAddr) -> bool {
     if state.is_reader() {
         return state.directory.borrow().is_store_lost();
@@ -105,7 +104,7 @@
         || readers.iter().any(|node| node.peers == address)
 }
 
-/// Takes what a followed node says.
+/// Applies a message from the followed node.
 fn apply_message(state: &State, message: Message) -> Result<(), Error> {
     let now = state.clock.now();
     let as_of = |age_ms: Millis| Millis(now.0.saturating_sub(age_ms.0));
@@ -130,17 +129,19 @@
             });
         }
         Message::Nodes(list) => {
-            // Who reads the store drops old entries.
+            // Expired entries are removed by the nodes that read the store.
             state.update_nodes(list);
         }
         Message::Suspects(suspects) => merge_suspects(state, &suspects),
-        message => debug!(state.log, "unexpected message"; "message" => ?message),
+        message => {
+            debug!(state.log, "unexpected message from followed node ignored"; "message" => ?message)
+        }
     }
     Ok(())
 }
 
-/// Picks a node to follow: a reader of this data centre, or any if this node is
-/// itself a reader that cannot read. Before any is known, a seed.
+/// Picks a node to follow: a reader of this data centre, or any node if this one is
+/// itself a reader that cannot read. If none is known, picks a seed.
 fn pick_peer(state: &State, is_reader: bool) -> Option<(Option<Name>, SocketAddr)> {
     let settings = &state.settings;
     let now = state.clock.now();
--- a/filbertpaddle-gateway/src/peer_link.rs
+++ b/filbertpaddle-gateway/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! A link between two nodes, and what they say on it.
+//! A WebSocket link between two nodes and the messages exchanged on it.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -25,67 +25,68 @@
 use crate::platform_api::NodeList;
 use crate::state::State;
 
-/// How long a node may take to open a link or to take a message.
+/// Limit on each step of opening a link.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long the other end of a link may stay silent.
+/// Time without a message after which a link counts as broken; also limits a send.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(800);
-/// How often changed work and suspects are told.
+/// Interval at which changed load and suspects are published.
 pub const PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What nodes say to each other.
+/// A message between nodes, encoded as CBOR.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Who dials, and whether it reads the store itself; sent first.
+    /// First message on a link; identifies the node that opened it.
     Hello {
         /// Name of the node.
         node: Name,
-        /// Whether it wants only the work of the other's group.
+        /// Whether it reads the store itself and wants only the load of the other's group.
         is_reader: bool,
     },
-    /// The list of nodes, as the other read it.
+    /// The list of nodes as last read from the store.
     Nodes(NodeList),
-    /// Changed work: of the node that dials, or of all that the other knows.
+    /// Changed load: of the node that opened the link, or the sum that the other node
+    /// publishes.
     Work(LoadChanges),
-    /// Suspects by digest that are new or changed.
+    /// New or changed suspects by digest.
     Suspects(Vec<(u64, Record)>),
-    /// What changed of a table.
+    /// Changes of a table.
     Table {
-        /// How old that is.
+        /// Age of the sender's data.
         age_ms: Millis,
         /// The changes.
         batch: Batch,
     },
-    /// How old the other's knowledge of both tables is.
+    /// Age of the sender's data of both tables.
     Ages {
-        /// Of the operators' table.
+        /// Age of the operators' table.
         operator_ms: Millis,
-        /// Of the targets' table.
+        /// Age of the targets' table.
         targets_ms: Millis,
-        /// Whether its last call to the store failed.
+        /// Whether the sender currently has no data from a working store.
         is_store_lost: bool,
     },
 }
 
-/// Why a link ended.
+/// Reason why a link ended.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No connection could be made.
-    #[error("cannot connect: {0}")]
+    /// The connection could not be set up.
+    #[error("cannot set up connection to node: {0}")]
     Connect(std::io::Error),
-    /// The other end stayed silent.
-    #[error("no answer in time")]
+    /// The other node did not respond in time.
+    #[error("node did not respond in time")]
     Timeout,
     /// The connection failed.
-    #[error("link failed: {0}")]
+    #[error("link to node failed: {0}")]
     Link(Box<tokio_tungstenite::tungstenite::Error>),
-    /// The other end closed it.
-    #[error("link closed")]
+    /// The other node closed the link.
+    #[error("link closed by the other node")]
     Closed,
-    /// A message cannot be read or written.
-    #[error("unreadable message: {0}")]
+    /// A message cannot be encoded or decoded, or is not the expected one.
+    #[error("cannot encode or decode message: {0}")]
     Unreadable(String),
-    /// The other end knows nothing newer.
-    #[error("peer knows nothing newer")]
+    /// The followed node's data is too old.
+    #[error("data of the followed node is too old")]
     TooOld,
 }
 
@@ -109,11 +110,11 @@
 }
 
 impl PeerLink {
-    /// Dials a node and says who this one is.
+    /// Opens a link to a node and sends [`Message::Hello`].
     ///
     /// # Errors
     ///
-    /// Returns an error if the other node does not let itself be dialled.
+    /// Returns an error if the link cannot be opened in time.
     pub async fn dial(state: &State, address: SocketAddr, is_reader: bool) -> Result<Self, Error> {
         let connected = timeout(OPEN_TIMEOUT, TcpStream::connect(address)).await;
         let stream = connected
@@ -129,11 +130,11 @@
         Ok(link)
     }
 
-    /// Lets a node dial; returns its name and whether it is a reader.
+    /// Accepts a link; returns the other node's name and whether it is a reader.
     ///
     /// # Errors
     ///
-    /// Returns an error if it does not say who it is.
+    /// Returns an error if the first message is not [`Message::Hello`].
     pub async fn accept(stream: TcpStream) -> Result<(Self, Name, bool), Error> {
         set_socket_options(&stream).map_err(Error::Connect)?;
         let accepted = timeout(OPEN_TIMEOUT, tokio_tungstenite::accept_async(stream));
@@ -141,7 +142,7 @@
         let hello = timeout(OPEN_TIMEOUT, link.receive()).await;
         match hello.map_err(|_| Error::Timeout)?? {
             Message::Hello { node, is_reader } => Ok((link, node, is_reader)),
-            _ => Err(Error::Unreadable("no greeting".to_owned())),
+            _ => Err(Error::Unreadable("first message is not Hello".to_owned())),
         }
     }
 
@@ -161,7 +162,7 @@
         Ok(())
     }
 
-    /// Waits for a message. May be dropped and called again.
+    /// Waits for a message. Cancel-safe.
     ///
     /// # Errors
     ///
@@ -179,12 +180,12 @@
         }
     }
 
-    /// Work as the other end was last told.
+    /// Returns the load that was last published on this link.
     pub fn published_load(&self) -> &LoadByTarget {
         &self.published_load
     }
 
-    /// Tells what changed of some work and of the suspects since it was last told.
+    /// Publishes what changed in `load` and in the suspects since the last call.
     ///
     /// # Errors
     ///
@@ -206,7 +207,8 @@
         if !suspects.is_empty() {
             self.send(&Message::Suspects(suspects)).await?;
         }
-        // What changes within this millisecond is told once more.
+        // Changes later in the same millisecond are found by the next call, which repeats
+        // those already sent.
         self.suspects_published_ms = now;
         Ok(())
     }
@@ -220,7 +222,7 @@
     }
 }
 
-/// Joins what another node knows of suspects.
+/// Merges suspects received from another node.
 pub fn merge_suspects(state: &State, suspects: &[(u64, Record)]) {
     let now = state.clock.now();
     let mut known = state.suspects.borrow_mut();
--- a/filbertpaddle-gateway/src/peer_publisher.rs
+++ b/filbertpaddle-gateway/src/peer_publisher.rs
@@ -1,4 +1,7 @@
-//! Tells the nodes that follow this one what it knows.
+//! Publishes this node's data to the nodes that are linked to it.
+//!
+//! Followers receive the store's tables, the list of nodes, the load of all nodes and
+//! the suspects. Readers receive the load of this node's group and the suspects.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,19 +21,19 @@
 use crate::peer_link::merge_suspects;
 use crate::state::State;
 
-/// How often a followed node says how old its knowledge is.
+/// Interval at which the age of this node's data is sent.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What one follower has been told.
+/// What has been sent to one follower.
 #[derive(Clone, Copy, Debug, Default)]
 struct Published {
-    /// Number of the last change of a table.
+    /// Sequence number of the last table change.
     sequence: u64,
-    /// Number of the last reading of the list of nodes.
+    /// Number of reads of the list of nodes at the last sent list.
     reads: u64,
 }
 
-/// Lets other nodes follow this one, as long as it runs.
+/// Accepts links from other nodes for as long as this one runs.
 pub async fn serve(state: Rc<State>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -38,11 +41,13 @@
                 let state = Rc::clone(&state);
                 tokio::task::spawn_local(async move {
                     if let Err(error) = serve_peer(&state, stream).await {
-                        debug!(state.log, "follower lost"; "from" => %from, "error" => %error);
+                        debug!(state.log, "link from a node ended"; "from" => %from, "error" => %error);
                     }
                 });
             }
-            Err(error) => warn!(state.log, "cannot accept a peer"; "error" => %error),
+            Err(error) => {
+                warn!(state.log, "connection from a node not accepted"; "error" => %error)
+            }
         }
     }
 }
@@ -57,7 +62,7 @@
     result
 }
 
-/// Tells another reader what this node's group has at targets.
+/// Publishes the load of this node's group to another reader.
 async fn publish_to_reader(state: &State, link: &mut PeerLink) -> Result<(), Error> {
     let mut publish_timer = interval(PUBLISH_INTERVAL);
     let mut heartbeat = interval(HEARTBEAT_INTERVAL);
@@ -73,7 +78,7 @@
     }
 }
 
-/// Tells a follower what the store says and what all nodes have at targets.
+/// Publishes the store's tables and the load of all nodes to a follower.
 async fn publish_to_follower(state: &State, link: &mut PeerLink, node: &Name) -> Result<(), Error> {
     let mut changes = state.subscribe();
     let mut published = Published::default();
@@ -92,13 +97,13 @@
             message = link.receive() => match message? {
                 Message::Work(changes) => state.load_table.borrow_mut().update_member(node, &changes),
                 Message::Suspects(suspects) => merge_suspects(state, &suspects),
-                message => debug!(state.log, "unexpected message"; "message" => ?message),
+                message => debug!(state.log, "unexpected message from follower ignored"; "message" => ?message),
             }
         }
     }
 }
 
-/// Sends what changed of both tables.
+/// Sends the changes of both tables since the last call.
 async fn send_tables(
     state: &State,
     link: &mut PeerLink,
@@ -120,7 +125,7 @@
     Ok(())
 }
 
-/// Sends the list of nodes if it was read again.
+/// Sends the list of nodes if it has been read since the last call.
 async fn send_nodes(
     state: &State,
     link: &mut PeerLink,
--- a/filbertpaddle-gateway/src/store_sync.rs
+++ b/filbertpaddle-gateway/src/store_sync.rs
@@ -1,7 +1,7 @@
-//! Follows the store's tables and keeps this node's entry in it.
+//! Watches the store's tables and keeps this node registered in the store.
 //!
-//! Only the readers of a data centre follow them all the time; the other nodes
-//! follow a reader, and the store while none answers.
+//! Only the readers of a data centre watch the tables all the time. The other nodes
+//! receive them from a reader, and read the store themselves while no reader answers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,52 +26,50 @@
 use crate::platform_api::Page;
 use crate::state::State;
 
-/// How long the store holds a call back until something changes. Short, since a
-/// connection may go silent without a reset, and only the timeout shows it.
+/// How long the store may hold back its response until something changes. Short,
+/// since a connection may go silent without a reset, and only the timeout shows it.
 const LONG_POLL_MS: Millis = Millis(1_800);
-/// The same after a failed call, to learn soon that the store is back.
+/// The same after a failed call, to detect early that the store is back.
 const LONG_POLL_AFTER_FAILURE_MS: Millis = Millis(300);
-/// How long an answer may take beyond the time it is held back. A slow store
+/// How long a response may take beyond the time it is held back. A slow store
 /// takes about 60 times its usual 4 ms.
 const RESPONSE_TIMEOUT_MS: Millis = Millis(600);
-/// Pause after an answer, so that rows that change together come together.
+/// Pause between calls, so that rows that change together arrive in one batch.
 const READER_BATCH_INTERVAL: Duration = Duration::from_millis(200);
-/// The same of a node that reads for itself alone.
+/// The same for a node that reads for itself only.
 const SOLO_BATCH_INTERVAL: Duration = Duration::from_millis(600);
-/// Pause of a node whose reader cannot read either; drawn, so that not all
-/// nodes try at once.
+/// Retry delay of a node whose reader cannot read either; random, so that not all
+/// nodes retry at once.
 const PROBE_INTERVAL_MS: std::ops::Range<u64> = 1_500..3_500;
-/// How often a node looks whether it knows the others, at its start.
 const REGISTRATION_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Pause after a failed call.
+/// Delay after the first failed call; grows with each further failure.
 const RETRY_DELAY_MS: Millis = Millis(150);
-/// Longest pause after failed calls.
 const MAX_RETRY_DELAY_MS: Millis = Millis(600);
 
-/// How long the nodes of a first start take to write their entries: they start
-/// within 0.3 s of each other.
+/// Delay before a node of a first start reads the list of nodes. All nodes start
+/// within 0.3 s of each other and write their entries in this time.
 const FIRST_READ_DELAY: Duration = Duration::from_millis(500);
-/// How soon after its start a node looks for those that started with it.
+/// Delay before the second read, which finds the nodes that started with this one.
 const SECOND_READ_DELAY_MS: Millis = Millis::from_secs(2);
 
-/// Why a call to the store gave nothing.
+/// Reason why a call to the store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It got no answer.
+    /// The store did not respond.
     #[error(transparent)]
     Link(#[from] connection_pool::Error),
-    /// It was refused.
-    #[error("status {0}")]
+    /// The store refused the call.
+    #[error("store answered with status {0}")]
     Status(StatusCode),
-    /// Its answer cannot be read.
+    /// The response cannot be decoded.
     #[error(transparent)]
     DecodeError(#[from] DecodeError),
-    /// Changes that were not seen are no longer kept.
-    #[error("history is gone")]
+    /// The store no longer keeps the changes after this node's revision.
+    #[error("the store no longer keeps the changes after this revision")]
     HistoryGone,
 }
 
-/// Follows one table as long as the node runs.
+/// Watches one table for as long as the node runs.
 pub async fn watch_table(state: Rc<State>, table: Table) {
     let mut failures = 0;
     let mut changes = state.subscribe();
@@ -80,7 +78,7 @@
     }
     loop {
         if !state.must_read() {
-            // A node that follows another has no call of its own that fails.
+            // A node that receives the table from a peer makes no calls, so none has failed.
             state
                 .directory
                 .borrow_mut()
@@ -93,13 +91,13 @@
         }
         let mut result = read_or_watch(&state, table, failures > 0).await;
         if matches!(result, Err(Error::HistoryGone)) {
-            info!(state.log, "history gone, reading the whole table"; "table" => %table);
+            info!(state.log, "changes no longer kept by the store, reading the whole table"; "table" => %table);
             result = read_table(&state, table).await;
         }
         match result {
             Ok(()) => {
                 if failures > 0 {
-                    info!(state.log, "store regained"; "table" => %table, "failures" => failures);
+                    info!(state.log, "store answers again"; "table" => %table, "failures" => failures);
                 }
                 failures = 0;
                 let is_reader = state.is_reader();
@@ -114,7 +112,7 @@
                 failures += 1;
                 state.directory.borrow_mut().record_store_lost(table);
                 if failures == 1 {
-                    warn!(state.log, "store lost"; "table" => %table, "error" => %error);
+                    warn!(state.log, "call to the store failed, retrying"; "table" => %table, "error" => %error);
                     state.metrics.count("store.lost");
                 }
                 sleep(duration(retry_delay_ms(&state, failures))).await;
@@ -123,8 +121,8 @@
     }
 }
 
-/// Pause after failed calls. Readers try for all; the others try seldom, in
-/// case the store turns away their readers alone.
+/// Returns the delay after failed calls. Readers retry often, for all nodes. The others
+/// retry rarely, in case only their readers cannot reach the store.
 fn retry_delay_ms(state: &State, failures: u64) -> Millis {
     if !state.is_reader() && state.followed_peer.get().is_up {
         return Millis(rand::random_range(PROBE_INTERVAL_MS));
@@ -132,11 +130,11 @@
     Millis(RETRY_DELAY_MS.0 * failures.min(4)).min(MAX_RETRY_DELAY_MS)
 }
 
-/// Renews this node's entry as long as it runs, and reads the list of nodes
-/// where no reader passes it on.
+/// Renews this node's entry for as long as the node runs, and reads the list of nodes
+/// if no reader sends it.
 pub async fn maintain_registration(state: Rc<State>) {
     if let Err(error) = write_node(&state, &[]).await {
-        warn!(state.log, "entry not written"; "error" => %error);
+        warn!(state.log, "node's entry in the store not written, retrying"; "error" => %error);
     }
     if state.settings.is_first_start {
         sleep(FIRST_READ_DELAY).await;
@@ -150,15 +148,15 @@
         match result {
             Ok(()) => sleep(std::mem::replace(&mut delay, duration(RENEW_INTERVAL_MS))).await,
             Err(error) => {
-                warn!(state.log, "node list not read"; "error" => %error);
+                warn!(state.log, "node list or own entry not refreshed, retrying"; "error" => %error);
                 sleep(duration(Millis(rand::random_range(PROBE_INTERVAL_MS)))).await;
             }
         }
     }
 }
 
-/// Reads the list if nobody passes it on, drops old entries and renews its own
-/// before it would count as stale.
+/// Reads the list if no reader sends it, removes expired entries and renews this node's
+/// entry before it counts as stale.
 async fn refresh_registration(state: &Rc<State>) -> Result<(), Error> {
     let has_no_peer = !state.is_registered.get() && !state.followed_peer.get().is_up;
     let dropped = if has_no_peer || state.must_read() {
@@ -178,7 +176,7 @@
     let settings = &state.settings;
     let now = state.clock.now();
     if state.nodes.borrow().reads() == 0 {
-        // The store's clock is not known yet.
+        // The entry is stamped with the store's clock, which is not known yet.
         read_nodes(state).await?;
     }
     let node = Node {
@@ -220,7 +218,7 @@
     Ok(())
 }
 
-/// Reads a whole table, page by page.
+/// Reads a whole table page by page and applies it as one batch.
 async fn read_table(state: &Rc<State>, table: Table) -> Result<(), Error> {
     let calls = state.platform.store;
     let requested_ms = state.clock.now();
@@ -234,7 +232,7 @@
         match &mut all {
             None => all = Some(page),
             Some(all) => {
-                // The first page's revision stands: later changes follow it.
+                // Keep the first page's revision, so that changes made since are read again.
                 all.batch.changes.extend(page.batch.changes);
                 all.unreadable.extend(page.unreadable);
             }
@@ -251,14 +249,14 @@
 
 fn apply_page(state: &Rc<State>, table: Table, requested_ms: Millis, page: &Page) {
     for key in &page.unreadable {
-        warn!(state.log, "unreadable entry"; "table" => %table, "key" => key.as_str());
+        warn!(state.log, "row ignored: cannot be decoded"; "table" => %table, "key" => key.as_str());
     }
     let now = state.clock.now();
     state
         .directory
         .borrow_mut()
         .record_store_regained(now, table);
-    // A held call is answered with what the table says at its end.
+    // A long poll returns the changes as of its end, a read those as of its start.
     let as_of_ms = if page.batch.is_whole {
         requested_ms
     } else {
@@ -280,7 +278,7 @@
     }
 }
 
-/// Builds the HTTP request of a call.
+/// Builds the HTTP request for a call.
 pub(crate) fn http_request(address: &str, call: &Call) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
