--- a/filbertpaddle-gateway/src/connection_pool.rs
+++ b/filbertpaddle-gateway/src/connection_pool.rs
@@ -1,7 +1,7 @@
 //! Connections to targets and the store, one request at a time on each.
 //!
-//! `hyper`'s connection is used below `reqwest`, since the rules need to know
-//! whether a byte of a request may have left, and which connection it was.
+//! Uses `hyper`'s connections directly instead of `reqwest`, because the retry rules
+//! depend on whether any byte of a request may have left, and on which connection.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -31,37 +31,36 @@
 
 use crate::clock::Clock;
 
-/// How long a connection may take to stand. Far above a round trip between
-/// data centres, and short enough to try another target in time.
+/// Far above a round trip between data centres, and short enough to try another target
+/// in time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
-/// How long unacknowledged bytes wait before a connection is given up.
+/// Time that sent bytes may stay unacknowledged before a connection fails.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Idle time after which a connection is probed, and between probes.
+/// Idle time before the first keep-alive probe, and time between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes that may stay unanswered.
+/// Unanswered keep-alive probes after which a connection fails.
 const KEEPALIVE_PROBES: u32 = 2;
-/// Idle time after which a connection is not used again if its target says nothing.
+/// Idle time after which a connection is not reused if its target states no limit.
 const DEFAULT_IDLE_MS: Millis = Millis(400);
-/// Longest idle time after which a connection is used again.
+/// Maximum idle time of a reused connection.
 const MAX_IDLE_MS: Millis = Millis::from_secs(4);
-/// Most idle connections kept to one address.
 const MAX_IDLE_PER_ADDRESS: usize = 8;
 
-/// Why a request got no answer.
+/// Reason why a request got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// Nothing listens at the address; no byte of the request has left.
-    #[error("connection refused")]
+    #[error("connection refused, request not sent")]
     Refused,
     /// No byte of the request has left.
-    #[error("not sent: {0}")]
+    #[error("request not sent: {0}")]
     NotSent(String),
-    /// The request may have arrived.
-    #[error("no answer: {0}")]
+    /// The request may have reached the target.
+    #[error("no response, request may have arrived: {0}")]
     Unknown(String),
 }
 
-/// Open connections by address.
+/// A pool of idle connections by address.
 pub struct ConnectionPool {
     clock: Clock,
     idle: RefCell<IndexMap<Name, Vec<IdleConnection>>>,
@@ -72,13 +71,13 @@
     usable_until_ms: Millis,
 }
 
-/// A connection in use; dropping it closes it.
+/// An open connection. Dropping it closes it.
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
 }
 
-/// An answer whose body is still to be read.
+/// A response whose body is still to be read.
 pub struct PendingResponse {
     /// Status and headers.
     pub head: http::response::Parts,
@@ -86,8 +85,8 @@
     pub body: Body,
 }
 
-/// The body of an answer. It closes its connection unless it is read to its
-/// end and the connection is given back.
+/// The body of a response. Dropping it closes the connection;
+/// [`Body::recycle`] returns the connection to the pool.
 pub struct Body {
     incoming: Incoming,
     connection: Connection,
@@ -95,17 +94,17 @@
     pool: Rc<ConnectionPool>,
 }
 
-/// How a request may use connections.
+/// Which connections a request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// An idle connection or a new one.
+    /// An idle connection if there is one, else a new one.
     Idle,
-    /// A new connection, which its target cannot have given up meanwhile.
+    /// Only a new connection, which the target cannot have closed while idle.
     New,
 }
 
 impl ConnectionPool {
-    /// Opens no connection yet.
+    /// Creates an empty pool.
     pub fn new(clock: Clock) -> Rc<Self> {
         Rc::new(Self {
             clock,
@@ -113,7 +112,7 @@
         })
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     ///
     /// # Errors
     ///
@@ -139,7 +138,7 @@
         sent.map_err(|(error, _)| error)
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the whole response, within a time limit.
     ///
     /// # Errors
     ///
@@ -161,7 +160,7 @@
         timeout(within, response).await.map_err(|_| timed_out())?
     }
 
-    /// Closes idle connections that are not used in time.
+    /// Closes connections that have been idle for too long.
     pub fn close_stale(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
@@ -240,11 +239,11 @@
 }
 
 impl Body {
-    /// Waits for the next bytes; `None` at the end.
+    /// Waits for the next bytes; returns `None` at the end.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Unknown`] if the answer breaks off.
+    /// Returns [`Error::Unknown`] if the response breaks off.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Error> {
         while let Some(frame) = self.incoming.frame().await {
             let frame = frame.map_err(|error| Error::Unknown(describe(&error)))?;
@@ -255,11 +254,11 @@
         Ok(None)
     }
 
-    /// Reads all that is left.
+    /// Reads the rest of the body.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Unknown`] if the answer breaks off.
+    /// Returns [`Error::Unknown`] if the response breaks off.
     pub async fn read_to_end(&mut self) -> Result<Bytes, Error> {
         let Some(first) = self.next().await? else {
             return Ok(Bytes::new());
@@ -278,8 +277,8 @@
         })
     }
 
-    /// Keeps the connection of a body that was read to its end, unless the
-    /// answer's headers say that it closes.
+    /// Returns the connection of a fully read body to the pool, unless the response's
+    /// headers announce that it closes.
     pub fn recycle(self, headers: &HeaderMap) {
         let Self {
             connection,
@@ -318,13 +317,13 @@
         .await
         .map_err(|error| Error::NotSent(describe(&error)))?;
     let driver = tokio::task::spawn_local(async move {
-        // What fails here fails the exchange too, which tells it.
+        // An error here also fails the request, which reports it.
         connection.await.ok();
     });
     Ok(Connection { sender, driver })
 }
 
-/// Makes a connection notice that its other end has gone silent.
+/// Sets the options by which a connection fails when its other end goes silent.
 pub(crate) fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let keepalive = TcpKeepalive::new()
@@ -343,7 +342,7 @@
         .any(|value| value.to_ascii_lowercase().contains("close"))
 }
 
-/// Reads how long the other end keeps an idle connection.
+/// Returns the other end's idle timeout from its `Keep-Alive` header.
 fn keep_alive_ms(headers: &HeaderMap) -> Option<Millis> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = value
--- a/filbertpaddle-gateway/src/listener.rs
+++ b/filbertpaddle-gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! Callers' connections.
+//! Listeners for callers, readiness checks and metrics.
 
 use std::rc::Rc;
 
@@ -21,14 +21,13 @@
 use crate::request;
 use crate::state::State;
 
-/// Idle time after which a caller's connection closes before a configuration
-/// says otherwise.
+/// Idle timeout of callers' connections while no configuration is known.
 const DEFAULT_IDLE_MS: Millis = Millis::from_secs(15);
-/// How much longer than configured an idle connection is kept, so that a request
-/// which callers send at the last moment does not cross the close.
+/// How much longer than configured an idle connection is kept, so that a request sent
+/// at the last moment does not cross the close.
 const IDLE_SLACK_MS: Millis = Millis::from_secs(1);
 
-/// Accepts callers until `stopping` says that idle connections close.
+/// Accepts callers' connections; idle ones close once `stopping` is true.
 pub async fn serve(state: Rc<State>, listener: TcpListener, stopping: watch::Receiver<bool>) {
     loop {
         match listener.accept().await {
@@ -36,7 +35,9 @@
                 let (state, stopping) = (Rc::clone(&state), stopping.clone());
                 tokio::task::spawn_local(handle_connection(state, stream, stopping));
             }
-            Err(error) => warn!(state.log, "cannot accept a caller"; "error" => %error),
+            Err(error) => {
+                warn!(state.log, "connection from a caller not accepted"; "error" => %error)
+            }
         }
     }
 }
@@ -47,7 +48,7 @@
     mut stopping: watch::Receiver<bool>,
 ) {
     if let Err(error) = set_socket_options(&stream) {
-        debug!(state.log, "caller's connection lost"; "error" => %error);
+        debug!(state.log, "socket options not set, closing caller's connection"; "error" => %error);
         return;
     }
     let idle_ms = idle_timeout_ms(&state);
@@ -66,7 +67,7 @@
         }
     };
     if let Err(error) = result {
-        debug!(log, "caller's connection ended"; "error" => %error);
+        debug!(log, "caller's connection ended with an error"; "error" => %error);
     }
 }
 
@@ -80,7 +81,7 @@
     configured_ms + IDLE_SLACK_MS
 }
 
-/// Answers the balancer whether the node takes callers.
+/// Serves the balancer's readiness checks.
 pub async fn serve_ready(state: Rc<State>, listener: TcpListener) {
     serve_text(listener, move |_| {
         if state.is_ready() {
@@ -97,7 +98,7 @@
     serve_text(listener, move |_| (StatusCode::OK, state.metrics.text())).await;
 }
 
-/// Answers every request at `listener` by `reply`, from its path.
+/// Serves plain-text responses made by `reply` from a request's path.
 async fn serve_text<F>(listener: TcpListener, reply: F)
 where
     F: Fn(&str) -> (StatusCode, String) + Clone + 'static,
@@ -114,7 +115,7 @@
             .timer(TokioTimer::new())
             .serve_connection(TokioIo::new(stream), service);
         tokio::task::spawn_local(async move {
-            // The balancer asks again; a lost question needs no line.
+            // The client retries, so a failed connection is not logged.
             connection.await.ok();
         });
     }
--- a/filbertpaddle-gateway/src/node.rs
+++ b/filbertpaddle-gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! Start, run and stop of a gateway node.
+//! Start, main loop and shutdown of a gateway node.
 
 use std::io;
 use std::net::SocketAddr;
@@ -29,41 +29,40 @@
 use crate::state::State;
 use crate::store_sync;
 
-/// How often doubts and idle connections are looked at.
+/// Interval of the removal of targets and of idle connections.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// How often the settings are read again.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
-/// How long after the signal the balancer may still send callers here: it asks
-/// once a second and takes two misses.
+/// Time after the stop signal in which the balancer may still send callers here: it
+/// checks once a second and needs two failed checks.
 const BALANCER_GRACE_MS: Millis = Millis(2_500);
-/// How often a stopping node looks whether its requests have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time before the grace ends at which a stopping node ends by itself.
+/// Time before the end of the grace period at which a stopping node exits by itself.
 const EXIT_MARGIN_MS: Millis = Millis(150);
 
-/// Why a node cannot run.
+/// Reason why a node cannot run.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The runtime cannot be set up.
-    #[error("cannot set up the runtime: {0}")]
+    /// The async runtime cannot be created.
+    #[error("cannot create the async runtime: {0}")]
     Runtime(io::Error),
-    /// An address cannot be bound.
+    /// A listening address cannot be bound.
     #[error("cannot listen at {address}: {error}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// Cause.
         error: io::Error,
     },
-    /// A signal cannot be handled.
-    #[error("cannot handle signals: {0}")]
+    /// A signal handler cannot be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signal(io::Error),
 }
 
-/// How an adapter reads the settings again when they change.
+/// Function of the adapter that rereads the settings.
 pub type Reload = fn() -> Result<Settings, String>;
 
-/// Runs a node until it is told to stop and its requests have ended.
+/// Runs a node until it is told to stop and its requests have ended or the grace period
+/// is over.
 ///
 /// # Errors
 ///
@@ -121,7 +120,7 @@
                     metrics,
                 )));
             }
-            Err(error) => warn!(state.log, "no metrics"; "error" => %error),
+            Err(error) => warn!(state.log, "metrics are not served"; "error" => %error),
         }
     }
     let mut ticks = interval(TICK_INTERVAL);
@@ -130,10 +129,10 @@
         tokio::select! {
             _ = terminate.recv() => break,
             _ = hang_up.recv() => {
-                info!(state.log, "told that the settings changed");
+                info!(state.log, "received SIGHUP, rereading the settings");
                 reload_settings(&state, reload);
             }
-            // The file may also change without a signal.
+            // The settings may also change without a signal.
             _ = reloads.tick() => reload_settings(&state, reload),
             _ = ticks.tick() => {
                 state.apply_due_removals();
@@ -145,19 +144,19 @@
     Ok(())
 }
 
-/// Reads the settings again. Name, data centre and addresses stay those of the
-/// node's start; the rest is in force at once.
+/// Rereads the settings and applies the reloadable ones. Name, data centre and addresses
+/// stay as they were at the node's start.
 fn reload_settings(state: &State, reload: Reload) {
     let settings = match reload() {
         Ok(settings) => settings,
         Err(error) => {
-            warn!(state.log, "settings not read"; "error" => error);
+            warn!(state.log, "settings not reread, the previous ones stay in force"; "error" => error);
             return;
         }
     };
     let previous = state.reloadable.replace(settings.reloadable.clone());
     if previous != settings.reloadable {
-        info!(state.log, "settings changed";
+        info!(state.log, "settings reloaded";
             "grace_ms" => settings.reloadable.grace_ms.0,
             "retry_ratio" => settings.reloadable.retries.ratio,
             "retry_slack" => settings.reloadable.retries.slack,
@@ -165,12 +164,12 @@
     }
 }
 
-/// Finishes what runs and closes what is idle.
+/// Finishes running requests and closes idle connections.
 async fn drain(state: &State, stop: &watch::Sender<bool>) {
     let began_ms = state.clock.now();
     let grace_ms = state.reloadable.borrow().grace_ms;
     state.drain.set(Some(Drain { began_ms, grace_ms }));
-    info!(state.log, "node stops"; "in_flight" => state.in_flight.get(), "grace_ms" => grace_ms.0);
+    info!(state.log, "node is stopping"; "in_flight" => state.in_flight.get(), "grace_ms" => grace_ms.0);
     let elapsed_ms = || state.clock.now().since(began_ms);
     while elapsed_ms() < BALANCER_GRACE_MS.min(grace_ms) {
         sleep(DRAIN_POLL_INTERVAL).await;
@@ -179,8 +178,8 @@
     while state.in_flight.get() > 0 && elapsed_ms() + EXIT_MARGIN_MS < grace_ms {
         sleep(DRAIN_POLL_INTERVAL).await;
     }
-    // What comes now would be cut, so it is refused unsent. The wait lets the last
-    // bytes and lines leave.
+    // A request admitted now would be cut off, so further ones are refused unsent. The
+    // wait lets the last response bytes and log lines out.
     state.is_closing.set(true);
     sleep(DRAIN_POLL_INTERVAL).await;
     while state.in_flight.get() > 0 && elapsed_ms() + EXIT_MARGIN_MS < grace_ms {
@@ -190,7 +189,7 @@
         "in_flight" => state.in_flight.get(), "elapsed_ms" => elapsed_ms().0);
 }
 
-/// Binds an address; a port that the system chose is put in its place.
+/// Binds an address and updates it with the port if the system chose one.
 async fn listen(address: &mut SocketAddr) -> Result<TcpListener, Error> {
     let failed = |address: &SocketAddr, error| Error::Listen {
         address: *address,
--- a/filbertpaddle-gateway/src/state.rs
+++ b/filbertpaddle-gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node share.
+//! State shared by all tasks of a node.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -30,30 +30,30 @@
 use crate::settings::Reloadable;
 use crate::settings::Settings;
 
-/// Age from which knowledge is doubted while calls to the store fail.
+/// Age of the data above which the store counts as lost while calls to it fail.
 const STORE_LOST_AGE_MS: Millis = Millis(400);
-/// How long a node without a link waits for another before it reads the store.
+/// How long a node without a followed node waits for one before it reads the store.
 const RELINK_WAIT_MS: Millis = Millis(500);
 
-/// What a link to another node says of the store.
+/// Status of the followed node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// Whether a node is being followed that answers.
+    /// Whether this node follows another that responds.
     pub is_up: bool,
-    /// Whether that node's last call to the store failed, or its knowledge is old.
+    /// Whether that node has lost the store or its data is old.
     pub is_store_lost: bool,
 }
 
-/// What the parts of a node share. A node runs on one thread.
+/// State shared by all tasks of a node, which run on one thread.
 #[derive(Debug)]
 pub struct State {
-    /// Settings.
+    /// Settings as of the node's start.
     pub settings: Settings,
-    /// Settings that may change while the node runs.
+    /// Settings that are reread while the node runs.
     pub reloadable: RefCell<Reloadable>,
-    /// How the platform speaks.
+    /// Interface to the platform.
     pub platform: PlatformApi,
-    /// Steady clock.
+    /// Monotonic clock.
     pub clock: Clock,
     /// Log.
     pub log: Logger,
@@ -61,36 +61,36 @@
     pub metrics: Metrics,
     /// Connections to targets and the store.
     pub connections: Rc<ConnectionPool>,
-    /// Configuration, targets, data centres.
+    /// Configuration, targets and data centres as read from the store.
     pub directory: RefCell<Directory>,
-    /// Load and health of targets.
+    /// Load and health of targets; selects the target of a request.
     pub selector: RefCell<TargetSelector>,
-    /// Other nodes.
+    /// Live nodes.
     pub nodes: RefCell<Nodes>,
-    /// The link to a node that reads the store for this one.
+    /// Status of the node that this one follows.
     pub followed_peer: Cell<PeerStatus>,
-    /// What other nodes have given targets.
+    /// Load that nodes have placed on targets.
     pub load_table: RefCell<LoadTable>,
-    /// When the last link was lost, or the node could first have had one.
+    /// Time when the followed node was lost, or when this node could first follow one.
     pub peer_lost_ms: Cell<Millis>,
     budgets: RefCell<IndexMap<Name, RetryBudget>>,
     /// Requests that were running when their target crashed.
     pub suspects: RefCell<Suspects>,
-    /// Whether the node has tried to learn of the others.
+    /// Whether the node has tried to read the list of nodes.
     pub is_registered: Cell<bool>,
-    /// Whether the node is about to end and takes nothing any more.
+    /// Whether the node is about to exit and refuses all requests.
     pub is_closing: Cell<bool>,
-    /// When it last wrote its entry.
+    /// Time when the node last wrote its entry to the store.
     pub written_ms: Cell<Option<Millis>>,
-    /// The stop, once the node has been told to.
+    /// Drain of this node, once it has been told to stop.
     pub drain: Cell<Option<Drain>>,
-    /// Requests that are being served.
+    /// Number of requests that are being served.
     pub in_flight: Cell<usize>,
     changes: watch::Sender<u64>,
 }
 
 impl State {
-    /// Starts with nothing known.
+    /// Creates the state of a node that has read nothing yet.
     pub fn new(settings: Settings, platform: PlatformApi, log: Logger) -> Rc<Self> {
         let clock = Clock::new();
         let selector = TargetSelector::new(settings.node.clone(), settings.data_centre.clone());
@@ -119,21 +119,21 @@
         })
     }
 
-    /// Takes a batch from `source` that was up to date at `as_of_ms`.
+    /// Applies a batch from `source` that was up to date at `as_of_ms`.
     pub fn apply(&self, source: &str, as_of_ms: Millis, batch: &Batch) {
         let now = self.clock.now();
         let effect = self.directory.borrow_mut().apply(now, as_of_ms, batch);
         self.record_applied(source, as_of_ms, &effect);
     }
 
-    /// Believes what time has shown.
+    /// Applies removals of targets whose waiting time is over.
     pub fn apply_due_removals(&self) {
         let now = self.clock.now();
         let effect = self.directory.borrow_mut().apply_due_removals(now);
         self.record_applied("timer", now, &effect);
     }
 
-    /// Does something with the retry budget of a service.
+    /// Calls `action` with the retry budget of a service.
     pub fn with_budget<T, F>(&self, service: &Name, action: F) -> T
     where
         F: FnOnce(&mut RetryBudget) -> T,
@@ -142,7 +142,7 @@
         action(budgets.entry(service.clone()).or_default())
     }
 
-    /// Takes over the list of nodes; returns the entries to drop.
+    /// Replaces the list of nodes; returns the entries to remove.
     pub fn update_nodes(&self, list: NodeList) -> Vec<Name> {
         let mut nodes = self.nodes.borrow_mut();
         let dropped = nodes.update(self.clock.now(), list);
@@ -151,32 +151,34 @@
         dropped
     }
 
-    /// Tells when targets or the configuration change.
+    /// Returns a receiver that is notified when targets, the configuration or the followed
+    /// node's status change.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Wakes those who wait for changes.
+    /// Notifies all subscribers of a change.
     pub fn notify(&self) {
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Takes a target's own word that it leaves.
+    /// Marks a target as draining after its own report says so.
     pub fn mark_target_draining(&self, target: &Target) {
         let is_news = self.directory.borrow_mut().mark_draining(target);
         if is_news {
-            info!(self.log, "target says that it leaves"; "target" => target.id.as_str());
+            info!(self.log, "target reports that it drains, sending no more requests"; "target" => target.id.as_str());
             self.notify();
         }
     }
 
-    /// Age of what is known of a table.
+    /// Returns the age of this node's data of a table.
     pub fn data_age_ms(&self, table: Table) -> Millis {
         let heard_ms = self.directory.borrow().current_at_ms(table);
         self.clock.now().since(heard_ms)
     }
 
-    /// Whether this node reads the store: for others, or because no other does.
+    /// Returns whether this node reads the store: as a reader for others, or because no
+    /// node that it could follow does.
     pub fn must_read(&self) -> bool {
         if self.is_reader() {
             return true;
@@ -185,13 +187,13 @@
         if status.is_up {
             return status.is_store_lost;
         }
-        // Another reader is likely to be linked in a moment.
+        // A node to follow is likely to be found within this time.
         self.clock.now() >= self.peer_lost_ms.get() + RELINK_WAIT_MS
     }
 
-    /// Whether this node is one of those that read the store for others.
+    /// Returns whether this node reads the store for its data centre.
     pub fn is_reader(&self) -> bool {
-        // Its list of nodes may be incomplete before.
+        // Before the first read, the list of nodes may be incomplete.
         if !self.is_registered.get() {
             return false;
         }
@@ -201,8 +203,8 @@
         readers.is_empty() || readers.iter().any(|node| node.name == self.settings.node)
     }
 
-    /// Whether the store's last word is missing, by this node's own calls or by
-    /// the word of the node that it follows.
+    /// Returns whether the store's current data is unavailable, judged by this node's own
+    /// calls or reported by the node that it follows.
     pub fn is_store_lost(&self) -> bool {
         if self.must_read() {
             let age_ms = self
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Sets what the link says.
+    /// Sets the status of the followed node.
     pub fn set_followed_peer(&self, status: PeerStatus) {
         let previous = self.followed_peer.replace(status);
         if previous.is_up && !status.is_up {
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Whether the balancer may send callers here.
+    /// Returns whether the balancer may send callers here.
     pub fn is_ready(&self) -> bool {
         self.drain.get().is_none() && self.directory.borrow().is_complete()
     }
@@ -236,11 +238,11 @@
         }
         let age_ms = self.clock.now().since(as_of_ms).0;
         if let Some(version) = effect.configuration {
-            info!(self.log, "configuration in force";
+            info!(self.log, "configuration applied";
                 "version" => version, "source" => source, "age_ms" => age_ms);
         }
         for (name, is_out) in &effect.data_centres {
-            info!(self.log, "data centre changed";
+            info!(self.log, "data centre state changed";
                 "data_centre" => name.as_str(), "is_out" => *is_out,
                 "source" => source, "age_ms" => age_ms);
         }
@@ -256,11 +258,11 @@
     fn log_target(&self, id: &str, source: &str, age_ms: u64) {
         let directory = self.directory.borrow();
         match directory.target(id) {
-            Some(target) => info!(self.log, "target listed";
+            Some(target) => info!(self.log, "target added or changed";
                 "target" => id, "address" => target.address.as_str(),
                 "is_draining" => target.is_draining, "cold_ms" => target.cold_ms.0,
                 "source" => source, "age_ms" => age_ms),
-            None => info!(self.log, "target gone";
+            None => info!(self.log, "target removed";
                 "target" => id, "source" => source, "age_ms" => age_ms),
         }
     }
