--- a/filbertpaddle-gateway/src/buffered.rs
+++ b/filbertpaddle-gateway/src/buffered.rs
@@ -1,4 +1,4 @@
-//! Requests that are answered whole.
+//! Serves requests whose response is buffered and forwarded as a whole.
 
 use std::time::Duration;
 
@@ -18,15 +18,15 @@
 use crate::reply::Refusal;
 use crate::reply::Reply;
 
-/// How many times its latency goal an idempotent request waits at one target
-/// while it may still be sent to another.
+/// Multiple of the latency goal that an idempotent request waits at one target while it
+/// may still be sent to another.
 const ATTEMPT_GOAL_FACTOR: u64 = 3;
 
-/// Serves one request; the answer is final.
+/// Serves one request, with retries at other targets where the route allows them.
 ///
 /// # Errors
 ///
-/// Returns why no target's answer is passed on.
+/// Returns the refusal to send if no target's response can be forwarded.
 pub async fn serve(job: &Job, progress: &mut Progress) -> Result<Reply, Refusal> {
     let mut last: Option<(Parts, Bytes)> = None;
     loop {
@@ -82,7 +82,9 @@
     };
     match timeout(attempt_timeout(job, progress), response).await {
         Ok(result) => result,
-        Err(_) => Err(Failure::Unknown("timeout".to_owned())),
+        Err(_) => Err(Failure::Unknown(
+            "no complete response within the time limit of the attempt".to_owned(),
+        )),
     }
 }
 
@@ -96,7 +98,8 @@
     duration(goal_ms.min(Millis(remaining_ms.0 / 2)))
 }
 
-/// Passes an answer on, unless its status would promise what is not so.
+/// Forwards a response, unless its status would wrongly promise that a request which is
+/// not idempotent has not run.
 fn checked_reply(job: &Job, head: Parts, bytes: Bytes) -> Result<Reply, Refusal> {
     let promises_not_run = matches!(
         head.status,
@@ -110,8 +113,8 @@
     Ok(reply::forward(head, bytes))
 }
 
-/// Ends a request that no target answered well: with a target's own failure if
-/// there is one, else with the truth about what may have run.
+/// Ends a request that no target served successfully: with the last error response of a
+/// target if there is one, else with a refusal that states whether it may have run.
 fn finish(job: &Job, progress: &Progress, last: Option<(Parts, Bytes)>) -> Result<Reply, Refusal> {
     match last {
         Some((head, bytes)) => checked_reply(job, head, bytes),
--- a/filbertpaddle-gateway/src/generation.rs
+++ b/filbertpaddle-gateway/src/generation.rs
@@ -1,7 +1,7 @@
-//! Requests that are answered by a stream of events.
+//! Serves requests whose response is a stream of events.
 //!
-//! A generation reads the events of one target at a time, passes whole events
-//! on, and goes on from another target when the first leaves.
+//! A generation reads events from one target at a time and forwards only complete ones.
+//! When that target drains, stalls or fails, it resumes at another target if it can.
 
 use std::fmt;
 use std::future::pending;
@@ -34,27 +34,27 @@
 use crate::target_stream::StreamItem;
 use crate::target_stream::TargetStream;
 
-/// Silence after which a generation goes on elsewhere if it can. Callers give a
-/// stream up after two seconds.
+/// Time without an event after which a generation resumes at another target if it can.
+/// Callers abandon a stream after two seconds.
 const STALL_TIMEOUT_MS: Millis = Millis(900);
 
-/// How many times its latency goal a resumable stream waits for its first event
-/// at one target. A busy target needs longer than the goal, and what it has
-/// read is lost if the request goes elsewhere.
+/// Multiple of the latency goal that a resumable stream waits for its first event at one
+/// target. A busy target needs longer than the goal, and its prefill work is lost if the
+/// request goes to another target.
 const FIRST_EVENT_GOAL_FACTOR: u64 = 2;
 
-/// Why a generation ended before it was complete.
+/// Reason why a generation ended before it was complete.
 #[derive(Debug)]
 pub enum StopReason {
-    /// A target's own failure is passed on.
+    /// A target answered with an error status, which is forwarded.
     Failed(Box<Reply>),
-    /// The node refuses or fails it.
+    /// The node refuses the request.
     Refused(Refusal),
-    /// The stream broke off and could not go on.
+    /// The stream broke off and could not be resumed.
     Broken,
-    /// The time is up.
+    /// The deadline has passed.
     TimedOut,
-    /// The caller left.
+    /// The caller closed its connection.
     CallerGone,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// What a generation waits for.
+/// Outcome of waiting in the main loop.
 enum WaitOutcome {
     Item(StreamItem),
     Copied(CopyResult),
@@ -73,14 +73,14 @@
     Changed,
 }
 
-/// Where a generation runs.
+/// Target on which a generation is placed.
 #[derive(Clone, Debug)]
 struct Placement {
     target: Target,
     is_started: bool,
 }
 
-/// One generation that is being served.
+/// A generation that is being served.
 pub struct Generation<'a> {
     job: &'a Job,
     progress: &'a mut Progress,
@@ -98,12 +98,12 @@
     }
 }
 
-/// Serves a generation until it is complete, fails, or `gone` tells that its
-/// caller has left.
+/// Serves a generation until it completes or fails, its deadline passes, or its caller
+/// is gone, which closes `gone`.
 ///
 /// # Errors
 ///
-/// Returns why it is not complete.
+/// Returns the reason why it is not complete.
 pub async fn serve(
     job: &Job,
     progress: &mut Progress,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Gives back what the generation holds.
+    /// Releases the generation's load at its target and its copy.
     fn close(mut self) {
         self.release_placement();
         self.migrator.close();
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Waits for the next event, copy or time to act.
+    /// Waits for the next event, the result of a copy, a change of targets or a timer.
     async fn next(&mut self, source: &mut TargetStream) -> WaitOutcome {
         self.check_draining(source);
         let clock = self.job.state.clock;
@@ -191,7 +191,8 @@
         }
     }
 
-    /// Notices that the target leaves, once the generation has begun there.
+    /// Schedules a migration if the target is draining or gone and the generation has
+    /// delivered an event.
     fn check_draining(&mut self, source: &TargetStream) {
         let state = &self.job.state;
         let is_leaving = {
@@ -213,7 +214,7 @@
         self.last_activity_ms = self.job.state.clock.now();
         if let Some(id) = event.id {
             match self.last_event {
-                // Sent again by a target that goes on from a copy.
+                // Repeated by a target that resumed from a copy.
                 Some(last) if id <= last => return Ok(()),
                 Some(last) if id > last + 1 => return Err(StopReason::Broken),
                 _ => self.last_event = Some(id),
@@ -223,7 +224,7 @@
         Ok(())
     }
 
-    /// Finds a target and waits for its first event.
+    /// Places the generation on a target and waits for the first event there.
     async fn open(&mut self) -> Result<TargetStream, StopReason> {
         loop {
             let Ok(target) = self.job.choose_target(self.progress) else {
@@ -260,11 +261,13 @@
         ));
         match timeout(first_event_timeout, self.start_at(target, resume)).await {
             Ok(result) => result,
-            Err(_) => Err(Failure::Unknown("no event in time".to_owned()).into()),
+            Err(_) => {
+                Err(Failure::Unknown("no first event within the time limit".to_owned()).into())
+            }
         }
     }
 
-    /// Sends the request and waits for the first event of its answer.
+    /// Sends the request to a target and waits for the first event of its response.
     async fn start_at(
         &mut self,
         target: &Target,
@@ -302,7 +305,7 @@
         let silent_ms = now.since(self.last_activity_ms);
         self.last_activity_ms = now;
         if self.writer.is_started() {
-            info!(state.log, "generation goes on";
+            info!(state.log, "generation resumed at another target";
                 "id" => self.job.metadata.attempt.as_str(), "target" => target.id.as_str(),
                 "last_event" => self.last_event, "silent_ms" => silent_ms.0);
             state.metrics.time("generation.move_pause", silent_ms);
@@ -318,14 +321,14 @@
         state.metrics.time("generation.first_event", waited_ms);
     }
 
-    /// Goes on after the stream of `source` has broken off or gone silent.
+    /// Resumes after the stream of `source` has broken off or stalled.
     async fn recover(
         &mut self,
         source: TargetStream,
         reason: &str,
     ) -> Result<TargetStream, StopReason> {
         let state = &self.job.state;
-        info!(state.log, "stream broke off";
+        info!(state.log, "stream of target broke off or stalled";
             "id" => self.job.metadata.attempt.as_str(),
             "target" => source.target.id.as_str(), "reason" => reason,
             "last_event" => self.last_event, "has_copy" => self.migrator.has_copy());
@@ -341,7 +344,8 @@
         self.reopen(source).await
     }
 
-    /// Starts again behind the last event, where the route allows it.
+    /// Sends the request to another target, to resume after the last event, if the route
+    /// allows it.
     async fn reopen(&mut self, source: TargetStream) -> Result<TargetStream, StopReason> {
         self.progress
             .excluded_targets
@@ -354,13 +358,13 @@
         self.open().await
     }
 
-    /// Goes on from the copy at another target.
+    /// Resumes from the copy at another target.
     async fn switch_to_copy(&mut self, source: TargetStream) -> Result<TargetStream, StopReason> {
         let Some((copy, target)) = self.migrator.take_copy() else {
             return self.reopen(source).await;
         };
         let state = &self.job.state;
-        info!(state.log, "generation moves";
+        info!(state.log, "generation moving to the target of its copy";
             "id" => self.job.metadata.attempt.as_str(),
             "from" => source.target.id.as_str(), "to" => target.id.as_str(),
             "last_event" => self.last_event, "copied_events" => copy.events);
@@ -392,12 +396,12 @@
         }
     }
 
-    /// Whether the stream could go on somewhere else.
+    /// Returns whether the stream could resume at another target.
     fn can_resume(&self) -> bool {
         self.migrator.has_copy() || self.may_resend()
     }
 
-    /// Whether the request may be sent to one more target.
+    /// Returns whether the request may be sent to one more target.
     fn may_resend(&self) -> bool {
         self.job.route.kind.is_idempotent() && self.progress.sends < self.job.route.max_attempts
     }
@@ -418,7 +422,7 @@
     }
 }
 
-/// Why a stream did not begin.
+/// Reason why a stream did not start.
 enum OpenError {
     Failed(Failure),
     Stopped(StopReason),
--- a/filbertpaddle-gateway/src/job.rs
+++ b/filbertpaddle-gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! One admitted request, and how it is sent to targets.
+//! An admitted request, and the rules for sending and resending it to targets.
 
 use std::rc::Rc;
 
@@ -31,97 +31,98 @@
 use crate::reply::Refusal;
 use crate::state::State;
 
-/// Most connections that are tried for one request before it is refused.
+/// Maximum number of connection attempts for one request before it is refused.
 pub const MAX_CONNECTS: u32 = 12;
-/// Least urgent rank that targets know.
+/// Lowest priority that targets accept.
 const LEAST_URGENT: u8 = 9;
-/// When a caller may come back after targets were full or failing.
+/// Time after which a caller may retry if targets were full or failing.
 const RETRY_AFTER_MS: Millis = Millis(250);
 
 /// One admitted request.
 #[derive(Debug)]
 pub struct Job {
-    /// What the node knows.
+    /// State of the node.
     pub state: Rc<State>,
-    /// Its route at the time of admission.
+    /// Route at the time of admission.
     pub route: Route,
-    /// What its headers said.
+    /// Metadata from the caller's headers.
     pub metadata: RequestMetadata,
-    /// Customer it belongs to.
+    /// Customer that the request belongs to.
     pub customer: Option<Name>,
-    /// Rank among the requests of its service; 0 is served first.
+    /// Priority among the requests of its service; 0 is the most urgent.
     pub priority: u8,
     /// Method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// The caller's headers, without those of the connection and the system's own.
+    /// The caller's headers, without hop-by-hop headers and those that only the system
+    /// may set.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// Identity of path, customer and body.
+    /// Hash of path, customer and body, which identifies repeated requests.
     pub digest: u64,
-    /// When it was read.
+    /// Time when the request arrived.
     pub received_ms: Millis,
-    /// When the caller or the route gives up.
+    /// Time when the caller's deadline or the route's timeout expires.
     pub deadline_at_ms: Millis,
-    /// What it asks of a target.
+    /// Demand on a target.
     pub demand: RequestDemand,
-    /// Most output tokens in one event.
+    /// Maximum number of output tokens in one event.
     pub event_tokens: u32,
-    /// Whether its engines can copy a running generation to another.
+    /// Whether its engines can copy a running generation to another engine.
     pub can_migrate: bool,
 }
 
-/// How far a request has got at targets.
+/// What has happened to a request at targets so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Targets it was sent to.
+    /// Number of targets that the request was sent to.
     pub sends: u32,
-    /// Connections that were tried.
+    /// Number of connection attempts.
     pub connects: u32,
-    /// Whether it has reached one that stands where its target was.
+    /// Whether it has reached another target at the address of the chosen one.
     pub was_misdirected: bool,
-    /// Whether some target may have run it.
+    /// Whether any target may have run it.
     pub may_have_run: bool,
-    /// Whether a target has it now.
+    /// Whether it is being sent or run at a target now.
     pub is_in_flight: bool,
-    /// Targets that it is not sent to again.
+    /// Targets that it must not be sent to again.
     pub excluded_targets: Vec<Name>,
 }
 
-/// Why a target gave no answer to pass on.
+/// Reason why a target gave no response to return to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Failure {
-    /// Nothing listens at the target's address; no byte has left.
+    /// Nothing listens at the target's address; no byte of the request has left.
     Refused,
-    /// No byte has left.
+    /// No byte of the request has left.
     NotSent(String),
     /// The target proved that it did not run the request.
     NotRun,
-    /// Another target stands at the address.
+    /// Another target listens at the address.
     OtherTarget,
-    /// It may have run.
+    /// The request may have run.
     Unknown(String),
 }
 
-/// Where a generation goes on from.
+/// Point from which a target continues a generation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResumePoint<'a> {
-    /// Last event that the caller has.
+    /// Last event that the caller has received.
     pub last_event: Option<u64>,
-    /// Copy of its memory.
+    /// Copy of the generation's memory.
     pub copy: Option<CopySource<'a>>,
 }
 
 impl Job {
-    /// Time left until the caller or the route gives up.
+    /// Returns the time left until the deadline.
     pub fn remaining_ms(&self) -> Millis {
         self.deadline_at_ms.since(self.state.clock.now())
     }
 
-    /// Output tokens that are expected after `events` have been delivered.
+    /// Returns the number of output tokens expected after `events` have been delivered.
     pub fn remaining_tokens(&self, events: u64) -> u32 {
         let Some(generation) = &self.metadata.generation else {
             return 0;
@@ -131,11 +132,11 @@
         generation.expected_output_tokens().saturating_sub(made)
     }
 
-    /// Chooses a target.
+    /// Selects a target.
     ///
     /// # Errors
     ///
-    /// Returns [`PlacementError`] if no target may be given the request now.
+    /// Returns [`PlacementError`] if the request cannot be placed on any target now.
     pub fn choose_target(&self, progress: &Progress) -> Result<Target, PlacementError> {
         let state = &self.state;
         let now = state.clock.now();
@@ -145,7 +146,7 @@
         let draw = rand::random::<f64>;
         let chosen = selector.choose(now, &directory, &self.demand, excluded_targets, draw);
         if let Err(reason) = &chosen {
-            info!(state.log, "no target";
+            info!(state.log, "no target can take the request";
                 "id" => self.metadata.attempt.as_str(), "reason" => %reason,
                 "passed_over" => excluded_targets.len(),
                 "age_ms" => state.data_age_ms(Table::Targets).0);
@@ -153,11 +154,11 @@
         chosen.cloned()
     }
 
-    /// Sends the request to a target and waits for the head of its answer.
+    /// Sends the request to a target and waits for the head of its response.
     ///
     /// # Errors
     ///
-    /// Returns what is known of the failure.
+    /// Returns a [`Failure`] that states whether the request may have run.
     pub async fn send(
         &self,
         target: &Target,
@@ -183,7 +184,7 @@
         Ok((response, answer))
     }
 
-    /// Checks that an answer belongs to this request and is the target's own.
+    /// Checks that a response belongs to this attempt and was made by the target itself.
     fn verify_response(&self, head: &Parts) -> Result<ResponseMetadata, Failure> {
         let answer = (self.state.platform.headers.decode_response)(head.status, &head.headers);
         if answer.is_other_target {
@@ -193,15 +194,19 @@
             return Err(Failure::NotRun);
         }
         if answer.attempt.as_ref() != Some(&self.metadata.attempt) {
-            return Err(Failure::Unknown("answer to another attempt".to_owned()));
+            return Err(Failure::Unknown(
+                "response belongs to another attempt".to_owned(),
+            ));
         }
         if !answer.is_sealed {
-            return Err(Failure::Unknown("answer without a seal".to_owned()));
+            return Err(Failure::Unknown(
+                "response has no seal of the target".to_owned(),
+            ));
         }
         Ok(answer)
     }
 
-    /// Whether one more send is allowed after a failure.
+    /// Returns whether the request may be sent once more after a failure.
     pub fn may_retry(&self, progress: &Progress, failure: &Failure) -> bool {
         let is_allowed = match failure {
             Failure::Refused | Failure::NotSent(_) | Failure::OtherTarget => true,
@@ -213,8 +218,8 @@
         is_allowed && progress.connects < MAX_CONNECTS && self.remaining_ms() > Millis::ZERO
     }
 
-    /// Whether it may be sent now; a send after one that has reached any target
-    /// takes a retry from the node's share of the service's budget.
+    /// Returns whether the request may be sent now. Once it has reached any target, each
+    /// further send takes a retry from this node's share of the service's budget.
     pub fn may_send(&self, progress: &Progress) -> bool {
         (progress.sends == 0 && !progress.was_misdirected) || self.take_retry()
     }
@@ -233,20 +238,20 @@
         is_taken
     }
 
-    /// Counts a move against the service's budget. Targets may count it as a
-    /// retry, but it cannot be put off.
+    /// Charges a migration to the service's retry budget. Targets may count it as a retry,
+    /// but unlike a retry it cannot be refused or delayed.
     pub fn charge_migration(&self) {
         let now = self.state.clock.now();
         self.state
             .with_budget(&self.demand.service, |budget| budget.record_migration(now));
     }
 
-    /// Records a send: the target's load, the log line.
+    /// Records that the request is being sent: adds it to the target's load and logs it.
     pub fn mark_sent(&self, progress: &mut Progress, target: &Target) {
         let state = &self.state;
         let now = state.clock.now();
         let mut selector = state.selector.borrow_mut();
-        info!(state.log, "request sent";
+        info!(state.log, "sending request to target";
             "id" => self.metadata.attempt.as_str(), "target" => target.id.as_str(),
             "data_centre" => target.data_centre.as_str(),
             "running" => selector.running(&target.id), "attempt" => progress.sends + 1,
@@ -256,7 +261,8 @@
         progress.is_in_flight = true;
     }
 
-    /// Records a failed send and what it means for the target.
+    /// Records a failed send. Excludes the target for this request and, unless it only
+    /// refused to run it, for all requests for a while.
     pub fn mark_failed(&self, progress: &mut Progress, target: &Target, failure: &Failure) {
         let state = &self.state;
         let now = state.clock.now();
@@ -283,13 +289,13 @@
             }
         }
         state.metrics.count("send.failed");
-        info!(state.log, "send failed";
+        info!(state.log, "target did not serve the request";
             "id" => self.metadata.attempt.as_str(), "target" => target.id.as_str(),
             "failure" => %failure, "reason" => failure_reason(failure),
             "passed_over_ms" => excluded_until_ms.since(now).0);
     }
 
-    /// The refusal that is true after `progress`.
+    /// Returns the refusal that states correctly whether the request may have run.
     pub fn refusal(&self, progress: &Progress) -> Refusal {
         let is_late = self.remaining_ms() == Millis::ZERO;
         match (progress.may_have_run || progress.is_in_flight, is_late) {
@@ -301,7 +307,7 @@
         }
     }
 
-    /// Makes the answer of a refusal.
+    /// Builds the reply for a refusal.
     pub fn refusal_reply(&self, refusal: Refusal) -> reply::Reply {
         let retry_after_ms = match refusal {
             Refusal::NoTarget | Refusal::TargetsFull => Some(RETRY_AFTER_MS),
@@ -333,7 +339,7 @@
     }
 }
 
-/// Reads why a send failed, where that is known.
+/// Returns the cause of a failed send, or an empty string.
 fn failure_reason(failure: &Failure) -> &str {
     match failure {
         Failure::NotSent(reason) | Failure::Unknown(reason) => reason,
--- a/filbertpaddle-gateway/src/migrator.rs
+++ b/filbertpaddle-gateway/src/migrator.rs
@@ -1,4 +1,4 @@
-//! Copies of a running generation at another target, made ahead of a move.
+//! Copies a running generation to another target before its own target stops.
 
 use std::fmt;
 use std::future::pending;
@@ -22,21 +22,20 @@
 use crate::store_sync::http_request;
 use crate::target_stream::TargetStream;
 
-/// How long a copy may take: the memory of several large generations over one link.
+/// Enough to copy the memory of several large generations over one link.
 const COPY_TIMEOUT: Duration = Duration::from_secs(4);
-/// How long freeing a copy may take.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
 type CopyCall = Pin<Box<dyn Future<Output = CopyOutcome>>>;
 
-/// A copy that is being made, or that could not be made.
+/// Result of a copy request.
 #[derive(Debug)]
 pub struct CopyResult {
     to: Target,
     answer: CopyOutcome,
 }
 
-/// Makes the copies of one generation.
+/// Makes and holds the copy of one generation.
 pub struct Migrator<'a> {
     job: &'a Job,
     migration: Migration,
@@ -53,7 +52,7 @@
 }
 
 impl<'a> Migrator<'a> {
-    /// Plans nothing.
+    /// Creates a migrator with no migration scheduled.
     pub fn new(job: &'a Job) -> Self {
         Self {
             job,
@@ -65,19 +64,20 @@
         }
     }
 
-    /// The generation's target leaves; `events` of it have been delivered.
+    /// Schedules the migration after the target began to drain, with `events` delivered
+    /// so far.
     pub fn schedule_migration(&mut self, events: u64) {
         let now = self.job.state.clock.now();
         let remaining_tokens = self.job.remaining_tokens(events);
         self.migration.schedule(now, remaining_tokens);
     }
 
-    /// Whether the generation could go on from a copy.
+    /// Returns whether a complete copy exists.
     pub fn has_copy(&self) -> bool {
         self.migration.copy().is_some()
     }
 
-    /// Begins a copy if it is time; returns what remains to be done.
+    /// Starts a copy if one is due; returns the next step.
     pub fn advance(&mut self, source: &TargetStream) -> Step {
         let now = self.job.state.clock.now();
         self.drop_lost_copy();
@@ -89,7 +89,7 @@
         self.migration.next_step(now)
     }
 
-    /// Waits for the copy that is being made.
+    /// Waits for the result of the running copy request, if there is one. Cancel-safe.
     pub async fn wait_for_copy(&mut self) -> CopyResult {
         let Some((to, call)) = &mut self.copying else {
             return pending().await;
@@ -100,11 +100,11 @@
         CopyResult { to, answer }
     }
 
-    /// Takes what came of a copy.
+    /// Records the result of a copy request.
     pub fn record_copy_result(&mut self, source: &TargetStream, result: CopyResult) {
         let now = self.job.state.clock.now();
         let CopyResult { to, answer } = result;
-        info!(self.job.state.log, "copy answered";
+        info!(self.job.state.log, "copy request finished";
             "id" => self.job.metadata.attempt.as_str(),
             "from" => source.target.id.as_str(), "to" => to.id.as_str(),
             "answer" => ?answer);
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Takes the copy to go on from; the destination is then the new source.
+    /// Takes the copy to resume from and resets the migrator for the new target.
     pub fn take_copy(&mut self) -> Option<(Copy, Target)> {
         let copy = self.migration.take_copy();
         let to = self.reserved.clone();
@@ -133,7 +133,7 @@
         Some((copy?, to?))
     }
 
-    /// Frees what is held at other targets.
+    /// Releases the reservation and the copy at the destination.
     pub fn close(mut self) {
         let copy = self.migration.take_copy();
         let to = self.reserved.clone();
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Gives up a copy whose holder leaves in turn.
+    /// Drops the copy if its target is draining or gone.
     fn drop_lost_copy(&mut self) {
         let Some(reserved) = &self.reserved else {
             return;
@@ -202,7 +202,7 @@
         chosen.cloned()
     }
 
-    /// What the generation asks of its next target: its prompt is not read again.
+    /// Returns the demand on the destination, where the prompt is not prefilled again.
     fn resume_demand(&self) -> RequestDemand {
         RequestDemand {
             prompt_tokens: 0,
@@ -233,7 +233,7 @@
     {
         Ok((head, bytes)) => (calls.decode_copy)(&copy_request, head.status, &bytes),
         Err(error) => {
-            info!(state.log, "no answer to a copy";
+            info!(state.log, "copy request failed, treated as refused";
                 "id" => attempt.as_str(), "to" => to.id.as_str(), "error" => %error);
             CopyOutcome::Refused
         }
@@ -248,6 +248,6 @@
         .call(&to.address, request, RELEASE_TIMEOUT)
         .await;
     if let Err(error) = called {
-        info!(state.log, "copy not freed"; "target" => to.id.as_str(), "error" => %error);
+        info!(state.log, "copy not released at target"; "target" => to.id.as_str(), "error" => %error);
     }
 }
--- a/filbertpaddle-gateway/src/reply.rs
+++ b/filbertpaddle-gateway/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers that the node makes itself.
+//! Replies to callers: forwarded responses of targets, and refusals by the node.
 
 use bytes::Bytes;
 use filbertpaddle_core::clock::Millis;
@@ -15,25 +15,25 @@
 use tokio_stream::StreamExt;
 use tokio_stream::wrappers::ReceiverStream;
 
-/// The answer ended before it was whole; the connection is closed on it.
+/// The response ended before it was complete; the caller's connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("answer cut short")]
+#[error("response truncated, closing the connection")]
 pub struct Truncated;
 
-/// Body of an answer.
+/// Body of a reply.
 pub type Body = UnsyncBoxBody<Bytes, Truncated>;
-/// Answer to a caller.
+/// Response to a caller.
 pub type Reply = Response<Body>;
 /// Next part of a streamed body.
 pub type Part = Result<Bytes, Truncated>;
 
-/// Why a request is refused or failed by the node itself.
+/// Reason why the node refuses or fails a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Refusal {
-    /// A header cannot be read.
+    /// A header is missing or malformed.
     BadRequest,
-    /// The key belongs to nobody.
+    /// The API key belongs to no customer.
     UnknownKey,
     /// No route matches.
     UnknownRoute,
@@ -43,24 +43,24 @@
     TooSlow,
     /// No configuration is known yet.
     NoConfiguration,
-    /// The node stops before the request would end; it has not run.
+    /// The node will stop before the request could end; it has not run.
     Stopping,
-    /// No target could be given the request; it has not run.
+    /// No target can take the request; it has not run.
     NoTarget,
     /// Targets refused the request; it has not run.
     TargetsFull,
-    /// The request crashed the targets that ran it; this attempt has not run.
+    /// Earlier attempts crashed the targets that ran them; this attempt has not run.
     Quarantined,
-    /// A target failed the request, which may have run.
+    /// A target failed; the request may have run.
     TargetFailed,
-    /// The time is up, and the request may have run.
+    /// The deadline has passed; the request may have run.
     TimedOut,
-    /// The time is up, and the request has not run.
+    /// The deadline has passed; the request has not run.
     TimedOutUnsent,
 }
 
 impl Refusal {
-    /// Status that tells the caller what is promised.
+    /// Returns the status. 503 promises that the request has not run.
     pub fn status(self) -> StatusCode {
         match self {
             Self::BadRequest => StatusCode::BAD_REQUEST,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Makes the answer to a refused request, with when to come back.
+/// Builds the reply to a refused request, with a `Retry-After` header if a time is given.
 pub fn refuse(refusal: Refusal, retry_after_ms: Option<Millis>) -> Reply {
     let mut reply = Response::new(full_body(Bytes::from(format!("{refusal}\n"))));
     *reply.status_mut() = refusal.status();
@@ -93,7 +93,7 @@
     reply
 }
 
-/// Makes an answer of a target's status, headers and whole body.
+/// Builds a reply from a target's status, headers and whole body.
 pub fn forward(head: http::response::Parts, bytes: Bytes) -> Reply {
     let mut reply = Response::from_parts(head, full_body(bytes));
     strip_connection(reply.headers_mut());
@@ -101,7 +101,7 @@
     reply
 }
 
-/// Makes a streamed answer of a target's status and headers.
+/// Builds a streamed reply from a target's status and headers.
 pub fn forward_stream(head: http::response::Parts, parts: mpsc::Receiver<Part>) -> Reply {
     let frames = ReceiverStream::new(parts).map(|part| part.map(Frame::data));
     let mut reply = Response::from_parts(head, StreamBody::new(frames).boxed_unsync());
@@ -110,7 +110,7 @@
     reply
 }
 
-/// Keeps `held` until the answer has been read or its caller has gone.
+/// Drops `held` only when the reply has been read or its caller is gone.
 pub fn hold_until_read<T>(reply: Reply, held: T) -> Reply
 where
     T: Send + 'static,
@@ -124,14 +124,14 @@
     })
 }
 
-/// Makes a whole body.
+/// Builds a body from `bytes`.
 pub fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// Removes headers that concern one connection.
+/// Removes hop-by-hop headers.
 pub fn strip_connection(headers: &mut http::HeaderMap) {
     let named: Vec<_> = headers
         .get_all(header::CONNECTION)
--- a/filbertpaddle-gateway/src/request.rs
+++ b/filbertpaddle-gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! From a caller's HTTP request to its answer.
+//! Admits callers' HTTP requests and serves them until their response has been read.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -38,20 +38,20 @@
 use crate::response_writer::ResponseWriter;
 use crate::state::State;
 
-/// How long a body may take if its caller names no deadline.
+/// Time limit for receiving a body if the caller states no deadline.
 const BODY_TIMEOUT_MS: Millis = Millis::from_secs(10);
-/// When a caller may come back before a configuration is known.
+/// Time after which a caller may retry if no configuration is known yet.
 const NOT_READY_RETRY_MS: Millis = Millis(500);
-/// When a caller may come back, to another node, while this one stops.
+/// Time after which a caller may retry, at another node, while this one stops.
 const STOPPING_RETRY_MS: Millis = Millis(50);
-/// When a caller may come back with a request that crashes targets.
+/// Time after which a caller may retry a request that crashed targets.
 const QUARANTINE_RETRY_MS: Millis = Millis::from_secs(60);
 
 /// Serves one request.
 ///
 /// # Errors
 ///
-/// Never fails: every failure is an answer.
+/// Never fails: every failure becomes a reply.
 pub async fn serve(state: Rc<State>, request: Request<Incoming>) -> Result<Reply, Infallible> {
     let received_ms = state.clock.now();
     let guard = InFlightGuard::new(Rc::clone(&state));
@@ -67,7 +67,7 @@
     Ok(reply)
 }
 
-/// Counts a request as in flight until its answer has been read.
+/// Counts a request as in flight until it has ended or been refused.
 struct InFlightGuard(Rc<State>);
 
 impl InFlightGuard {
@@ -87,7 +87,7 @@
     cell.set(cell.get().saturating_add_signed(change));
 }
 
-/// Reads a request and decides whether it is served.
+/// Reads a request and decides whether it is admitted.
 async fn admit(
     state: &Rc<State>,
     received_ms: Millis,
@@ -129,7 +129,7 @@
     Ok(job)
 }
 
-/// A whole request as its caller sent it.
+/// A fully received request.
 struct Received {
     at_ms: Millis,
     metadata: RequestMetadata,
@@ -138,7 +138,7 @@
 }
 
 impl Received {
-    /// Makes the job of a request that the configuration allows.
+    /// Builds the job of a request that the configuration allows.
     fn into_job(
         self,
         state: &Rc<State>,
@@ -172,7 +172,7 @@
     }
 }
 
-/// The caller's headers that go on to a target.
+/// Returns the caller's headers that are forwarded to a target.
 fn forwarded_headers(state: &State, mut headers: HeaderMap) -> HeaderMap {
     reply::strip_connection(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
@@ -191,7 +191,7 @@
         "configuration" => version, "in_flight" => job.state.in_flight.get());
 }
 
-/// Whether a stopping node can still end a request.
+/// Returns whether the request can finish before this node stops, if it is stopping.
 fn can_finish(state: &State, route: &Route, metadata: &RequestMetadata) -> bool {
     if state.is_closing.get() {
         return false;
@@ -235,7 +235,7 @@
     }
 }
 
-/// Refuses a request that was not admitted.
+/// Logs, counts and builds the reply to a request that is not admitted.
 fn deny(state: &State, id: &str, refusal: Refusal, reason: &str) -> Reply {
     let retry_ms = match refusal {
         Refusal::NoConfiguration => Some(NOT_READY_RETRY_MS),
@@ -248,14 +248,14 @@
         .borrow()
         .configuration()
         .map_or(0, |configuration| configuration.version);
-    info!(state.log, "request denied";
+    info!(state.log, "request refused at admission";
         "id" => id, "refusal" => %refusal, "reason" => reason, "configuration" => version);
     state.metrics.count(&format!("denied.{refusal}"));
     reply::refuse(refusal, retry_ms)
 }
 
-/// Runs an admitted request in a task of its own, so that it ends in order
-/// whatever becomes of the caller's connection.
+/// Runs an admitted request in its own task, so that its load is released and its end
+/// logged even if the caller's connection closes.
 async fn run(job: Job, guard: InFlightGuard) -> Reply {
     let (head, reply) = oneshot::channel();
     let (caller_present, gone) = oneshot::channel();
@@ -337,7 +337,7 @@
     }
 }
 
-/// Clears a request that was answered whole of the crashes that it was part of.
+/// Clears a request from the crash suspects after it was completed.
 fn clear_suspect(job: &Job) {
     let mut suspects = job.state.suspects.borrow_mut();
     suspects.answered(job.state.clock.now(), job.digest);
--- a/filbertpaddle-gateway/src/target_stream.rs
+++ b/filbertpaddle-gateway/src/target_stream.rs
@@ -1,4 +1,4 @@
-//! The events of one run of a generation at one target.
+//! The stream of events that one target sends for a generation.
 
 use std::collections::VecDeque;
 
@@ -8,29 +8,29 @@
 
 use crate::connection_pool::Body;
 
-/// The stream of one target.
+/// An event stream from one target.
 #[derive(Debug)]
 pub struct TargetStream {
-    /// The target.
+    /// Target that sends the stream.
     pub target: Target,
     body: Body,
     splitter: EventSplitter,
     ready: VecDeque<Event>,
 }
 
-/// What came of a stream.
+/// Next item of a stream.
 #[derive(Debug)]
 pub enum StreamItem {
-    /// A whole event.
+    /// A complete event.
     Event(Event),
-    /// The stream ended as it should.
+    /// The stream ended after a complete event.
     End,
     /// The stream broke off.
     Broken(String),
 }
 
 impl TargetStream {
-    /// Reads the events of `body`.
+    /// Creates a stream that reads the events of `body`.
     pub fn new(target: Target, body: Body) -> Self {
         Self {
             target,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Waits for the next event or the end. May be dropped and called again.
+    /// Waits for the next event or the end. Cancel-safe.
     pub async fn next(&mut self) -> StreamItem {
         loop {
             if let Some(event) = self.ready.pop_front() {
@@ -56,7 +56,7 @@
                     }
                 }
                 Ok(None) if self.splitter.has_partial_event() => {
-                    return StreamItem::Broken("ended within an event".to_owned());
+                    return StreamItem::Broken("stream ended within an event".to_owned());
                 }
                 Ok(None) => return StreamItem::End,
                 Err(error) => return StreamItem::Broken(error.to_string()),
@@ -64,12 +64,12 @@
         }
     }
 
-    /// Puts back the event that was read last.
+    /// Puts back the last event, which the next call returns again.
     pub fn put_back(&mut self, event: Event) {
         self.ready.push_front(event);
     }
 
-    /// Closes the connection, which ends the run at the target.
+    /// Closes the connection, upon which the target stops the generation.
     pub fn close(self) {
         drop(self.body);
     }
