--- a/filbertpaddle-gateway/src/drain_detection.rs
+++ b/filbertpaddle-gateway/src/drain_detection.rs
@@ -61,7 +61,8 @@
     let report = match called.await {
         Ok((_, bytes)) => (calls.decode_report)(&bytes),
         Err(error) => {
-            info!(state.log, "target did not answer the request for its report"; "target" => target.id.as_str(), "error" => %error);
+            info!(state.log, "target did not answer the request for its report";
+                "target" => target.id.as_str(), "error" => %error);
             return;
         }
     };
--- a/filbertpaddle-gateway/src/job.rs
+++ b/filbertpaddle-gateway/src/job.rs
@@ -180,30 +180,31 @@
             ConnectionError::NotSent(reason) => Failure::NotSent(reason),
             ConnectionError::Unknown(reason) => Failure::Unknown(reason),
         })?;
-        let answer = self.verify_response(&response.head)?;
-        Ok((response, answer))
+        let response_metadata = self.verify_response(&response.head)?;
+        Ok((response, response_metadata))
     }
 
     /// Checks that a response belongs to this attempt and was made by the target itself.
     fn verify_response(&self, head: &Parts) -> Result<ResponseMetadata, Failure> {
-        let answer = (self.state.platform.headers.decode_response)(head.status, &head.headers);
-        if answer.is_other_target {
+        let response_metadata =
+            (self.state.platform.headers.decode_response)(head.status, &head.headers);
+        if response_metadata.is_other_target {
             return Err(Failure::OtherTarget);
         }
-        if answer.is_not_run {
+        if response_metadata.is_not_run {
             return Err(Failure::NotRun);
         }
-        if answer.attempt.as_ref() != Some(&self.metadata.attempt) {
+        if response_metadata.attempt.as_ref() != Some(&self.metadata.attempt) {
             return Err(Failure::Unknown(
                 "response belongs to another attempt".to_owned(),
             ));
         }
-        if !answer.is_sealed {
+        if !response_metadata.is_sealed {
             return Err(Failure::Unknown(
                 "response has no seal of the target".to_owned(),
             ));
         }
-        Ok(answer)
+        Ok(response_metadata)
     }
 
     /// Returns whether the request may be sent once more after a failure.
--- a/filbertpaddle-gateway/src/load_exchange.rs
+++ b/filbertpaddle-gateway/src/load_exchange.rs
@@ -82,7 +82,8 @@
 
 async fn sync_group(state: Rc<State>, reader: Name, address: SocketAddr) {
     if let Err(error) = receive_group(&state, &reader, address).await {
-        debug!(state.log, "link to reader failed, its group's load is dropped"; "peer" => %reader, "error" => %error);
+        debug!(state.log, "link to reader failed, its group's load is dropped";
+            "peer" => %reader, "error" => %error);
     }
     state.load_table.borrow_mut().remove_group(&reader);
 }
--- a/filbertpaddle-gateway/src/migrator.rs
+++ b/filbertpaddle-gateway/src/migrator.rs
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct CopyResult {
     to: Target,
-    answer: CopyOutcome,
+    outcome: CopyOutcome,
 }
 
 /// Makes and holds the copy of one generation.
@@ -94,21 +94,21 @@
         let Some((to, call)) = &mut self.copying else {
             return pending().await;
         };
-        let answer = call.await;
+        let outcome = call.await;
         let to = to.clone();
         self.copying = None;
-        CopyResult { to, answer }
+        CopyResult { to, outcome }
     }
 
     /// Records the result of a copy request.
     pub fn record_copy_result(&mut self, source: &TargetStream, result: CopyResult) {
         let now = self.job.state.clock.now();
-        let CopyResult { to, answer } = result;
+        let CopyResult { to, outcome } = result;
         info!(self.job.state.log, "copy request finished";
             "id" => self.job.metadata.attempt.as_str(),
             "from" => source.target.id.as_str(), "to" => to.id.as_str(),
-            "answer" => ?answer);
-        match answer {
+            "answer" => ?outcome);
+        match outcome {
             CopyOutcome::Copied(copy) => {
                 self.source_address = source.target.address.clone();
                 self.migration.record_copied(copy);
@@ -248,6 +248,7 @@
         .call(&to.address, request, RELEASE_TIMEOUT)
         .await;
     if let Err(error) = called {
-        info!(state.log, "copy not released at target"; "target" => to.id.as_str(), "error" => %error);
+        info!(state.log, "copy not released at target";
+            "target" => to.id.as_str(), "error" => %error);
     }
 }
--- a/filbertpaddle-gateway/src/node.rs
+++ b/filbertpaddle-gateway/src/node.rs
@@ -150,7 +150,8 @@
     let settings = match reload() {
         Ok(settings) => settings,
         Err(error) => {
-            warn!(state.log, "settings not reread, the previous ones stay in force"; "error" => error);
+            warn!(state.log, "settings not reread, the previous ones stay in force";
+                "error" => error);
             return;
         }
     };
@@ -169,7 +170,8 @@
     let began_ms = state.clock.now();
     let grace_ms = state.reloadable.borrow().grace_ms;
     state.drain.set(Some(Drain { began_ms, grace_ms }));
-    info!(state.log, "node is stopping"; "in_flight" => state.in_flight.get(), "grace_ms" => grace_ms.0);
+    info!(state.log, "node is stopping";
+        "in_flight" => state.in_flight.get(), "grace_ms" => grace_ms.0);
     let elapsed_ms = || state.clock.now().since(began_ms);
     while elapsed_ms() < BALANCER_GRACE_MS.min(grace_ms) {
         sleep(DRAIN_POLL_INTERVAL).await;
--- a/filbertpaddle-gateway/src/peer_follower.rs
+++ b/filbertpaddle-gateway/src/peer_follower.rs
@@ -134,7 +134,8 @@
         }
         Message::Suspects(suspects) => merge_suspects(state, &suspects),
         message => {
-            debug!(state.log, "unexpected message from followed node ignored"; "message" => ?message)
+            debug!(state.log, "unexpected message from followed node ignored";
+                "message" => ?message)
         }
     }
     Ok(())
--- a/filbertpaddle-gateway/src/peer_publisher.rs
+++ b/filbertpaddle-gateway/src/peer_publisher.rs
@@ -41,7 +41,8 @@
                 let state = Rc::clone(&state);
                 tokio::task::spawn_local(async move {
                     if let Err(error) = serve_peer(&state, stream).await {
-                        debug!(state.log, "link from a node ended"; "from" => %from, "error" => %error);
+                        debug!(state.log, "link from a node ended";
+                            "from" => %from, "error" => %error);
                     }
                 });
             }
@@ -97,7 +98,8 @@
             message = link.receive() => match message? {
                 Message::Work(changes) => state.load_table.borrow_mut().update_member(node, &changes),
                 Message::Suspects(suspects) => merge_suspects(state, &suspects),
-                message => debug!(state.log, "unexpected message from follower ignored"; "message" => ?message),
+                message => debug!(state.log, "unexpected message from follower ignored";
+                    "message" => ?message),
             }
         }
     }
--- a/filbertpaddle-gateway/src/state.rs
+++ b/filbertpaddle-gateway/src/state.rs
@@ -166,7 +166,8 @@
     pub fn mark_target_draining(&self, target: &Target) {
         let is_news = self.directory.borrow_mut().mark_draining(target);
         if is_news {
-            info!(self.log, "target reports that it drains, sending no more requests"; "target" => target.id.as_str());
+            info!(self.log, "target reports that it drains, sending no more requests";
+                "target" => target.id.as_str());
             self.notify();
         }
     }
--- a/filbertpaddle-gateway/src/store_sync.rs
+++ b/filbertpaddle-gateway/src/store_sync.rs
@@ -91,13 +91,15 @@
         }
         let mut result = read_or_watch(&state, table, failures > 0).await;
         if matches!(result, Err(Error::HistoryGone)) {
-            info!(state.log, "changes no longer kept by the store, reading the whole table"; "table" => %table);
+            info!(state.log, "changes no longer kept by the store, reading the whole table";
+                "table" => %table);
             result = read_table(&state, table).await;
         }
         match result {
             Ok(()) => {
                 if failures > 0 {
-                    info!(state.log, "store answers again"; "table" => %table, "failures" => failures);
+                    info!(state.log, "store answers again";
+                        "table" => %table, "failures" => failures);
                 }
                 failures = 0;
                 let is_reader = state.is_reader();
@@ -112,7 +114,8 @@
                 failures += 1;
                 state.directory.borrow_mut().record_store_lost(table);
                 if failures == 1 {
-                    warn!(state.log, "call to the store failed, retrying"; "table" => %table, "error" => %error);
+                    warn!(state.log, "call to the store failed, retrying";
+                        "table" => %table, "error" => %error);
                     state.metrics.count("store.lost");
                 }
                 sleep(duration(retry_delay_ms(&state, failures))).await;
@@ -148,7 +151,8 @@
         match result {
             Ok(()) => sleep(std::mem::replace(&mut delay, duration(RENEW_INTERVAL_MS))).await,
             Err(error) => {
-                warn!(state.log, "node list or own entry not refreshed, retrying"; "error" => %error);
+                warn!(state.log, "node list or own entry not refreshed, retrying";
+                    "error" => %error);
                 sleep(duration(Millis(rand::random_range(PROBE_INTERVAL_MS)))).await;
             }
         }
@@ -249,7 +253,8 @@
 
 fn apply_page(state: &Rc<State>, table: Table, requested_ms: Millis, page: &Page) {
     for key in &page.unreadable {
-        warn!(state.log, "row ignored: cannot be decoded"; "table" => %table, "key" => key.as_str());
+        warn!(state.log, "row ignored: cannot be decoded";
+            "table" => %table, "key" => key.as_str());
     }
     let now = state.clock.now();
     state
