--- a/filbertpaddle-gateway/src/connection_pool.rs
+++ b/filbertpaddle-gateway/src/connection_pool.rs
@@ -147,7 +147,7 @@
         self: &Rc<Self>,
         address: &Name,
         request: Request<Full<Bytes>>,
-        within: Duration,
+        time_limit: Duration,
     ) -> Result<(http::response::Parts, Bytes), Error> {
         let response = async {
             let response = self.send(address, request, Reuse::Idle).await?;
@@ -157,7 +157,9 @@
             Ok((head, bytes))
         };
         let timed_out = || Error::Unknown("timeout".to_owned());
-        timeout(within, response).await.map_err(|_| timed_out())?
+        timeout(time_limit, response)
+            .await
+            .map_err(|_| timed_out())?
     }
 
     /// Closes connections that have been idle for too long.
@@ -234,7 +236,7 @@
 
 impl fmt::Debug for ConnectionPool {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Links").finish_non_exhaustive()
+        f.debug_struct("ConnectionPool").finish_non_exhaustive()
     }
 }
 
--- a/filbertpaddle-gateway/src/job.rs
+++ b/filbertpaddle-gateway/src/job.rs
@@ -32,7 +32,7 @@
 use crate::state::State;
 
 /// Maximum number of connection attempts for one request before it is refused.
-pub const MAX_CONNECTS: u32 = 12;
+pub const MAX_CONNECT_ATTEMPTS: u32 = 12;
 /// Lowest priority that targets accept.
 const LEAST_URGENT: u8 = 9;
 /// Time after which a caller may retry if targets were full or failing.
@@ -216,7 +216,7 @@
                 self.route.kind.is_idempotent() && progress.sends < self.route.max_attempts
             }
         };
-        is_allowed && progress.connects < MAX_CONNECTS && self.remaining_ms() > Millis::ZERO
+        is_allowed && progress.connects < MAX_CONNECT_ATTEMPTS && self.remaining_ms() > Millis::ZERO
     }
 
     /// Returns whether the request may be sent now. Once it has reached any target, each
--- a/filbertpaddle-gateway/src/load_exchange.rs
+++ b/filbertpaddle-gateway/src/load_exchange.rs
@@ -49,7 +49,7 @@
     let own = state.selector.borrow().own_load(state.clock.now());
     let mut load_table = state.load_table.borrow_mut();
     load_table.remove_member(&state.settings.node);
-    let changes = own.iter().map(|(id, work)| (id.clone(), *work)).collect();
+    let changes = own.iter().map(|(id, load)| (id.clone(), *load)).collect();
     load_table.update_member(&state.settings.node, &changes);
     let total = load_table.total();
     drop(load_table);
@@ -60,9 +60,9 @@
 pub fn update_other_load(state: &State, all: &LoadByTarget, own: &LoadByTarget) {
     let others = all
         .iter()
-        .map(|(target, work)| {
+        .map(|(target, load)| {
             let own = own.get(target).copied().unwrap_or_default();
-            (target.clone(), work.without(&own))
+            (target.clone(), load.without(&own))
         })
         .collect();
     state.selector.borrow_mut().set_other_load(others);
--- a/filbertpaddle-gateway/src/migrator.rs
+++ b/filbertpaddle-gateway/src/migrator.rs
@@ -47,7 +47,7 @@
 
 impl fmt::Debug for Migrator<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Mover").finish_non_exhaustive()
+        f.debug_struct("Migrator").finish_non_exhaustive()
     }
 }
 
--- a/filbertpaddle-gateway/src/peer_follower.rs
+++ b/filbertpaddle-gateway/src/peer_follower.rs
@@ -2,7 +2,8 @@
 //!
 //! A node that is no reader follows a reader of its data centre. A reader that cannot
 //! read the store follows any node that can. The followed node sends changes, and at
-//! intervals the age of its data.
+//! intervals the age of its data; the follower sends the load that it has placed on
+//! targets.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/filbertpaddle-gateway/src/state.rs
+++ b/filbertpaddle-gateway/src/state.rs
@@ -164,8 +164,8 @@
 
     /// Marks a target as draining after its own report says so.
     pub fn mark_target_draining(&self, target: &Target) {
-        let is_news = self.directory.borrow_mut().mark_draining(target);
-        if is_news {
+        let is_new = self.directory.borrow_mut().mark_draining(target);
+        if is_new {
             info!(self.log, "target reports that it drains, sending no more requests";
                 "target" => target.id.as_str());
             self.notify();
@@ -174,8 +174,8 @@
 
     /// Returns the age of this node's data of a table.
     pub fn data_age_ms(&self, table: Table) -> Millis {
-        let heard_ms = self.directory.borrow().current_at_ms(table);
-        self.clock.now().since(heard_ms)
+        let as_of_ms = self.directory.borrow().current_at_ms(table);
+        self.clock.now().since(as_of_ms)
     }
 
     /// Returns whether this node reads the store: as a reader for others, or because no
--- a/filbertpaddle-gateway/src/store_sync.rs
+++ b/filbertpaddle-gateway/src/store_sync.rs
@@ -55,15 +55,15 @@
 /// Reason why a call to the store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The store did not respond.
+    /// The call got no response.
     #[error(transparent)]
-    Link(#[from] connection_pool::Error),
+    Connection(#[from] connection_pool::Error),
     /// The store refused the call.
     #[error("store answered with status {0}")]
     Status(StatusCode),
     /// The response cannot be decoded.
     #[error(transparent)]
-    DecodeError(#[from] DecodeError),
+    Decode(#[from] DecodeError),
     /// The store no longer keeps the changes after this node's revision.
     #[error("the store no longer keeps the changes after this revision")]
     HistoryGone,
