--- /dev/null
+++ b/filbertpaddle-gateway/src/buffered.rs
@@ -0,0 +1,123 @@
+//! Serves requests whose response is buffered and forwarded as a whole.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use filbertpaddle_core::clock::Millis;
+use filbertpaddle_forward::target::Target;
+use http::StatusCode;
+use http::response::Parts;
+use tokio::time::timeout;
+
+use crate::clock::duration;
+use crate::job::Failure;
+use crate::job::Job;
+use crate::job::Progress;
+use crate::job::ResumePoint;
+use crate::reply;
+use crate::reply::Refusal;
+use crate::reply::Reply;
+
+/// Multiple of the latency goal that an idempotent request waits at one target while it
+/// may still be sent to another.
+const ATTEMPT_GOAL_FACTOR: u64 = 3;
+
+/// Serves one request, with retries at other targets where the route allows them.
+///
+/// # Errors
+///
+/// Returns the refusal to send if no target's response can be forwarded.
+pub async fn serve(job: &Job, progress: &mut Progress) -> Result<Reply, Refusal> {
+    let mut last: Option<(Parts, Bytes)> = None;
+    loop {
+        let Ok(target) = job.choose_target(progress) else {
+            return finish(job, progress, last);
+        };
+        if !job.may_send(progress) {
+            return finish(job, progress, last);
+        }
+        job.mark_sent(progress, &target);
+        let result = attempt(job, progress, &target).await;
+        let mut selector = job.state.selector.borrow_mut();
+        selector.record_ended(&target.id, &job.demand, false);
+        match result {
+            Ok((head, bytes)) => {
+                selector.record_success(&target.id);
+                drop(selector);
+                progress.sends += 1;
+                progress.is_in_flight = false;
+                let may_resend = job.route.kind.is_idempotent()
+                    && progress.sends < job.route.max_attempts
+                    && head.status.is_server_error();
+                if !may_resend {
+                    return checked_reply(job, head, bytes);
+                }
+                progress.excluded_targets.push(target.id.clone());
+                progress.may_have_run = true;
+                last = Some((head, bytes));
+            }
+            Err(failure) => {
+                drop(selector);
+                job.mark_failed(progress, &target, &failure);
+                if !job.may_retry(progress, &failure) {
+                    return finish(job, progress, last);
+                }
+            }
+        }
+    }
+}
+
+async fn attempt(
+    job: &Job,
+    progress: &Progress,
+    target: &Target,
+) -> Result<(Parts, Bytes), Failure> {
+    let response = async {
+        let (response, _) = job.send(target, ResumePoint::default()).await?;
+        let mut body = response.body;
+        let unknown = |error: crate::connection_pool::Error| Failure::Unknown(error.to_string());
+        let bytes = body.read_to_end().await.map_err(unknown)?;
+        body.recycle(&response.head.headers);
+        Ok((response.head, bytes))
+    };
+    match timeout(attempt_timeout(job, progress), response).await {
+        Ok(result) => result,
+        Err(_) => Err(Failure::Unknown(
+            "no complete response within the time limit of the attempt".to_owned(),
+        )),
+    }
+}
+
+fn attempt_timeout(job: &Job, progress: &Progress) -> Duration {
+    let may_resend = job.route.kind.is_idempotent() && progress.sends + 1 < job.route.max_attempts;
+    let remaining_ms = job.remaining_ms();
+    if !may_resend {
+        return duration(remaining_ms);
+    }
+    let goal_ms = Millis(job.route.latency_goal_ms.0 * ATTEMPT_GOAL_FACTOR);
+    duration(goal_ms.min(Millis(remaining_ms.0 / 2)))
+}
+
+/// Forwards a response, unless its status would wrongly promise that a request which is
+/// not idempotent has not run.
+fn checked_reply(job: &Job, head: Parts, bytes: Bytes) -> Result<Reply, Refusal> {
+    let promises_not_run = matches!(
+        head.status,
+        StatusCode::SERVICE_UNAVAILABLE
+            | StatusCode::TOO_MANY_REQUESTS
+            | StatusCode::REQUEST_TIMEOUT
+    );
+    if promises_not_run && !job.route.kind.is_idempotent() {
+        return Err(Refusal::TargetFailed);
+    }
+    Ok(reply::forward(head, bytes))
+}
+
+/// Ends a request that no target served successfully: with the last error response of a
+/// target if there is one, else with a refusal that states whether it may have run.
+fn finish(job: &Job, progress: &Progress, last: Option<(Parts, Bytes)>) -> Result<Reply, Refusal> {
+    match last {
+        Some((head, bytes)) => checked_reply(job, head, bytes),
+        None => Err(job.refusal(progress)),
+    }
+}
--- a/filbertpaddle-gateway/src/lib.rs
+++ b/filbertpaddle-gateway/src/lib.rs
@@ -1,30 +1,32 @@
-//! A node of the forwarding path: callers' requests in, targets' answers out.
+//! A gateway node: accepts callers' requests, sends each to a target and returns
+//! the target's response.
 //!
-//! Decisions are in `filbertpaddle-forward`; this crate is their I/O. What the
-//! platform's own words are, an adapter tells it in a [`dialect::Dialect`].
+//! This crate does the I/O; the decisions are in `filbertpaddle-forward`. An adapter
+//! supplies the platform's headers, calls and row formats as a
+//! [`platform_api::PlatformApi`].
 
+pub mod buffered;
 pub mod clock;
+pub mod connection_pool;
 pub mod crash;
-pub mod departures;
-pub mod dialect;
-pub mod exchange;
-pub mod follower;
+pub mod drain_detection;
 pub mod generation;
 pub mod job;
-pub mod links;
 pub mod listener;
+pub mod load_exchange;
 pub mod log;
 pub mod metrics;
-pub mod mover;
+pub mod migrator;
 pub mod node;
 pub mod nodes;
-pub mod output;
+pub mod peer_follower;
 pub mod peer_link;
-pub mod peers;
+pub mod peer_publisher;
+pub mod platform_api;
 pub mod reply;
 pub mod request;
+pub mod response_writer;
 pub mod settings;
-pub mod source;
 pub mod state;
-pub mod tell;
-pub mod whole;
+pub mod store_sync;
+pub mod target_stream;
--- a/filbertpaddle-gateway/src/listener.rs
+++ b/filbertpaddle-gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! Callers' connections.
+//! Listeners for callers, readiness checks and metrics.
 
 use std::rc::Rc;
 
@@ -16,34 +16,39 @@
 use tokio::sync::watch;
 
 use crate::clock::duration;
-use crate::links::set_options;
+use crate::connection_pool::set_socket_options;
 use crate::reply;
 use crate::request;
 use crate::state::State;
 
-/// Idle time after which a caller's connection closes before a configuration
-/// says otherwise.
+/// Idle timeout of callers' connections while no configuration is known.
 const DEFAULT_IDLE_MS: Millis = Millis::from_secs(15);
-/// How much longer than configured an idle connection is kept, so that a request
-/// which callers send at the last moment does not cross the close.
+/// How much longer than configured an idle connection is kept, so that a request sent
+/// at the last moment does not cross the close.
 const IDLE_SLACK_MS: Millis = Millis::from_secs(1);
 
-/// Accepts callers until `stopping` says that idle connections close.
+/// Accepts callers' connections; idle ones close once `stopping` is true.
 pub async fn serve(state: Rc<State>, listener: TcpListener, stopping: watch::Receiver<bool>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let (state, stopping) = (Rc::clone(&state), stopping.clone());
-                tokio::task::spawn_local(connection(state, stream, stopping));
+                tokio::task::spawn_local(handle_connection(state, stream, stopping));
+            }
+            Err(error) => {
+                warn!(state.log, "connection from a caller not accepted"; "error" => %error)
             }
-            Err(error) => warn!(state.log, "cannot accept a caller"; "error" => %error),
         }
     }
 }
 
-async fn connection(state: Rc<State>, stream: TcpStream, mut stopping: watch::Receiver<bool>) {
-    if let Err(error) = set_options(&stream) {
-        debug!(state.log, "caller's connection lost"; "error" => %error);
+async fn handle_connection(
+    state: Rc<State>,
+    stream: TcpStream,
+    mut stopping: watch::Receiver<bool>,
+) {
+    if let Err(error) = set_socket_options(&stream) {
+        debug!(state.log, "socket options not set, closing caller's connection"; "error" => %error);
         return;
     }
     let idle_ms = idle_timeout_ms(&state);
@@ -62,7 +67,7 @@
         }
     };
     if let Err(error) = result {
-        debug!(log, "caller's connection ended"; "error" => %error);
+        debug!(log, "caller's connection ended with an error"; "error" => %error);
     }
 }
 
@@ -70,13 +75,15 @@
     let directory = state.directory.borrow();
     let configured_ms = directory
         .configuration()
-        .map_or(DEFAULT_IDLE_MS, |known| known.limits.idle_timeout_ms);
+        .map_or(DEFAULT_IDLE_MS, |configuration| {
+            configuration.limits.idle_timeout_ms
+        });
     configured_ms + IDLE_SLACK_MS
 }
 
-/// Answers the balancer whether the node takes callers.
+/// Serves the balancer's readiness checks.
 pub async fn serve_ready(state: Rc<State>, listener: TcpListener) {
-    answer(listener, move |_| {
+    serve_text(listener, move |_| {
         if state.is_ready() {
             (StatusCode::OK, String::new())
         } else {
@@ -88,11 +95,11 @@
 
 /// Serves the node's metrics as text.
 pub async fn serve_metrics(state: Rc<State>, listener: TcpListener) {
-    answer(listener, move |_| (StatusCode::OK, state.metrics.text())).await;
+    serve_text(listener, move |_| (StatusCode::OK, state.metrics.text())).await;
 }
 
-/// Answers every request at `listener` by `reply`, from its path.
-async fn answer<F>(listener: TcpListener, reply: F)
+/// Serves plain-text responses made by `reply` from a request's path.
+async fn serve_text<F>(listener: TcpListener, reply: F)
 where
     F: Fn(&str) -> (StatusCode, String) + Clone + 'static,
 {
@@ -100,7 +107,7 @@
         let reply = reply.clone();
         let service = service_fn(move |request: http::Request<hyper::body::Incoming>| {
             let (status, text) = reply(request.uri().path());
-            let mut response = Response::new(reply::whole(text.into()));
+            let mut response = Response::new(reply::full_body(text.into()));
             *response.status_mut() = status;
             async move { Ok::<_, std::convert::Infallible>(response) }
         });
@@ -108,7 +115,7 @@
             .timer(TokioTimer::new())
             .serve_connection(TokioIo::new(stream), service);
         tokio::task::spawn_local(async move {
-            // The balancer asks again; a lost question needs no line.
+            // The client retries, so a failed connection is not logged.
             connection.await.ok();
         });
     }
--- a/filbertpaddle-gateway/src/peer_link.rs
+++ b/filbertpaddle-gateway/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! A link between two nodes, and what they say on it.
+//! A WebSocket link between two nodes and the messages exchanged on it.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -21,71 +21,72 @@
 use tokio_tungstenite::WebSocketStream;
 use tokio_tungstenite::tungstenite::Message as Frame;
 
-use crate::dialect::NodeList;
-use crate::links::set_options;
+use crate::connection_pool::set_socket_options;
+use crate::platform_api::NodeList;
 use crate::state::State;
 
-/// How long a node may take to open a link or to take a message.
+/// Limit on each step of opening a link.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long the other end of a link may stay silent.
-pub const SILENCE: Duration = Duration::from_millis(800);
-/// How often changed work and suspects are told.
-pub const TELL: Duration = Duration::from_millis(50);
+/// Time without a message after which a link counts as broken; also limits a send.
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Interval at which changed load and suspects are published.
+pub const PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What nodes say to each other.
+/// A message between nodes, encoded as CBOR.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Who dials, and whether it reads the store itself; sent first.
+    /// First message on a link; identifies the node that opened it.
     Hello {
         /// Name of the node.
         node: Name,
-        /// Whether it wants only the work of the other's group.
+        /// Whether it reads the store itself and wants only the load of the other's group.
         is_reader: bool,
     },
-    /// The list of nodes, as the other read it.
+    /// The list of nodes as last read from the store.
     Nodes(NodeList),
-    /// Changed work: of the node that dials, or of all that the other knows.
+    /// Changed load: of the node that opened the link, or the sum that the other node
+    /// publishes.
     Work(LoadChanges),
-    /// Suspects by digest that are new or changed.
+    /// New or changed suspects by digest.
     Suspects(Vec<(u64, CrashRecord)>),
-    /// What changed of a table.
+    /// Changes of a table.
     Table {
-        /// How old that is.
+        /// Age of the sender's data.
         age_ms: Millis,
         /// The changes.
         batch: Batch,
     },
-    /// How old the other's knowledge of both tables is.
+    /// Age of the sender's data of both tables.
     Ages {
-        /// Of the operators' table.
+        /// Age of the operators' table.
         operator_ms: Millis,
-        /// Of the targets' table.
+        /// Age of the targets' table.
         targets_ms: Millis,
-        /// Whether its last call to the store failed.
+        /// Whether the sender currently has no data from a working store.
         is_store_lost: bool,
     },
 }
 
-/// Why a link ended.
+/// Reason why a link ended.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No connection could be made.
-    #[error("cannot connect: {0}")]
+    /// The connection could not be set up.
+    #[error("cannot set up connection to node: {0}")]
     Connect(std::io::Error),
-    /// The other end stayed silent.
-    #[error("no answer in time")]
+    /// The other node did not respond in time.
+    #[error("node did not respond in time")]
     Timeout,
     /// The connection failed.
-    #[error("link failed: {0}")]
+    #[error("link to node failed: {0}")]
     Link(Box<tokio_tungstenite::tungstenite::Error>),
-    /// The other end closed it.
-    #[error("link closed")]
+    /// The other node closed the link.
+    #[error("link closed by the other node")]
     Closed,
-    /// A message cannot be read or written.
-    #[error("unreadable message: {0}")]
+    /// A message cannot be encoded or decoded, or is not the expected one.
+    #[error("cannot encode or decode message: {0}")]
     Unreadable(String),
-    /// The other end knows nothing newer.
-    #[error("peer knows nothing newer")]
+    /// The followed node's data is too old.
+    #[error("data of the followed node is too old")]
     TooOld,
 }
 
@@ -98,8 +99,8 @@
 /// A link to another node.
 pub struct PeerLink {
     socket: WebSocketStream<TcpStream>,
-    told_work: LoadByTarget,
-    told_suspects_ms: Millis,
+    published_load: LoadByTarget,
+    suspects_published_ms: Millis,
 }
 
 impl fmt::Debug for PeerLink {
@@ -109,17 +110,17 @@
 }
 
 impl PeerLink {
-    /// Dials a node and says who this one is.
+    /// Opens a link to a node and sends [`Message::Hello`].
     ///
     /// # Errors
     ///
-    /// Returns an error if the other node does not let itself be dialled.
+    /// Returns an error if the link cannot be opened in time.
     pub async fn dial(state: &State, address: SocketAddr, is_reader: bool) -> Result<Self, Error> {
         let connected = timeout(OPEN_TIMEOUT, TcpStream::connect(address)).await;
         let stream = connected
             .map_err(|_| Error::Timeout)?
             .map_err(Error::Connect)?;
-        set_options(&stream).map_err(Error::Connect)?;
+        set_socket_options(&stream).map_err(Error::Connect)?;
         let url = format!("ws://{address}/");
         let opened = timeout(OPEN_TIMEOUT, tokio_tungstenite::client_async(url, stream));
         let (socket, _) = opened.await.map_err(|_| Error::Timeout)??;
@@ -129,19 +130,19 @@
         Ok(link)
     }
 
-    /// Lets a node dial; returns its name and whether it is a reader.
+    /// Accepts a link; returns the other node's name and whether it is a reader.
     ///
     /// # Errors
     ///
-    /// Returns an error if it does not say who it is.
+    /// Returns an error if the first message is not [`Message::Hello`].
     pub async fn accept(stream: TcpStream) -> Result<(Self, Name, bool), Error> {
-        set_options(&stream).map_err(Error::Connect)?;
+        set_socket_options(&stream).map_err(Error::Connect)?;
         let accepted = timeout(OPEN_TIMEOUT, tokio_tungstenite::accept_async(stream));
         let mut link = Self::new(accepted.await.map_err(|_| Error::Timeout)??);
-        let greeting = timeout(OPEN_TIMEOUT, link.receive()).await;
-        match greeting.map_err(|_| Error::Timeout)?? {
+        let hello = timeout(OPEN_TIMEOUT, link.receive()).await;
+        match hello.map_err(|_| Error::Timeout)?? {
             Message::Hello { node, is_reader } => Ok((link, node, is_reader)),
-            _ => Err(Error::Unreadable("no greeting".to_owned())),
+            _ => Err(Error::Unreadable("first message is not Hello".to_owned())),
         }
     }
 
@@ -155,11 +156,13 @@
         ciborium::into_writer(message, &mut bytes)
             .map_err(|error| Error::Unreadable(error.to_string()))?;
         let sent = self.socket.send(Frame::Binary(Bytes::from(bytes)));
-        timeout(SILENCE, sent).await.map_err(|_| Error::Timeout)??;
+        timeout(SILENCE_TIMEOUT, sent)
+            .await
+            .map_err(|_| Error::Timeout)??;
         Ok(())
     }
 
-    /// Waits for a message. May be dropped and called again.
+    /// Waits for a message. Cancel-safe.
     ///
     /// # Errors
     ///
@@ -177,26 +180,26 @@
         }
     }
 
-    /// Work as the other end was last told.
-    pub fn told_work(&self) -> &LoadByTarget {
-        &self.told_work
+    /// Returns the load that was last published on this link.
+    pub fn published_load(&self) -> &LoadByTarget {
+        &self.published_load
     }
 
-    /// Tells what changed of some work and of the suspects since it was last told.
+    /// Publishes what changed in `load` and in the suspects since the last call.
     ///
     /// # Errors
     ///
     /// Returns an error if the link has ended.
-    pub async fn tell(&mut self, state: &State, work: LoadByTarget) -> Result<(), Error> {
-        let changed = load_table::changes_since(&self.told_work, &work);
+    pub async fn publish(&mut self, state: &State, load: LoadByTarget) -> Result<(), Error> {
+        let changed = load_table::changes_since(&self.published_load, &load);
         if !changed.is_empty() {
             self.send(&Message::Work(changed)).await?;
-            self.told_work = work;
+            self.published_load = load;
         }
         let now = state.clock.now();
         let suspects: Vec<_> = {
             let suspects = state.suspects.borrow();
-            let changes = suspects.changed_since(self.told_suspects_ms);
+            let changes = suspects.changed_since(self.suspects_published_ms);
             changes
                 .map(|(digest, record)| (digest, record.clone()))
                 .collect()
@@ -204,22 +207,23 @@
         if !suspects.is_empty() {
             self.send(&Message::Suspects(suspects)).await?;
         }
-        // What changes within this millisecond is told once more.
-        self.told_suspects_ms = now;
+        // Changes later in the same millisecond are found by the next call, which repeats
+        // those already sent.
+        self.suspects_published_ms = now;
         Ok(())
     }
 
     fn new(socket: WebSocketStream<TcpStream>) -> Self {
         Self {
             socket,
-            told_work: LoadByTarget::new(),
-            told_suspects_ms: Millis::ZERO,
+            published_load: LoadByTarget::new(),
+            suspects_published_ms: Millis::ZERO,
         }
     }
 }
 
-/// Joins what another node knows of suspects.
-pub fn take_suspects(state: &State, suspects: &[(u64, CrashRecord)]) {
+/// Merges suspects received from another node.
+pub fn merge_suspects(state: &State, suspects: &[(u64, CrashRecord)]) {
     let now = state.clock.now();
     let mut known = state.suspects.borrow_mut();
     for (digest, record) in suspects {
--- /dev/null
+++ b/filbertpaddle-gateway/src/peer_publisher.rs
@@ -0,0 +1,151 @@
+//! Publishes this node's data to the nodes that are linked to it.
+//!
+//! Followers receive the store's tables, the list of nodes, the load of all nodes and
+//! the suspects. Readers receive the load of this node's group and the suspects.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use filbertpaddle_core::name::Name;
+use filbertpaddle_forward::directory::Table;
+use slog::debug;
+use slog::warn;
+use tokio::net::TcpListener;
+use tokio::net::TcpStream;
+use tokio::time::interval;
+
+use crate::peer_link::Error;
+use crate::peer_link::Message;
+use crate::peer_link::PUBLISH_INTERVAL;
+use crate::peer_link::PeerLink;
+use crate::peer_link::merge_suspects;
+use crate::state::State;
+
+/// Interval at which the age of this node's data is sent.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+
+/// What has been sent to one follower.
+#[derive(Clone, Copy, Debug, Default)]
+struct Published {
+    /// Sequence number of the last table change.
+    sequence: u64,
+    /// Number of reads of the list of nodes at the last sent list.
+    reads: u64,
+}
+
+/// Accepts links from other nodes for as long as this one runs.
+pub async fn serve(state: Rc<State>, listener: TcpListener) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, from)) => {
+                let state = Rc::clone(&state);
+                tokio::task::spawn_local(async move {
+                    if let Err(error) = serve_peer(&state, stream).await {
+                        debug!(state.log, "link from a node ended";
+                            "from" => %from, "error" => %error);
+                    }
+                });
+            }
+            Err(error) => {
+                warn!(state.log, "connection from a node not accepted"; "error" => %error)
+            }
+        }
+    }
+}
+
+async fn serve_peer(state: &State, stream: TcpStream) -> Result<(), Error> {
+    let (mut link, node, is_reader) = PeerLink::accept(stream).await?;
+    if is_reader {
+        return publish_to_reader(state, &mut link).await;
+    }
+    let result = publish_to_follower(state, &mut link, &node).await;
+    state.load_table.borrow_mut().remove_member(&node);
+    result
+}
+
+/// Publishes the load of this node's group to another reader.
+async fn publish_to_reader(state: &State, link: &mut PeerLink) -> Result<(), Error> {
+    let mut publish_timer = interval(PUBLISH_INTERVAL);
+    let mut heartbeat = interval(HEARTBEAT_INTERVAL);
+    loop {
+        tokio::select! {
+            _ = publish_timer.tick() => {
+                let group_load = state.load_table.borrow().group_total();
+                link.publish(state, group_load).await?;
+            }
+            _ = heartbeat.tick() => link.send(&ages_message(state)).await?,
+            message = link.receive() => drop(message?),
+        }
+    }
+}
+
+/// Publishes the store's tables and the load of all nodes to a follower.
+async fn publish_to_follower(state: &State, link: &mut PeerLink, node: &Name) -> Result<(), Error> {
+    let mut changes = state.subscribe();
+    let mut published = Published::default();
+    let mut publish_timer = interval(PUBLISH_INTERVAL);
+    let mut heartbeat = interval(HEARTBEAT_INTERVAL);
+    loop {
+        send_tables(state, link, &mut published).await?;
+        send_nodes(state, link, &mut published).await?;
+        tokio::select! {
+            _ = changes.changed() => {}
+            _ = publish_timer.tick() => {
+                let total = state.load_table.borrow().total();
+                link.publish(state, total).await?;
+            }
+            _ = heartbeat.tick() => link.send(&ages_message(state)).await?,
+            message = link.receive() => match message? {
+                Message::Work(changes) => state.load_table.borrow_mut().update_member(node, &changes),
+                Message::Suspects(suspects) => merge_suspects(state, &suspects),
+                message => debug!(state.log, "unexpected message from follower ignored";
+                    "message" => ?message),
+            }
+        }
+    }
+}
+
+/// Sends the changes of both tables since the last call.
+async fn send_tables(
+    state: &State,
+    link: &mut PeerLink,
+    published: &mut Published,
+) -> Result<(), Error> {
+    let (sequence, batches) = {
+        let directory = state.directory.borrow();
+        let tables = [Table::Operator, Table::Targets];
+        let batches = tables.map(|table| directory.changes_after(table, published.sequence));
+        (directory.sequence(), batches)
+    };
+    for batch in batches {
+        if batch.revision > 0 && !batch.changes.is_empty() {
+            let age_ms = state.data_age_ms(batch.table);
+            link.send(&Message::Table { age_ms, batch }).await?;
+        }
+    }
+    published.sequence = sequence;
+    Ok(())
+}
+
+/// Sends the list of nodes if it has been read since the last call.
+async fn send_nodes(
+    state: &State,
+    link: &mut PeerLink,
+    published: &mut Published,
+) -> Result<(), Error> {
+    let reads = state.nodes.borrow().reads();
+    if reads != published.reads {
+        let list = state.nodes.borrow().list().clone();
+        link.send(&Message::Nodes(list)).await?;
+        published.reads = reads;
+    }
+    Ok(())
+}
+
+fn ages_message(state: &State) -> Message {
+    Message::Ages {
+        operator_ms: state.data_age_ms(Table::Operator),
+        targets_ms: state.data_age_ms(Table::Targets),
+        is_store_lost: state.is_store_lost(),
+    }
+}
--- /dev/null
+++ b/filbertpaddle-gateway/src/platform_api.rs
@@ -0,0 +1,184 @@
+//! The interface to the platform: its headers, engine calls and store calls.
+//!
+//! An adapter fills in plain functions. Each encodes from the project's types or
+//! decodes into them; none takes decisions.
+
+use bytes::Bytes;
+use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::name::Name;
+use filbertpaddle_forward::directory::Batch;
+use filbertpaddle_forward::directory::Table;
+use filbertpaddle_forward::migration::Copy;
+use filbertpaddle_forward::request_metadata::RequestMetadata;
+use filbertpaddle_forward::target::Report;
+use filbertpaddle_forward::target::Target;
+use http::HeaderMap;
+use http::Method;
+use http::StatusCode;
+use serde::Deserialize;
+use serde::Serialize;
+
+use crate::nodes::Node;
+
+/// Functions that an adapter supplies.
+#[derive(Clone, Copy, Debug)]
+pub struct PlatformApi {
+    /// Headers of callers and targets.
+    pub headers: Headers,
+    /// Calls to engines other than the forwarded requests.
+    pub engine: EngineCalls,
+    /// Calls to the store.
+    pub store: StoreCalls,
+}
+
+/// Functions that read and write the headers of callers and targets.
+#[derive(Clone, Copy, Debug)]
+pub struct Headers {
+    /// Decodes a caller's headers.
+    pub decode_request: fn(&HeaderMap) -> Result<RequestMetadata, BadHeader>,
+    /// Removes headers that only the system may set.
+    pub strip_internal: fn(&mut HeaderMap),
+    /// Adds the headers that are meant for the target.
+    pub apply: fn(&mut HeaderMap, &TargetHeaders<'_>),
+    /// Decodes the metadata of a target's response.
+    pub decode_response: fn(StatusCode, &HeaderMap) -> ResponseMetadata,
+}
+
+/// A missing or malformed header.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("missing or malformed header `{0}`")]
+pub struct BadHeader(pub &'static str);
+
+/// Values of the headers that are added for the target.
+#[derive(Clone, Copy, Debug)]
+pub struct TargetHeaders<'a> {
+    /// Target that the request is sent to.
+    pub target: &'a Target,
+    /// Time until the caller's deadline.
+    pub remaining_ms: Option<Millis>,
+    /// Customer that the request belongs to.
+    pub customer: Option<&'a str>,
+    /// Priority among the target's requests, from 0 (most urgent) to 9.
+    pub urgency: Option<u8>,
+    /// Last event that the caller has received, if a stream is resumed.
+    pub last_event: Option<u64>,
+    /// Copy from which the generation resumes.
+    pub copy: Option<CopySource<'a>>,
+}
+
+/// Identifies the copy of a generation's memory.
+#[derive(Clone, Copy, Debug)]
+pub struct CopySource<'a> {
+    /// Address of the target that ran the generation before.
+    pub address: &'a str,
+    /// Handle of the copy.
+    pub handle: &'a str,
+}
+
+/// What a target states about its response.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct ResponseMetadata {
+    /// Attempt that the response belongs to.
+    pub attempt: Option<Name>,
+    /// Whether it carries the target's seal, which proves that the target made it.
+    pub is_sealed: bool,
+    /// Whether it proves that the request was not run.
+    pub is_not_run: bool,
+    /// Whether another target now listens at the address.
+    pub is_other_target: bool,
+}
+
+/// An HTTP call with a small body and a small response.
+#[derive(Clone, Debug)]
+pub struct Call {
+    /// Method.
+    pub method: Method,
+    /// Path and query.
+    pub path: String,
+    /// Encoded body.
+    pub body: Bytes,
+}
+
+/// Calls to engines other than the forwarded requests.
+#[derive(Clone, Copy, Debug)]
+pub struct EngineCalls {
+    /// Requests an engine's load report.
+    pub report: fn() -> Call,
+    /// Decodes the report.
+    pub decode_report: fn(&[u8]) -> Result<Report, DecodeError>,
+    /// Requests a copy of a running generation's memory.
+    pub copy: fn(&CopyRequest<'_>) -> Call,
+    /// Decodes the response to a copy request.
+    pub decode_copy: fn(&CopyRequest<'_>, StatusCode, &[u8]) -> CopyOutcome,
+    /// Frees a copy.
+    pub release: fn(&str) -> Call,
+}
+
+/// A request to copy a generation to another target.
+#[derive(Clone, Copy, Debug)]
+pub struct CopyRequest<'a> {
+    /// Attempt whose generation is copied.
+    pub attempt: &'a str,
+    /// Destination of the copy.
+    pub to: &'a Target,
+}
+
+/// Result of a copy request.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum CopyOutcome {
+    /// The copy is complete.
+    Copied(Copy),
+    /// The generation does not run at the source.
+    NotRunning,
+    /// Another copy of the generation is being made.
+    Busy,
+    /// The destination has no room or cannot be reached.
+    Refused,
+}
+
+/// Calls to the store.
+#[derive(Clone, Copy, Debug)]
+pub struct StoreCalls {
+    /// Reads a table, starting from a key if one is given.
+    pub read: fn(Table, Option<&str>) -> Call,
+    /// Waits for changes of a table after a revision (long poll).
+    pub watch: fn(Table, u64, Millis) -> Call,
+    /// Decodes the response to `read` (if the flag is set) or to `watch`.
+    pub decode: fn(Table, bool, &[u8]) -> Result<Page, DecodeError>,
+    /// Reads the list of nodes.
+    pub read_nodes: fn() -> Call,
+    /// Decodes the list of nodes.
+    pub decode_nodes: fn(&[u8]) -> Result<NodeList, DecodeError>,
+    /// Writes a node's own entry and removes the named ones.
+    pub write_node: fn(&Node, &[Name]) -> Call,
+}
+
+/// One page of a table, or a set of its changes.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Page {
+    /// Decoded changes.
+    pub batch: Batch,
+    /// Key at which the next page starts, if there is one.
+    pub next: Option<String>,
+    /// Keys of rows that could not be decoded.
+    pub unreadable: Vec<Name>,
+}
+
+/// The nodes that have entries in the store.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct NodeList {
+    /// Entries of the nodes.
+    pub nodes: Vec<Node>,
+    /// Time by the store's clock when the list was read.
+    pub store_ms: Millis,
+}
+
+/// A response body that does not follow the platform's protocol.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("cannot decode {what}: {reason}")]
+pub struct DecodeError {
+    /// What was expected.
+    pub what: &'static str,
+    /// Why it cannot be decoded.
+    pub reason: String,
+}
--- /dev/null
+++ b/filbertpaddle-gateway/src/store_sync.rs
@@ -0,0 +1,302 @@
+//! Watches the store's tables and keeps this node registered in the store.
+//!
+//! Only the readers of a data centre watch the tables all the time. The other nodes
+//! receive them from a reader, and read the store themselves while no reader answers.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use filbertpaddle_core::clock::Millis;
+use filbertpaddle_core::name::Name;
+use filbertpaddle_forward::directory::Table;
+use http::Request;
+use http::StatusCode;
+use http_body_util::Full;
+use slog::info;
+use slog::warn;
+use tokio::time::sleep;
+
+use crate::clock::duration;
+use crate::connection_pool;
+use crate::nodes::Node;
+use crate::nodes::RENEW_INTERVAL_MS;
+use crate::platform_api::Call;
+use crate::platform_api::DecodeError;
+use crate::platform_api::Page;
+use crate::state::State;
+
+/// How long the store may hold back its response until something changes. Short,
+/// since a connection may go silent without a reset, and only the timeout shows it.
+const LONG_POLL_MS: Millis = Millis(1_800);
+/// The same after a failed call, to detect early that the store is back.
+const LONG_POLL_AFTER_FAILURE_MS: Millis = Millis(300);
+/// How long a response may take beyond the time it is held back. A slow store
+/// takes about 60 times its usual 4 ms.
+const RESPONSE_TIMEOUT_MS: Millis = Millis(600);
+/// Pause between calls, so that rows that change together arrive in one batch.
+const READER_BATCH_INTERVAL: Duration = Duration::from_millis(200);
+/// The same for a node that reads for itself only.
+const SOLO_BATCH_INTERVAL: Duration = Duration::from_millis(600);
+/// Retry delay of a node whose reader cannot read either; random, so that not all
+/// nodes retry at once.
+const PROBE_INTERVAL_MS: std::ops::Range<u64> = 1_500..3_500;
+const REGISTRATION_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Delay after the first failed call; grows with each further failure.
+const RETRY_DELAY_MS: Millis = Millis(150);
+const MAX_RETRY_DELAY_MS: Millis = Millis(600);
+
+/// Delay before a node of a first start reads the list of nodes. All nodes start
+/// within 0.3 s of each other and write their entries in this time.
+const FIRST_READ_DELAY: Duration = Duration::from_millis(500);
+/// Delay before the second read, which finds the nodes that started with this one.
+const SECOND_READ_DELAY_MS: Millis = Millis::from_secs(2);
+
+/// Reason why a call to the store failed.
+#[derive(Debug, thiserror::Error)]
+pub enum Error {
+    /// The call got no response.
+    #[error(transparent)]
+    Connection(#[from] connection_pool::Error),
+    /// The store refused the call.
+    #[error("store answered with status {0}")]
+    Status(StatusCode),
+    /// The response cannot be decoded.
+    #[error(transparent)]
+    Decode(#[from] DecodeError),
+    /// The store no longer keeps the changes after this node's revision.
+    #[error("the store no longer keeps the changes after this revision")]
+    HistoryGone,
+}
+
+/// Watches one table for as long as the node runs.
+pub async fn watch_table(state: Rc<State>, table: Table) {
+    let mut failures = 0;
+    let mut changes = state.subscribe();
+    while !state.is_registered.get() {
+        sleep(REGISTRATION_CHECK_INTERVAL).await;
+    }
+    loop {
+        if !state.must_read() {
+            // A node that receives the table from a peer makes no calls, so none has failed.
+            state
+                .directory
+                .borrow_mut()
+                .record_store_regained(state.clock.now(), table);
+            tokio::select! {
+                _ = changes.changed() => {}
+                () = sleep(duration(MAX_RETRY_DELAY_MS)) => {}
+            }
+            continue;
+        }
+        let mut result = read_or_watch(&state, table, failures > 0).await;
+        if matches!(result, Err(Error::HistoryGone)) {
+            info!(state.log, "changes no longer kept by the store, reading the whole table";
+                "table" => %table);
+            result = read_table(&state, table).await;
+        }
+        match result {
+            Ok(()) => {
+                if failures > 0 {
+                    info!(state.log, "store answers again";
+                        "table" => %table, "failures" => failures);
+                }
+                failures = 0;
+                let is_reader = state.is_reader();
+                sleep(if is_reader {
+                    READER_BATCH_INTERVAL
+                } else {
+                    SOLO_BATCH_INTERVAL
+                })
+                .await;
+            }
+            Err(error) => {
+                failures += 1;
+                state.directory.borrow_mut().record_store_lost(table);
+                if failures == 1 {
+                    warn!(state.log, "call to the store failed, retrying";
+                        "table" => %table, "error" => %error);
+                    state.metrics.count("store.lost");
+                }
+                sleep(duration(retry_delay_ms(&state, failures))).await;
+            }
+        }
+    }
+}
+
+/// Returns the delay after failed calls. Readers retry often, for all nodes. The others
+/// retry rarely, in case only their readers cannot reach the store.
+fn retry_delay_ms(state: &State, failures: u64) -> Millis {
+    if !state.is_reader() && state.followed_peer.get().is_up {
+        return Millis(rand::random_range(PROBE_INTERVAL_MS));
+    }
+    Millis(RETRY_DELAY_MS.0 * failures.min(4)).min(MAX_RETRY_DELAY_MS)
+}
+
+/// Renews this node's entry for as long as the node runs, and reads the list of nodes
+/// if no reader sends it.
+pub async fn maintain_registration(state: Rc<State>) {
+    if let Err(error) = write_node(&state, &[]).await {
+        warn!(state.log, "node's entry in the store not written, retrying"; "error" => %error);
+    }
+    if state.settings.is_first_start {
+        sleep(FIRST_READ_DELAY).await;
+    }
+    let mut delay = duration(SECOND_READ_DELAY_MS);
+    loop {
+        let result = refresh_registration(&state).await;
+        if !state.is_registered.replace(true) {
+            state.peer_lost_ms.set(state.clock.now());
+        }
+        match result {
+            Ok(()) => sleep(std::mem::replace(&mut delay, duration(RENEW_INTERVAL_MS))).await,
+            Err(error) => {
+                warn!(state.log, "node list or own entry not refreshed, retrying";
+                    "error" => %error);
+                sleep(duration(Millis(rand::random_range(PROBE_INTERVAL_MS)))).await;
+            }
+        }
+    }
+}
+
+/// Reads the list if no reader sends it, removes expired entries and renews this node's
+/// entry before it counts as stale.
+async fn refresh_registration(state: &Rc<State>) -> Result<(), Error> {
+    let has_no_peer = !state.is_registered.get() && !state.followed_peer.get().is_up;
+    let dropped = if has_no_peer || state.must_read() {
+        read_nodes(state).await?
+    } else {
+        Vec::new()
+    };
+    let now = state.clock.now();
+    let is_fresh = |written: Millis| now < written + RENEW_INTERVAL_MS;
+    if !state.written_ms.get().is_some_and(is_fresh) || !dropped.is_empty() {
+        write_node(state, &dropped).await?;
+    }
+    Ok(())
+}
+
+async fn write_node(state: &Rc<State>, dropped: &[Name]) -> Result<(), Error> {
+    let settings = &state.settings;
+    let now = state.clock.now();
+    if state.nodes.borrow().reads() == 0 {
+        // The entry is stamped with the store's clock, which is not known yet.
+        read_nodes(state).await?;
+    }
+    let node = Node {
+        name: settings.node.clone(),
+        data_centre: settings.data_centre.clone(),
+        peers: settings.peers,
+        cores: settings.cores,
+        written_ms: state.nodes.borrow().store_ms(now),
+    };
+    let call = (state.platform.store.write_node)(&node, dropped);
+    call_store(state, &call, RESPONSE_TIMEOUT_MS).await?;
+    state.written_ms.set(Some(now));
+    Ok(())
+}
+
+async fn read_nodes(state: &Rc<State>) -> Result<Vec<Name>, Error> {
+    let calls = state.platform.store;
+    let bytes = call_store(state, &(calls.read_nodes)(), RESPONSE_TIMEOUT_MS).await?;
+    let list = (calls.decode_nodes)(&bytes)?;
+    Ok(state.update_nodes(list))
+}
+
+async fn read_or_watch(state: &Rc<State>, table: Table, has_failed: bool) -> Result<(), Error> {
+    let revision = state.directory.borrow().revision(table);
+    if revision == 0 {
+        return read_table(state, table).await;
+    }
+    let wait_ms = if has_failed {
+        LONG_POLL_AFTER_FAILURE_MS
+    } else {
+        LONG_POLL_MS
+    };
+    let calls = state.platform.store;
+    let requested_ms = state.clock.now();
+    let call = (calls.watch)(table, revision, wait_ms);
+    let bytes = call_store(state, &call, wait_ms + RESPONSE_TIMEOUT_MS).await?;
+    let page = (calls.decode)(table, false, &bytes)?;
+    apply_page(state, table, requested_ms, &page);
+    Ok(())
+}
+
+/// Reads a whole table page by page and applies it as one batch.
+async fn read_table(state: &Rc<State>, table: Table) -> Result<(), Error> {
+    let calls = state.platform.store;
+    let requested_ms = state.clock.now();
+    let mut all: Option<Page> = None;
+    let mut from: Option<String> = None;
+    loop {
+        let call = (calls.read)(table, from.as_deref());
+        let bytes = call_store(state, &call, RESPONSE_TIMEOUT_MS).await?;
+        let page = (calls.decode)(table, true, &bytes)?;
+        from = page.next.clone();
+        match &mut all {
+            None => all = Some(page),
+            Some(all) => {
+                // Keep the first page's revision, so that changes made since are read again.
+                all.batch.changes.extend(page.batch.changes);
+                all.unreadable.extend(page.unreadable);
+            }
+        }
+        if from.is_none() {
+            break;
+        }
+    }
+    if let Some(page) = all {
+        apply_page(state, table, requested_ms, &page);
+    }
+    Ok(())
+}
+
+fn apply_page(state: &Rc<State>, table: Table, requested_ms: Millis, page: &Page) {
+    for key in &page.unreadable {
+        warn!(state.log, "row ignored: cannot be decoded";
+            "table" => %table, "key" => key.as_str());
+    }
+    let now = state.clock.now();
+    state
+        .directory
+        .borrow_mut()
+        .record_store_regained(now, table);
+    // A long poll returns the changes as of its end, a read those as of its start.
+    let as_of_ms = if page.batch.is_whole {
+        requested_ms
+    } else {
+        now
+    };
+    state.apply("store", as_of_ms, &page.batch);
+}
+
+async fn call_store(state: &Rc<State>, call: &Call, timeout: Millis) -> Result<Bytes, Error> {
+    let address: Name = state.settings.store.to_string().into();
+    let request = http_request(&address, call);
+    state.metrics.count("store.calls");
+    let timeout: Duration = duration(timeout);
+    let (head, bytes) = state.connections.call(&address, request, timeout).await?;
+    match head.status {
+        StatusCode::OK => Ok(bytes),
+        StatusCode::GONE => Err(Error::HistoryGone),
+        status => Err(Error::Status(status)),
+    }
+}
+
+/// Builds the HTTP request for a call.
+pub(crate) fn http_request(address: &str, call: &Call) -> Request<Full<Bytes>> {
+    let mut request = Request::new(Full::new(call.body.clone()));
+    *request.method_mut() = call.method.clone();
+    if let Ok(uri) = call.path.parse() {
+        *request.uri_mut() = uri;
+    }
+    let headers = request.headers_mut();
+    if let Ok(host) = address.parse() {
+        headers.insert(http::header::HOST, host);
+    }
+    if !call.body.is_empty() {
+        let json = http::HeaderValue::from_static("application/json");
+        headers.insert(http::header::CONTENT_TYPE, json);
+    }
+    request
+}
--- a/filbertpaddle-gateway/src/source.rs
+++ b/filbertpaddle-gateway/src/target_stream.rs
@@ -1,4 +1,4 @@
-//! The events of one run of a generation at one target.
+//! The stream of events that one target sends for a generation.
 
 use std::collections::VecDeque;
 
@@ -6,31 +6,31 @@
 use filbertpaddle_forward::event_stream::EventSplitter;
 use filbertpaddle_forward::target::Target;
 
-use crate::links::Body;
+use crate::connection_pool::Body;
 
-/// The stream of one target.
+/// An event stream from one target.
 #[derive(Debug)]
-pub struct Source {
-    /// The target.
+pub struct TargetStream {
+    /// Target that sends the stream.
     pub target: Target,
     body: Body,
     splitter: EventSplitter,
     ready: VecDeque<Event>,
 }
 
-/// What came of a stream.
+/// Next item of a stream.
 #[derive(Debug)]
-pub enum Piece {
-    /// A whole event.
+pub enum StreamItem {
+    /// A complete event.
     Event(Event),
-    /// The stream ended as it should.
+    /// The stream ended after a complete event.
     End,
     /// The stream broke off.
     Broken(String),
 }
 
-impl Source {
-    /// Reads the events of `body`.
+impl TargetStream {
+    /// Creates a stream that reads the events of `body`.
     pub fn new(target: Target, body: Body) -> Self {
         Self {
             target,
@@ -40,36 +40,36 @@
         }
     }
 
-    /// Waits for the next event or the end. May be dropped and called again.
-    pub async fn next(&mut self) -> Piece {
+    /// Waits for the next event or the end. Cancel-safe.
+    pub async fn next(&mut self) -> StreamItem {
         loop {
             if let Some(event) = self.ready.pop_front() {
-                return Piece::Event(event);
+                return StreamItem::Event(event);
             }
             match self.body.next().await {
                 Ok(Some(bytes)) => {
                     if let Err(error) = self.splitter.push(&bytes) {
-                        return Piece::Broken(error.to_string());
+                        return StreamItem::Broken(error.to_string());
                     }
                     while let Some(event) = self.splitter.next_event() {
                         self.ready.push_back(event);
                     }
                 }
                 Ok(None) if self.splitter.has_partial_event() => {
-                    return Piece::Broken("ended within an event".to_owned());
+                    return StreamItem::Broken("stream ended within an event".to_owned());
                 }
-                Ok(None) => return Piece::End,
-                Err(error) => return Piece::Broken(error.to_string()),
+                Ok(None) => return StreamItem::End,
+                Err(error) => return StreamItem::Broken(error.to_string()),
             }
         }
     }
 
-    /// Puts back the event that was read last.
-    pub fn unread(&mut self, event: Event) {
+    /// Puts back the last event, which the next call returns again.
+    pub fn put_back(&mut self, event: Event) {
         self.ready.push_front(event);
     }
 
-    /// Closes the connection, which ends the run at the target.
+    /// Closes the connection, upon which the target stops the generation.
     pub fn close(self) {
         drop(self.body);
     }
