--- a/filbertpaddle/src/caller.rs
+++ b/filbertpaddle/src/caller.rs
@@ -22,7 +22,6 @@
 use warp::reply::Response;
 
 use crate::clock;
-use crate::front::Front;
 use crate::generation::Attempt;
 use crate::generation::Step;
 use crate::output::Output;
@@ -32,6 +31,7 @@
 use crate::request::Invalid;
 use crate::request::Request;
 use crate::request::Started;
+use crate::request_context::RequestContext;
 use crate::run;
 use crate::ticket;
 use crate::ticket::Ticket;
@@ -56,25 +56,25 @@
 
 /// Returns the routes for callers.
 pub fn routes(
-    front: Arc<Front>,
+    context: Arc<RequestContext>,
 ) -> impl Filter<Extract = (Response,), Error = Rejection> + Clone + Send + Sync + 'static {
-    let with_front = warp::any().map(move || Arc::clone(&front));
+    let with_context = warp::any().map(move || Arc::clone(&context));
     let requests = warp::path!("v1" / "requests")
         .and(warp::post())
-        .and(with_front.clone())
+        .and(with_context.clone())
         .and(warp::header::optional("authorization"))
         .and(warp::header::optional("idempotency-key"))
         .and(warp::body::stream())
         .then(request);
     let resume = warp::path!("v1" / "resume")
         .and(warp::post())
-        .and(with_front.clone())
+        .and(with_context.clone())
         .and(warp::header::optional("authorization"))
         .and(warp::body::stream())
         .then(resume);
     let cancel = warp::path!("v1" / "cancel")
         .and(warp::post())
-        .and(with_front)
+        .and(with_context)
         .and(warp::header::optional("authorization"))
         .and(warp::body::stream())
         .then(cancel);
@@ -82,7 +82,7 @@
 }
 
 async fn request<S, B>(
-    front: Arc<Front>,
+    context: Arc<RequestContext>,
     authorization: Option<String>,
     key: Option<String>,
     body: S,
@@ -91,42 +91,42 @@
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
 {
-    let permit = match enter(&front) {
+    let permit = match enter(&context) {
         Ok(permit) => permit,
         Err(outcome) => return reply::ended(&outcome, None),
     };
-    let request = match checked(&front, authorization, key.as_deref(), body).await {
+    let request = match checked(&context, authorization, key.as_deref(), body).await {
         Ok(request) => request,
         Err(invalid) => {
-            front.metrics.count("request.invalid");
+            context.metrics.count("request.invalid");
             return reply::invalid(&invalid);
         }
     };
     let delivery = request.template.delivery;
-    let started = run::start(front, request, permit).await;
+    let started = run::start(context, request, permit).await;
     match delivery {
         template::DeliveryMode::Stream => reply::streamed(started),
         template::DeliveryMode::Whole => reply::whole(started).await,
     }
 }
 
-fn enter(front: &Front) -> Result<OwnedSemaphorePermit, Outcome> {
+fn enter(context: &RequestContext) -> Result<OwnedSemaphorePermit, Outcome> {
     let refuse = |reason, retry_after_ms| Outcome::NotRun {
         reason,
         retry_after_ms: Some(retry_after_ms),
     };
-    if front.gate.is_draining() {
+    if context.gate.is_draining() {
         // Another node takes the request now; the balancer knows which.
         return Err(refuse(Reason::Draining, Millis::ZERO));
     }
-    front
+    context
         .gate
         .enter()
         .ok_or_else(|| refuse(Reason::Overloaded, FULL_RETRY_AFTER_MS))
 }
 
 async fn checked<S, B>(
-    front: &Front,
+    context: &RequestContext,
     authorization: Option<String>,
     key: Option<&str>,
     body: S,
@@ -135,9 +135,9 @@
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
 {
-    let customer = customer(front, authorization)?;
-    let body: Body = read(front, body).await?;
-    let template = front
+    let customer = customer(context, authorization)?;
+    let body: Body = read(context, body).await?;
+    let template = context
         .templates
         .current()
         .and_then(|current| current.template(&customer, &body.template))
@@ -145,8 +145,8 @@
     Request::check(customer, template, body, key, clock::unix_now())
 }
 
-fn customer(front: &Front, authorization: Option<String>) -> Result<Name, Invalid> {
-    let current = front.templates.current();
+fn customer(context: &RequestContext, authorization: Option<String>) -> Result<Name, Invalid> {
+    let current = context.templates.current();
     let key = authorization
         .as_deref()
         .and_then(|value| value.strip_prefix("Bearer "));
@@ -159,14 +159,14 @@
         })
 }
 
-async fn read<T, S, B>(front: &Front, body: S) -> Result<T, Invalid>
+async fn read<T, S, B>(context: &RequestContext, body: S) -> Result<T, Invalid>
 where
     T: DeserializeOwned,
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
 {
-    let timeout = clock::duration(front.limits.send_timeout_ms);
-    let bytes = tokio::time::timeout(timeout, collect(body, front.limits.body_bytes))
+    let timeout = clock::duration(context.limits.send_timeout_ms);
+    let bytes = tokio::time::timeout(timeout, collect(body, context.limits.body_bytes))
         .await
         .map_err(|_| bad_request("the request was not sent in time".to_owned()))??;
     serde_json::from_slice(&bytes).map_err(|error| bad_request(error.to_string()))
@@ -193,13 +193,17 @@
     Ok(bytes)
 }
 
-async fn resume<S, B>(front: Arc<Front>, authorization: Option<String>, body: S) -> Response
+async fn resume<S, B>(
+    context: Arc<RequestContext>,
+    authorization: Option<String>,
+    body: S,
+) -> Response
 where
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
 {
     // A resume is running work, so a draining node still takes it.
-    let Some(permit) = front.gate.enter() else {
+    let Some(permit) = context.gate.enter() else {
         let outcome = Outcome::NotRun {
             reason: Reason::Overloaded,
             retry_after_ms: Some(FULL_RETRY_AFTER_MS),
@@ -207,10 +211,10 @@
         return reply::ended(&outcome, None);
     };
     let asked: Result<(Ticket, u32), Invalid> = async {
-        let customer = customer(&front, authorization)?;
-        let resume: Resume = read(&front, body).await?;
+        let customer = customer(&context, authorization)?;
+        let resume: Resume = read(&context, body).await?;
         Ok((
-            check_ticket(&front, &customer, &resume.ticket)?,
+            check_ticket(&context, &customer, &resume.ticket)?,
             resume.from,
         ))
     }
@@ -219,10 +223,10 @@
         Ok(asked) => asked,
         Err(invalid) => return reply::invalid(&invalid),
     };
-    front.metrics.count("request.resumed");
+    context.metrics.count("request.resumed");
     let (answer, started) = oneshot::channel();
     tokio::spawn(async move {
-        go_on(&front, ticket, from, Output::new(answer)).await;
+        go_on(&context, ticket, from, Output::new(answer)).await;
         drop(permit);
     });
     let gone = Started::Ended(Outcome::Incomplete {
@@ -234,11 +238,11 @@
 
 // The slot stays with the node that asked for it, or with the pool's owner
 // if that node has gone; a resume only reads.
-async fn go_on(front: &Front, ticket: Ticket, from: u32, mut output: Output) {
+async fn go_on(context: &RequestContext, ticket: Ticket, from: u32, mut output: Output) {
     let mut delivery = Delivery::resumed(ticket.promise(), ticket.attempt.clone(), from);
     let grant = Grant::to_resume(ticket.target.clone(), ticket.address);
     let attempt = Attempt {
-        front,
+        context,
         ticket,
         grant: &grant,
         delivery: &mut delivery,
@@ -254,30 +258,38 @@
     output.close(outcome);
 }
 
-async fn cancel<S, B>(front: Arc<Front>, authorization: Option<String>, body: S) -> Response
+async fn cancel<S, B>(
+    context: Arc<RequestContext>,
+    authorization: Option<String>,
+    body: S,
+) -> Response
 where
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
 {
     let asked: Result<Ticket, Invalid> = async {
-        let customer = customer(&front, authorization)?;
-        let cancel: Cancel = read(&front, body).await?;
-        check_ticket(&front, &customer, &cancel.ticket)
+        let customer = customer(&context, authorization)?;
+        let cancel: Cancel = read(&context, body).await?;
+        check_ticket(&context, &customer, &cancel.ticket)
     }
     .await;
     let ticket = match asked {
         Ok(ticket) => ticket,
         Err(invalid) => return reply::invalid(&invalid),
     };
-    front.metrics.count("request.cancelled");
-    match front.targets.cancel(ticket.address, &ticket.attempt).await {
+    context.metrics.count("request.cancelled");
+    match context
+        .targets
+        .cancel(ticket.address, &ticket.attempt)
+        .await
+    {
         Ok(()) => StatusCode::NO_CONTENT.into_response(),
         Err(_) => StatusCode::BAD_GATEWAY.into_response(),
     }
 }
 
-fn check_ticket(front: &Front, customer: &str, text: &str) -> Result<Ticket, Invalid> {
-    let secret = front.ticket_secret.as_bytes();
+fn check_ticket(context: &RequestContext, customer: &str, text: &str) -> Result<Ticket, Invalid> {
+    let secret = context.ticket_secret.as_bytes();
     let ticket = ticket::verify(text, secret, clock::unix_now())
         .map_err(|error| bad_request(error.to_string()))?;
     if ticket.customer != customer {
--- a/filbertpaddle/src/generation.rs
+++ b/filbertpaddle/src/generation.rs
@@ -18,10 +18,10 @@
 use slog::debug;
 
 use crate::clock;
-use crate::front::Front;
 use crate::output::Output;
 use crate::pools::Grant;
 use crate::request::Item;
+use crate::request_context::RequestContext;
 use crate::ticket;
 use crate::ticket::Ticket;
 
@@ -49,7 +49,7 @@
 /// One attempt and whom it is for.
 #[derive(Debug)]
 pub(crate) struct Attempt<'a> {
-    pub(crate) front: &'a Front,
+    pub(crate) context: &'a RequestContext,
     pub(crate) ticket: Ticket,
     pub(crate) grant: &'a Grant,
     pub(crate) delivery: &'a mut Delivery,
@@ -59,8 +59,12 @@
 impl Attempt<'_> {
     /// Sends a generation and relays its tokens.
     pub(crate) async fn generate(mut self, submit: &Submit) -> Used {
-        let submitted = self.front.targets.submit(self.grant.address, submit).await;
-        self.front.slots.sent(self.grant);
+        let submitted = self
+            .context
+            .targets
+            .submit(self.grant.address, submit)
+            .await;
+        self.context.slots.sent(self.grant);
         match submitted {
             Ok(stream) => self.relay(stream).await,
             Err(error) if error.is_not_started() => self.not_started(&error),
@@ -78,8 +82,8 @@
 
     /// Sends a call to a plain service.
     pub(crate) async fn call(mut self, submit: &Submit, idempotent: bool) -> Used {
-        let answered = self.front.targets.call(self.grant.address, submit).await;
-        self.front.slots.sent(self.grant);
+        let answered = self.context.targets.call(self.grant.address, submit).await;
+        self.context.slots.sent(self.grant);
         match answered {
             Ok(answer) => {
                 self.token(0, answer.body);
@@ -163,9 +167,9 @@
                 }
                 _ => return Err(used(Step::Restart, Ending::Failed)),
             };
-            self.front.metrics.count("stream.resumed");
+            self.context.metrics.count("stream.resumed");
             let attempt = self.delivery.attempt();
-            let targets = &self.front.targets;
+            let targets = &self.context.targets;
             match targets.resume(self.grant.address, attempt, from).await {
                 Ok(stream) => return Ok(stream),
                 Err(error) => {
@@ -179,7 +183,7 @@
 
     fn token(&mut self, index: u32, text: String) {
         let generation = self.delivery.attempt().clone();
-        let secret = self.front.ticket_secret.as_bytes();
+        let secret = self.context.ticket_secret.as_bytes();
         let ticket = &self.ticket;
         self.output.token(index, text, || Item::Start {
             generation,
@@ -193,12 +197,12 @@
     }
 
     fn dropped(&self) {
-        self.front.metrics.count("token.dropped");
+        self.context.metrics.count("token.dropped");
     }
 
     fn log_failure(&self, error: &Error) {
         let target = &self.grant.target;
-        debug!(self.front.log, "Target failed."; "target" => %target, "error" => %error);
+        debug!(self.context.log, "Target failed."; "target" => %target, "error" => %error);
     }
 }
 
--- a/filbertpaddle/src/health.rs
+++ b/filbertpaddle/src/health.rs
@@ -8,11 +8,11 @@
 use warp::http::StatusCode;
 use warp::reply::Response;
 
-use crate::front::Front;
+use crate::request_context::RequestContext;
 
 /// Returns `GET /healthz` (the process runs) and `GET /readyz` (send work here).
 pub fn routes(
-    front: Arc<Front>,
+    front: Arc<RequestContext>,
 ) -> impl Filter<Extract = (Response,), Error = Rejection> + Clone + Send + Sync + 'static {
     let healthz = warp::path!("healthz")
         .and(warp::get())
@@ -23,7 +23,7 @@
     healthz.or(readyz).unify()
 }
 
-fn ready(front: &Front) -> StatusCode {
+fn ready(front: &RequestContext) -> StatusCode {
     if front.gate.is_draining() || front.templates.current().is_none() {
         return StatusCode::SERVICE_UNAVAILABLE;
     }
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -28,7 +28,6 @@
 use crate::clock::Clock;
 use crate::config;
 use crate::config::Config;
-use crate::front::Front;
 use crate::gate::Gate;
 use crate::health;
 use crate::inbox;
@@ -44,6 +43,7 @@
 use crate::pools::Pools;
 use crate::refusals::Keeper;
 use crate::remote::Remote;
+use crate::request_context::RequestContext;
 use crate::retries::Retries;
 use crate::service::Service;
 use crate::settings::Settings;
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 pub struct Node {
     addresses: Addresses,
-    front: Arc<Front>,
+    front: Arc<RequestContext>,
     servers: Vec<Server>,
     log: Logger,
 }
@@ -204,14 +204,14 @@
     templates: Templates,
     claims: Claims,
     slots: Slots,
-) -> eyre::Result<Front> {
+) -> eyre::Result<RequestContext> {
     let own = &common.own;
     let log = &common.log;
     let attempt_prefix = attempt::prefix(&Id {
         name: own.name.clone(),
         incarnation: own.incarnation,
     });
-    Ok(Front {
+    Ok(RequestContext {
         templates,
         claims,
         slots,
--- a/filbertpaddle/src/front.rs
+++ b/filbertpaddle/src/request_context.rs
@@ -15,7 +15,7 @@
 
 /// Parts and limits shared by all requests of a node.
 #[derive(Debug)]
-pub struct Front {
+pub struct RequestContext {
     /// Configuration in force.
     pub templates: Templates,
     /// Claims on idempotency keys.
--- a/filbertpaddle/src/run.rs
+++ b/filbertpaddle/src/run.rs
@@ -17,7 +17,6 @@
 
 use crate::attempt;
 use crate::claims;
-use crate::front::Front;
 use crate::generation::Attempt;
 use crate::generation::Step;
 use crate::generation::Used;
@@ -26,6 +25,7 @@
 use crate::pools;
 use crate::request::Request;
 use crate::request::Started;
+use crate::request_context::RequestContext;
 
 /// Most targets that one request is sent to.
 const MAX_ATTEMPTS: u32 = 3;
@@ -33,10 +33,14 @@
 const RETRY_AFTER_MS: Millis = Millis(1_000);
 
 /// Runs a request in a task of its own, which outlives the caller's connection.
-pub async fn start(front: Arc<Front>, request: Request, permit: OwnedSemaphorePermit) -> Started {
+pub async fn start(
+    context: Arc<RequestContext>,
+    request: Request,
+    permit: OwnedSemaphorePermit,
+) -> Started {
     let (answer, started) = oneshot::channel();
     tokio::spawn(async move {
-        Run::new(front, request, Output::new(answer)).run().await;
+        Run::new(context, request, Output::new(answer)).run().await;
         drop(permit);
     });
     started.await.unwrap_or(Started::Ended(Outcome::MayHaveRun {
@@ -45,7 +49,7 @@
 }
 
 struct Run {
-    front: Arc<Front>,
+    context: Arc<RequestContext>,
     request: Request,
     output: Output,
     delivery: Delivery,
@@ -54,14 +58,14 @@
 }
 
 impl Run {
-    fn new(front: Arc<Front>, request: Request, output: Output) -> Self {
+    fn new(context: Arc<RequestContext>, request: Request, output: Output) -> Self {
         let promise = RestartPolicy {
             idempotent: request.template.idempotent,
             buffered: request.template.delivery == template::DeliveryMode::Whole,
         };
-        let delivery = Delivery::new(promise, front.gate.attempt());
+        let delivery = Delivery::new(promise, context.gate.attempt());
         Self {
-            front,
+            context,
             request,
             output,
             delivery,
@@ -80,7 +84,7 @@
             claims::Answer::Granted(claim) => self.run_claimed(claim).await,
             claims::Answer::Refused(outcome) => self.close(outcome),
             claims::Answer::Replay(finished) => {
-                self.front.metrics.count("request.replayed");
+                self.context.metrics.count("request.replayed");
                 self.output.replay(Started::Replay(finished));
             }
         }
@@ -89,13 +93,13 @@
     async fn run_claimed(mut self, claim: claims::Claim) {
         let outcome = self.work().await;
         if matches!(outcome, Outcome::NotRun { .. }) {
-            self.front.claims.release(claim).await;
+            self.context.claims.release(claim).await;
         } else {
             let finished = claims::Finished {
                 outcome: outcome.clone(),
                 text: self.output.text().to_owned(),
             };
-            self.front.claims.finish(claim, finished).await;
+            self.context.claims.finish(claim, finished).await;
         }
         self.close(outcome);
     }
@@ -113,7 +117,7 @@
             digest: self.request.digest_hex(),
             attempt: self.delivery.attempt().clone(),
         };
-        self.front.claims.claim(ask).await
+        self.context.claims.claim(ask).await
     }
 
     // Every pass uses one target; the attempt limit bounds the passes.
@@ -138,17 +142,17 @@
     }
 
     fn may_retry(&self) -> bool {
-        let retries = &self.front.retries;
+        let retries = &self.context.retries;
         let allowed = self.attempts < MAX_ATTEMPTS && retries.take(&self.request.template.model);
         if !allowed {
-            self.front.metrics.count("request.not_retried");
+            self.context.metrics.count("request.not_retried");
         }
         allowed
     }
 
     fn ended(&self, outcome: Outcome) -> Outcome {
         if matches!(outcome, Outcome::Complete { .. }) {
-            self.front.retries.succeeded(&self.request.template.model);
+            self.context.retries.succeeded(&self.request.template.model);
         }
         outcome
     }
@@ -156,7 +160,7 @@
     async fn acquire(&mut self) -> Result<pools::Grant, Outcome> {
         let ask = self.ask();
         let slot = tokio::select! {
-            slot = self.front.slots.acquire(ask) => slot,
+            slot = self.context.slots.acquire(ask) => slot,
             () = self.output.abandoned() => Err(pools::Refusal {
                 reason: Reason::Cancelled,
                 retry_after_ms: None,
@@ -194,7 +198,7 @@
             max_tokens: template.max_tokens,
         };
         let attempt = Attempt {
-            front: &self.front,
+            context: &self.context,
             ticket: ticket(
                 &self.request.customer,
                 &self.delivery,
@@ -210,7 +214,7 @@
             WorkKind::Call => attempt.call(&submit, template.idempotent).await,
         };
         let tokens = self.delivery.delivered_tokens();
-        self.front.slots.release(grant, ending, tokens);
+        self.context.slots.release(grant, ending, tokens);
         step
     }
 
@@ -226,8 +230,8 @@
     }
 
     fn restart(&mut self) {
-        self.front.metrics.count("request.restarted");
-        let attempt = self.front.gate.attempt();
+        self.context.metrics.count("request.restarted");
+        let attempt = self.context.gate.attempt();
         self.delivery.restart(attempt);
         self.output.restart();
     }
@@ -247,8 +251,8 @@
     }
 
     fn close(self, outcome: Outcome) {
-        self.front.metrics.count(metric(&outcome));
-        debug!(self.front.log, "Request ended."; "outcome" => ?outcome);
+        self.context.metrics.count(metric(&outcome));
+        debug!(self.context.log, "Request ended."; "outcome" => ?outcome);
         self.output.close(outcome);
     }
 }
