--- a/filbertpaddle/src/gate.rs
+++ b/filbertpaddle/src/admission.rs
@@ -11,37 +11,37 @@
 
 /// Lets requests in until the node drains.
 #[derive(Debug)]
-pub struct Gate {
+pub struct Admission {
     attempt_prefix: Name,
-    next_attempt: AtomicU64,
+    next_number: AtomicU64,
     draining: AtomicBool,
-    running: Arc<Semaphore>,
-    most_running: usize,
+    permits: Arc<Semaphore>,
+    max_requests: usize,
 }
 
-impl Gate {
-    /// Opens the gate for at most `most_running` requests at once.
+impl Admission {
+    /// Opens the gate for at most `max_requests` requests at once.
     ///
     /// `attempt_prefix` starts all attempt ids of this life of the node.
-    pub fn open(attempt_prefix: Name, most_running: usize) -> Self {
+    pub fn new(attempt_prefix: Name, max_requests: usize) -> Self {
         Self {
             attempt_prefix,
-            next_attempt: AtomicU64::new(1),
+            next_number: AtomicU64::new(1),
             draining: AtomicBool::new(false),
-            running: Arc::new(Semaphore::new(most_running)),
-            most_running,
+            permits: Arc::new(Semaphore::new(max_requests)),
+            max_requests,
         }
     }
 
     /// Returns an attempt id that no node has used.
-    pub fn attempt(&self) -> Name {
-        let number = self.next_attempt.fetch_add(1, Ordering::Relaxed);
+    pub fn next_attempt_id(&self) -> Name {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         format!("{}-{number:x}", self.attempt_prefix).into()
     }
 
     /// Counts a request in; `None` if too many run.
-    pub fn enter(&self) -> Option<OwnedSemaphorePermit> {
-        Arc::clone(&self.running).try_acquire_owned().ok()
+    pub fn try_admit(&self) -> Option<OwnedSemaphorePermit> {
+        Arc::clone(&self.permits).try_acquire_owned().ok()
     }
 
     /// Returns whether new work is refused because the node is leaving.
@@ -52,7 +52,7 @@
     /// Refuses new work and waits until all that runs has ended.
     pub async fn drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
-        let all = u32::try_from(self.most_running).unwrap_or(u32::MAX);
-        self.running.acquire_many(all).await.ok();
+        let all = u32::try_from(self.max_requests).unwrap_or(u32::MAX);
+        self.permits.acquire_many(all).await.ok();
     }
 }
--- a/filbertpaddle/src/caller.rs
+++ b/filbertpaddle/src/caller.rs
@@ -115,13 +115,13 @@
         reason,
         retry_after_ms: Some(retry_after_ms),
     };
-    if context.gate.is_draining() {
+    if context.admission.is_draining() {
         // Another node takes the request now; the balancer knows which.
         return Err(refuse(Reason::Draining, Millis::ZERO));
     }
     context
-        .gate
-        .enter()
+        .admission
+        .try_admit()
         .ok_or_else(|| refuse(Reason::Overloaded, FULL_RETRY_AFTER_MS))
 }
 
@@ -203,7 +203,7 @@
     B: Buf,
 {
     // A resume is running work, so a draining node still takes it.
-    let Some(permit) = context.gate.enter() else {
+    let Some(permit) = context.admission.try_admit() else {
         let outcome = Outcome::NotRun {
             reason: Reason::Overloaded,
             retry_after_ms: Some(FULL_RETRY_AFTER_MS),
--- a/filbertpaddle/src/health.rs
+++ b/filbertpaddle/src/health.rs
@@ -24,7 +24,7 @@
 }
 
 fn ready(front: &RequestContext) -> StatusCode {
-    if front.gate.is_draining() || front.templates.current().is_none() {
+    if front.admission.is_draining() || front.templates.current().is_none() {
         return StatusCode::SERVICE_UNAVAILABLE;
     }
     StatusCode::OK
--- a/filbertpaddle/src/lib.rs
+++ b/filbertpaddle/src/lib.rs
@@ -1,5 +1,6 @@
 //! A node: the process between callers and back ends.
 
+pub mod admission;
 pub mod arguments;
 pub mod attempt;
 mod body;
@@ -18,7 +19,6 @@
 mod coordinator_inputs;
 mod coordinator_tasks;
 pub mod edit;
-pub mod gate;
 mod generation;
 pub mod health;
 pub mod heart;
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -20,6 +20,7 @@
 use tokio::task::JoinHandle;
 use warp::Filter;
 
+use crate::admission::Admission;
 use crate::attempt;
 use crate::caller;
 use crate::claims;
@@ -28,7 +29,6 @@
 use crate::clock::Clock;
 use crate::config;
 use crate::config::Config;
-use crate::gate::Gate;
 use crate::health;
 use crate::inbox;
 use crate::inbox::Inboxes;
@@ -160,7 +160,7 @@
     /// Refuses new work, lets all that runs end, and stops.
     pub async fn close(self) {
         info!(self.log, "Node drains.");
-        self.front.gate.drain().await;
+        self.front.admission.drain().await;
         self.front.slots.leave().await;
         self.front.claims.close().await;
         for server in self.servers {
@@ -221,7 +221,7 @@
         limits: settings.limits.clone(),
         metrics: Arc::clone(&common.metrics),
         log: log::part(log, "request"),
-        gate: Gate::open(attempt_prefix, settings.limits.requests),
+        admission: Admission::new(attempt_prefix, settings.limits.requests),
     })
 }
 
--- a/filbertpaddle/src/request_context.rs
+++ b/filbertpaddle/src/request_context.rs
@@ -5,8 +5,8 @@
 use filbertpaddle_target::client::Client;
 use slog::Logger;
 
+use crate::admission::Admission;
 use crate::claims::Claims;
-use crate::gate::Gate;
 use crate::metrics::Metrics;
 use crate::retries::Retries;
 use crate::settings::Limits;
@@ -35,5 +35,5 @@
     /// Log of requests.
     pub log: Logger,
     /// Counts requests in and out.
-    pub gate: Gate,
+    pub admission: Admission,
 }
--- a/filbertpaddle/src/run.rs
+++ b/filbertpaddle/src/run.rs
@@ -63,7 +63,7 @@
             idempotent: request.template.idempotent,
             buffered: request.template.delivery == template::DeliveryMode::Whole,
         };
-        let delivery = Delivery::new(promise, context.gate.attempt());
+        let delivery = Delivery::new(promise, context.admission.next_attempt_id());
         Self {
             context,
             request,
@@ -231,7 +231,7 @@
 
     fn restart(&mut self) {
         self.context.metrics.count("request.restarted");
-        let attempt = self.context.gate.attempt();
+        let attempt = self.context.admission.next_attempt_id();
         self.delivery.restart(attempt);
         self.output.restart();
     }
