--- a/filbertpaddle/src/lib.rs
+++ b/filbertpaddle/src/lib.rs
@@ -3,7 +3,6 @@
 pub mod admission;
 pub mod arguments;
 pub mod attempt;
-mod body;
 mod bounds;
 pub mod caller;
 mod claim_actor;
@@ -48,6 +47,7 @@
 pub mod service;
 pub mod settings;
 pub mod show;
+mod slot_message;
 pub mod slots;
 pub mod status;
 pub mod table;
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -25,7 +25,6 @@
 use indexmap::IndexMap;
 use tokio::sync::oneshot;
 
-use crate::body;
 use crate::peers::Peer;
 use crate::placer;
 use crate::placer::Placer;
@@ -33,6 +32,7 @@
 use crate::pools::Grant;
 use crate::pools::Refusal;
 use crate::pools::Slot;
+use crate::slot_message;
 
 /// When a refused caller may come back.
 const RETRY_AFTER_MS: Millis = Millis(1_000);
@@ -259,7 +259,7 @@
             Message::Refuse(_, number) => self.on_refuse(now, number),
             Message::Release(_, used, end) => {
                 if let Some(owner) = &mut self.owner {
-                    let key = body::used_key(from, used);
+                    let key = slot_message::used_key(from, used);
                     owner.on_release(now, &key, end.ending.is_over());
                     self.placer.ended(now, &key, end);
                 }
@@ -267,7 +267,7 @@
             Message::Collect(_, collect) => self.on_collect(from, &collect),
             Message::Holding(_, holding) => {
                 if let Some(owner) = &mut self.owner {
-                    let holding = body::told(from, &holding);
+                    let holding = slot_message::holding(from, &holding);
                     if owner.has_collected(from, holding.session) {
                         owner.on_recount(now, &holding);
                     } else {
@@ -286,7 +286,7 @@
         if slot.key.source == Source::Share {
             self.placer.ended(now, &slot.key, end);
         }
-        let used = body::used(&slot.key);
+        let used = slot_message::used(&slot.key);
         self.tell_owner(Message::Release(self.name.clone(), used, end));
     }
 
@@ -326,7 +326,7 @@
             upto: holding.upto,
             session: holding.session,
             works: works
-                .map(|held| body::work(&held.target, &held.key))
+                .map(|held| slot_message::work(&held.target, &held.key))
                 .collect(),
         };
         let message = Message::Holding(self.name.clone(), message);
@@ -347,7 +347,7 @@
             .position(|waiter| waiter.asked == Some(granted.ask) && !waiter.reply.is_closed());
         let own = self.member.id().clone();
         let grant = slot::Grant {
-            key: body::used_key(&own, used),
+            key: slot_message::used_key(&own, used),
             target: granted.target,
             ask: granted.ask,
             stamp: granted.stamp,
--- a/filbertpaddle/src/pool_owner.rs
+++ b/filbertpaddle/src/pool_owner.rs
@@ -9,10 +9,10 @@
 use filbertpaddle_wire::grant;
 use filbertpaddle_wire::grant::Message;
 
-use crate::body;
 use crate::pool::Out;
 use crate::pool::Pool;
 use crate::pool::REASK_MS;
+use crate::slot_message;
 
 /// Time between two questions to every member what it holds, which find what
 /// lost messages have left counted.
@@ -60,13 +60,17 @@
         };
         for granted in self.placer.grants(now, owner) {
             let to = granted.key.holder.clone();
-            let message = Message::Grant(self.name.clone(), body::grant_message(granted));
+            let message = Message::Grant(self.name.clone(), slot_message::grant_message(granted));
             self.out.push(Out { to, message });
         }
         for denied in self.placer.denied(now) {
             let number = denied.ask.number;
             owner.on_withdraw(&denied.ask.holder, number);
-            let message = Message::Deny(self.name.clone(), number, body::denial(&denied.refusal));
+            let message = Message::Deny(
+                self.name.clone(),
+                number,
+                slot_message::denial(&denied.refusal),
+            );
             let to = denied.ask.holder;
             self.out.push(Out { to, message });
         }
@@ -118,7 +122,11 @@
         };
         if let Err(refusal) = self.placer.push(now, asked, &ask.want) {
             owner.on_withdraw(from, ask.number);
-            let message = Message::Deny(self.name.clone(), ask.number, body::denial(&refusal));
+            let message = Message::Deny(
+                self.name.clone(),
+                ask.number,
+                slot_message::denial(&refusal),
+            );
             self.out.push(Out { to, message });
         }
     }
--- a/filbertpaddle/src/remote.rs
+++ b/filbertpaddle/src/remote.rs
@@ -24,7 +24,6 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-use crate::body;
 use crate::clock;
 use crate::inbox::Incoming;
 use crate::loan;
@@ -35,6 +34,7 @@
 use crate::pools::Grant;
 use crate::pools::Pools;
 use crate::pools::Refusal;
+use crate::slot_message;
 
 /// Longest wait for a slot of another data centre; the lender takes a slot back
 /// from a borrower that it cannot reach only after a longer time.
@@ -193,7 +193,7 @@
             Ok(Ok(Err(refusal))) => {
                 pending.open = false;
                 self.state().asked.swap_remove(&number);
-                return Err(body::refusal(refusal));
+                return Err(slot_message::refusal(refusal));
             }
             Ok(Err(_)) | Err(_) => return Err(unanswered()),
         };
