--- a/filbertpaddle/src/coordinator_inputs.rs
+++ b/filbertpaddle/src/coordinator_inputs.rs
@@ -17,7 +17,7 @@
 use xtra::Context;
 use xtra::Handler;
 
-use crate::attempt;
+use crate::attempt_id;
 use crate::coordinator::Coordinator;
 use crate::coordinator::id;
 use crate::inbox::Incoming;
@@ -251,7 +251,7 @@
         waiting: load.waiting,
         preemptions: load.preemptions,
         fence: None,
-        works: load.attempts.iter().map(attempt::slot).collect(),
+        works: load.attempts.iter().map(attempt_id::slot).collect(),
     }
 }
 
--- a/filbertpaddle/src/lib.rs
+++ b/filbertpaddle/src/lib.rs
@@ -2,7 +2,7 @@
 
 pub mod admission;
 pub mod arguments;
-pub mod attempt;
+pub mod attempt_id;
 mod bounds;
 pub mod caller;
 mod claim_actor;
--- a/filbertpaddle/src/loan.rs
+++ b/filbertpaddle/src/loan.rs
@@ -10,7 +10,7 @@
 use filbertpaddle_wire::remote as wire;
 use tokio::sync::mpsc;
 
-use crate::attempt;
+use crate::attempt_id;
 use crate::peers::Peer;
 use crate::pools::Ask;
 use crate::pools::Grant;
@@ -104,13 +104,13 @@
 
 // The name starts with this node's, which holds the slot.
 fn attempt_name(own: &Peer, borrower: &Borrower, grant: &Grant) -> Name {
-    let prefix = attempt::prefix(&Id {
+    let prefix = attempt_id::prefix(&Id {
         name: own.name.clone(),
         incarnation: own.incarnation,
     });
     let base = format!("{prefix}-{:x}", borrower.number);
     match &grant.slot {
-        Some(slot) => attempt::with_slot(&base, &slot.key),
+        Some(slot) => attempt_id::with_slot(&base, &slot.key),
         None => base.into(),
     }
 }
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -21,7 +21,7 @@
 use warp::Filter;
 
 use crate::admission::Admission;
-use crate::attempt;
+use crate::attempt_id;
 use crate::caller;
 use crate::claims;
 use crate::claims::Claims;
@@ -207,7 +207,7 @@
 ) -> eyre::Result<RequestContext> {
     let own = &common.own;
     let log = &common.log;
-    let attempt_prefix = attempt::prefix(&Id {
+    let attempt_prefix = attempt_id::prefix(&Id {
         name: own.name.clone(),
         incarnation: own.incarnation,
     });
--- a/filbertpaddle/src/run.rs
+++ b/filbertpaddle/src/run.rs
@@ -15,7 +15,7 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::sync::oneshot;
 
-use crate::attempt;
+use crate::attempt_id;
 use crate::claims;
 use crate::generation::Attempt;
 use crate::generation::Step;
@@ -221,7 +221,7 @@
     // Reports of the target then show whose slot the attempt uses.
     fn name_attempt(&mut self, grant: &pools::Grant) {
         if let Some(slot) = &grant.slot {
-            let attempt = attempt::with_slot(self.delivery.attempt(), &slot.key);
+            let attempt = attempt_id::with_slot(self.delivery.attempt(), &slot.key);
             self.delivery.restart(attempt);
         }
         if let Some(borrowed) = &grant.borrowed {
