--- a/filbertpaddle/src/lib.rs
+++ b/filbertpaddle/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod arguments;
 pub mod attempt_id;
 mod bounds;
-pub mod caller;
+pub mod caller_api;
 mod claim_actor;
 mod claim_commit;
 mod claim_route;
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -22,7 +22,7 @@
 
 use crate::admission::Admission;
 use crate::attempt_id;
-use crate::caller;
+use crate::caller_api;
 use crate::claims;
 use crate::claims::Claims;
 use crate::clock;
@@ -135,7 +135,7 @@
         let servers = vec![
             serve(
                 callers,
-                caller::routes(Arc::clone(&front)).or(health::routes(Arc::clone(&front))),
+                caller_api::routes(Arc::clone(&front)).or(health::routes(Arc::clone(&front))),
             ),
             serve(
                 operators,
