--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -267,7 +267,7 @@
             Message::Collect(_, collect) => self.on_collect(from, &collect),
             Message::Holding(_, holding) => {
                 if let Some(owner) = &mut self.owner {
-                    let holding = slot_message::holding(from, &holding);
+                    let holding = slot_message::to_holding(from, &holding);
                     if owner.has_collected(from, holding.session) {
                         owner.on_recount(now, &holding);
                     } else {
--- a/filbertpaddle/src/slot_message.rs
+++ b/filbertpaddle/src/slot_message.rs
@@ -61,7 +61,7 @@
     }
 }
 
-pub(crate) fn holding(holder: &Id, holding: &grant::Holding) -> owner::Holding {
+pub(crate) fn to_holding(holder: &Id, holding: &grant::Holding) -> owner::Holding {
     let works = holding.works.iter();
     let held = |work: &grant::Work| Held {
         key: key(holder, work),
