--- a/filbertpaddle/src/caller_api.rs
+++ b/filbertpaddle/src/caller_api.rs
@@ -91,7 +91,7 @@
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
 {
-    let permit = match enter(&context) {
+    let permit = match try_admit(&context) {
         Ok(permit) => permit,
         Err(outcome) => return reply::ended(&outcome, None),
     };
@@ -110,7 +110,7 @@
     }
 }
 
-fn enter(context: &RequestContext) -> Result<OwnedSemaphorePermit, Outcome> {
+fn try_admit(context: &RequestContext) -> Result<OwnedSemaphorePermit, Outcome> {
     let refuse = |reason, retry_after_ms| Outcome::NotRun {
         reason,
         retry_after_ms: Some(retry_after_ms),
--- a/filbertpaddle/src/claim_actor.rs
+++ b/filbertpaddle/src/claim_actor.rs
@@ -33,35 +33,35 @@
 use crate::peers::Peers;
 
 /// Longest wait for the answer of a claim's holder.
-const ASK_TIMEOUT: Duration = Duration::from_secs(1);
+const STATUS_QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A request to claim, and where its verdict goes.
+/// A request to claim, and where its decision goes.
 #[derive(Debug)]
-pub(crate) struct Ask {
+pub(crate) struct SubmitClaim {
     pub(crate) request: Request,
-    pub(crate) verdict: oneshot::Sender<Decision>,
+    pub(crate) sender: oneshot::Sender<Decision>,
 }
 
 /// Something that happened to the claims.
 #[derive(Debug)]
-pub(crate) struct Input(pub(crate) Event);
+pub(crate) struct CoreEvent(pub(crate) Event);
 
 /// Asks for the number of attempts that are not settled.
 #[derive(Debug)]
-pub(crate) struct Unsettled;
+pub(crate) struct CountUnsettled;
 
 /// Says what became of changes that were handed to a committer.
 #[derive(Debug)]
-pub(crate) struct Settled {
-    pub(crate) by: Name,
+pub(crate) struct TransactionSettled {
+    pub(crate) committer: Name,
     pub(crate) sequence: u64,
     pub(crate) answer: TransactionResult,
 }
 
 /// A committer has had long enough to answer.
 #[derive(Debug)]
-struct Overdue {
-    by: Name,
+struct CommitTimeout {
+    committer: Name,
     sequence: u64,
 }
 
@@ -78,7 +78,7 @@
     pub(crate) peers: Peers,
     pub(crate) clock: Clock,
     pub(crate) metrics: Arc<Metrics>,
-    pub(crate) waiting: IndexMap<Name, oneshot::Sender<Decision>>,
+    pub(crate) pending: IndexMap<Name, oneshot::Sender<Decision>>,
     pub(crate) timer_ms: Option<Millis>,
 }
 
@@ -88,50 +88,50 @@
     async fn stopped(self) {}
 }
 
-impl Handler<Ask> for Actor {
+impl Handler<SubmitClaim> for Actor {
     type Return = ();
 
-    async fn handle(&mut self, ask: Ask, context: &mut Context<Self>) {
-        self.waiting
-            .insert(ask.request.attempt.clone(), ask.verdict);
-        self.on(Event::Claim(ask.request), &context.mailbox().address());
+    async fn handle(&mut self, claim: SubmitClaim, context: &mut Context<Self>) {
+        self.pending
+            .insert(claim.request.attempt.clone(), claim.sender);
+        self.on(Event::Claim(claim.request), &context.mailbox().address());
     }
 }
 
-impl Handler<Input> for Actor {
+impl Handler<CoreEvent> for Actor {
     type Return = ();
 
-    async fn handle(&mut self, input: Input, context: &mut Context<Self>) {
-        self.on(input.0, &context.mailbox().address());
+    async fn handle(&mut self, event: CoreEvent, context: &mut Context<Self>) {
+        self.on(event.0, &context.mailbox().address());
     }
 }
 
-impl Handler<Unsettled> for Actor {
+impl Handler<CountUnsettled> for Actor {
     type Return = usize;
 
-    async fn handle(&mut self, _: Unsettled, _: &mut Context<Self>) -> usize {
+    async fn handle(&mut self, _: CountUnsettled, _: &mut Context<Self>) -> usize {
         self.core.len()
     }
 }
 
-impl Handler<Settled> for Actor {
+impl Handler<TransactionSettled> for Actor {
     type Return = ();
 
-    async fn handle(&mut self, settled: Settled, context: &mut Context<Self>) {
-        if self.route.settle(settled.sequence, &settled.by) {
+    async fn handle(&mut self, settled: TransactionSettled, context: &mut Context<Self>) {
+        if self.route.settle(settled.sequence, &settled.committer) {
             let event = Event::TransactionDone(settled.answer);
             self.on(event, &context.mailbox().address());
         }
     }
 }
 
-impl Handler<Overdue> for Actor {
+impl Handler<CommitTimeout> for Actor {
     type Return = ();
 
-    async fn handle(&mut self, overdue: Overdue, context: &mut Context<Self>) {
-        if self.route.settle(overdue.sequence, &overdue.by) {
+    async fn handle(&mut self, timeout: CommitTimeout, context: &mut Context<Self>) {
+        if self.route.settle(timeout.sequence, &timeout.committer) {
             self.metrics.count("claim.committer_silent");
-            self.route.avoid(self.clock.now(), overdue.by);
+            self.route.avoid(self.clock.now(), timeout.committer);
             let event = Event::TransactionDone(TransactionResult::Unknown);
             self.on(event, &context.mailbox().address());
         }
@@ -152,14 +152,14 @@
         for action in self.core.on(self.clock.now(), event) {
             self.perform(action, own);
         }
-        self.arm(own);
+        self.arm_timer(own);
     }
 
     fn perform(&mut self, action: Action, own: &WeakAddress<Self>) {
         match action {
             Action::Transact(changes) => self.transact(changes, own),
             Action::Read(ids) => self.read(ids, own),
-            Action::SendQuery { holder, query } => self.ask(&holder, query, own),
+            Action::SendQuery { holder, query } => self.query_status(&holder, query, own),
             Action::SendReply { to, reply } => {
                 let message = Message::Claim(claim::Message::Tell(reply));
                 self.peers.send(&to, message);
@@ -169,12 +169,17 @@
     }
 
     fn transact(&mut self, changes: Vec<Change>, own: &WeakAddress<Self>) {
-        let (sequence, by) = self.route.submit(self.clock.now(), changes);
+        let (sequence, committer) = self.route.submit(self.clock.now(), changes);
         let timeout = self.route.timeout;
         let own = own.clone();
         tokio::spawn(async move {
             tokio::time::sleep(timeout).await;
-            own.send(Overdue { by, sequence }).await.ok();
+            own.send(CommitTimeout {
+                committer,
+                sequence,
+            })
+            .await
+            .ok();
         });
     }
 
@@ -184,44 +189,46 @@
         let own = own.clone();
         tokio::spawn(async move {
             let rows = claim_store::read(&platform, &ids).await;
-            own.send(Input(Event::ReadBack(rows))).await.ok();
+            own.send(CoreEvent(Event::ReadBack(rows))).await.ok();
         });
     }
 
-    fn ask(&self, holder: &Name, question: StatusQuery, own: &WeakAddress<Self>) {
+    fn query_status(&self, holder: &Name, query: StatusQuery, own: &WeakAddress<Self>) {
         self.metrics.count("claim.asked");
         // Silence proves nothing, so it is taken as a holder that has gone.
-        let silence = StatusReply {
-            requester: question.requester.clone(),
-            attempt: question.attempt.clone(),
+        let no_reply = StatusReply {
+            requester: query.requester.clone(),
+            attempt: query.attempt.clone(),
             status: Status::Gone,
         };
-        let message = Message::Claim(claim::Message::Ask(question));
+        let message = Message::Claim(claim::Message::Ask(query));
         let wait = match self.peers.send(holder, message) {
-            true => ASK_TIMEOUT,
+            true => STATUS_QUERY_TIMEOUT,
             false => Duration::ZERO,
         };
         let own = own.clone();
         tokio::spawn(async move {
             tokio::time::sleep(wait).await;
-            own.send(Input(Event::ReplyReceived(silence))).await.ok();
+            own.send(CoreEvent(Event::ReplyReceived(no_reply)))
+                .await
+                .ok();
         });
     }
 
-    fn decide(&mut self, attempt: &Name, verdict: Decision, own: &WeakAddress<Self>) {
-        let held = verdict == Decision::Held;
-        let told = self
-            .waiting
+    fn decide(&mut self, attempt: &Name, decision: Decision, own: &WeakAddress<Self>) {
+        let held = decision == Decision::Held;
+        let is_delivered = self
+            .pending
             .swap_remove(attempt)
-            .is_some_and(|waiting| waiting.send(verdict).is_ok());
-        if held && !told {
+            .is_some_and(|pending| pending.send(decision).is_ok());
+        if held && !is_delivered {
             // Nobody is left to send the request.
             let attempt = attempt.clone();
             self.on(Event::Release { attempt }, own);
         }
     }
 
-    fn arm(&mut self, own: &WeakAddress<Self>) {
+    fn arm_timer(&mut self, own: &WeakAddress<Self>) {
         let Some(next_ms) = self.core.next_tick() else {
             return;
         };
--- a/filbertpaddle/src/claim_commit.rs
+++ b/filbertpaddle/src/claim_commit.rs
@@ -21,7 +21,7 @@
 use xtra::WeakAddress;
 
 use crate::claim_actor;
-use crate::claim_actor::Settled;
+use crate::claim_actor::TransactionSettled;
 use crate::claim_store;
 use crate::clock;
 use crate::clock::Clock;
@@ -33,7 +33,7 @@
 pub(crate) struct Submit(pub(crate) ChangeSet);
 
 #[derive(Debug)]
-struct Answered(TransactionResult);
+struct TransactionDone(TransactionResult);
 
 #[derive(Debug)]
 struct Timer;
@@ -66,14 +66,11 @@
     }
 }
 
-impl Handler<Answered> for Actor {
+impl Handler<TransactionDone> for Actor {
     type Return = ();
 
-    async fn handle(&mut self, answered: Answered, context: &mut Context<Self>) {
-        self.on(
-            Event::TransactionDone(answered.0),
-            &context.mailbox().address(),
-        );
+    async fn handle(&mut self, done: TransactionDone, context: &mut Context<Self>) {
+        self.on(Event::TransactionDone(done.0), &context.mailbox().address());
     }
 }
 
@@ -98,7 +95,7 @@
                 } => self.reply(&to, sequence, result),
             }
         }
-        self.arm(own);
+        self.arm_timer(own);
     }
 
     fn transact(&self, changes: Vec<Change>, own: &WeakAddress<Self>) {
@@ -107,11 +104,11 @@
         let own = own.clone();
         let log = self.log.clone();
         tokio::spawn(async move {
-            let answer = claim_store::transact(&platform, &changes).await;
+            let result = claim_store::transact(&platform, &changes).await;
             // Neither keys nor answers go into logs.
-            let answered = claim_store::kind(&answer);
-            debug!(log, "Claims written."; "rows" => changes.len(), "answer" => answered);
-            own.send(Answered(answer)).await.ok();
+            let label = claim_store::result_label(&result);
+            debug!(log, "Claims written."; "rows" => changes.len(), "answer" => label);
+            own.send(TransactionDone(result)).await.ok();
         });
     }
 
@@ -121,15 +118,15 @@
             self.peers.send(to, Message::Claim(message));
             return;
         }
-        let settled = Settled {
-            by: to.clone(),
+        let settled = TransactionSettled {
+            committer: to.clone(),
             sequence,
             answer,
         };
         tokio::spawn(self.claims.send(settled).detach());
     }
 
-    fn arm(&mut self, own: &WeakAddress<Self>) {
+    fn arm_timer(&mut self, own: &WeakAddress<Self>) {
         let Some(next_ms) = self.core.next_tick() else {
             return;
         };
--- a/filbertpaddle/src/claim_route.rs
+++ b/filbertpaddle/src/claim_route.rs
@@ -18,7 +18,7 @@
 use crate::peers::Peers;
 
 /// How long a committer that did not answer is passed over.
-const AVOID_MS: Millis = Millis::from_secs(10);
+const COMMITTER_AVOID_MS: Millis = Millis::from_secs(10);
 
 /// The committers that a node knows, and the changes it has handed in.
 #[derive(Debug)]
@@ -64,32 +64,32 @@
             committer = self.own.name.clone();
         }
         if committer == self.own.name {
-            let unit = ChangeSet {
+            let change_set = ChangeSet {
                 from: committer.clone(),
                 sequence,
                 changes,
             };
-            tokio::spawn(self.local.send(Submit(unit)).detach());
+            tokio::spawn(self.local.send(Submit(change_set)).detach());
         }
         self.in_flight = Some((sequence, committer.clone()));
         (sequence, committer)
     }
 
     /// Returns whether an answer is the one that is waited for, and waits no longer if so.
-    pub(crate) fn settle(&mut self, sequence: u64, by: &Name) -> bool {
-        let awaited = self
+    pub(crate) fn settle(&mut self, sequence: u64, from: &Name) -> bool {
+        let is_in_flight = self
             .in_flight
             .as_ref()
-            .is_some_and(|(number, committer)| *number == sequence && committer == by);
-        if awaited {
+            .is_some_and(|(submitted, committer)| *submitted == sequence && committer == from);
+        if is_in_flight {
             self.in_flight = None;
         }
-        awaited
+        is_in_flight
     }
 
     /// Passes a committer over that did not answer.
     pub(crate) fn avoid(&mut self, now: Millis, committer: Name) {
-        self.avoided.insert(committer, now + AVOID_MS);
+        self.avoided.insert(committer, now + COMMITTER_AVOID_MS);
     }
 
     fn choose(&mut self, now: Millis) -> Name {
--- a/filbertpaddle/src/claim_store.rs
+++ b/filbertpaddle/src/claim_store.rs
@@ -22,9 +22,9 @@
 use filbertpaddle_platform::protocol::Write;
 
 /// Most tries to store a large answer.
-const MAX_PUTS: u32 = 10;
+const MAX_PUT_ATTEMPTS: u32 = 10;
 /// Pause between two of them.
-const PUT_INTERVAL: Duration = Duration::from_secs(1);
+const PUT_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Makes the changes in one transaction.
 pub(crate) async fn transact(platform: &Client, changes: &[Change]) -> TransactionResult {
@@ -34,7 +34,7 @@
     match platform.transact(&transaction).await {
         Ok(TransactAnswer::Committed { revision }) => TransactionResult::Committed { revision },
         Ok(TransactAnswer::Conflict { rows, keys }) => TransactionResult::Conflict {
-            rows: conflicts(changes, &keys, &rows),
+            rows: conflicting_rows(changes, &keys, &rows),
         },
         Err(Error::NotDone(_)) => TransactionResult::NotDone,
         Err(Error::Unknown(_)) => TransactionResult::Unknown,
@@ -47,7 +47,7 @@
     let rows = platform.read(keys).await.ok()?.rows;
     let found = ids.iter().filter_map(|id| {
         let row = find(&rows, &id.row_key())?;
-        Some((id.clone(), parse(row, &Name::default())))
+        Some((id.clone(), parse_row(row, &Name::default())))
     });
     Some(found.collect())
 }
@@ -62,12 +62,12 @@
         return claim::StoredAnswer::Inline(text.into());
     }
     let key = format!("answer/{attempt}");
-    for _ in 0..MAX_PUTS {
+    for _ in 0..MAX_PUT_ATTEMPTS {
         let put = platform.put_object(&key, text.as_bytes().to_vec()).await;
         if put.is_ok() {
             return claim::StoredAnswer::Object(key.into());
         }
-        tokio::time::sleep(PUT_INTERVAL).await;
+        tokio::time::sleep(PUT_RETRY_INTERVAL).await;
     }
     claim::StoredAnswer::Absent
 }
@@ -102,7 +102,7 @@
     })
 }
 
-fn conflicts(
+fn conflicting_rows(
     changes: &[Change],
     keys: &[String],
     rows: &[protocol::Row],
@@ -113,7 +113,7 @@
         .map(|change| {
             let digest = change.record.as_ref().map(|record| &record.digest);
             let row = find(rows, &change.id.row_key());
-            let row = row.map(|row| parse(row, digest.unwrap_or(&Name::default())));
+            let row = row.map(|row| parse_row(row, digest.unwrap_or(&Name::default())));
             (change.id.clone(), row)
         })
         .collect()
@@ -124,7 +124,7 @@
 }
 
 /// Parses a row; one that cannot be read stands for a claim whose holder is unknown.
-fn parse(row: &protocol::Row, digest: &Name) -> Row {
+fn parse_row(row: &protocol::Row, digest: &Name) -> Row {
     let record = serde_json::from_str(&row.value).unwrap_or_else(|_| Record {
         attempt: Name::default(),
         digest: digest.clone(),
@@ -140,8 +140,8 @@
 }
 
 /// Names an answer for logs.
-pub(crate) fn kind(answer: &TransactionResult) -> &'static str {
-    match answer {
+pub(crate) fn result_label(result: &TransactionResult) -> &'static str {
+    match result {
         TransactionResult::Committed { .. } => "committed",
         TransactionResult::Conflict { .. } => "conflict",
         TransactionResult::NotDone => "not done",
--- a/filbertpaddle/src/claim_sweep.rs
+++ b/filbertpaddle/src/claim_sweep.rs
@@ -25,7 +25,7 @@
 use xtra::Address;
 
 use crate::claim_actor::Actor;
-use crate::claim_actor::Input;
+use crate::claim_actor::CoreEvent;
 use crate::clock;
 use crate::metrics::Metrics;
 
@@ -77,7 +77,7 @@
         if self.advance(revision, step.after).await? && !step.expired.is_empty() {
             self.metrics.count("claim.swept");
             let expired = Event::Expired(step.expired);
-            self.actor.send(Input(expired)).await.ok();
+            self.actor.send(CoreEvent(expired)).await.ok();
         }
         Ok(step.interval_ms)
     }
--- a/filbertpaddle/src/claims.rs
+++ b/filbertpaddle/src/claims.rs
@@ -26,10 +26,10 @@
 use xtra::Mailbox;
 
 use crate::claim_actor::Actor;
-use crate::claim_actor::Ask as ActorAsk;
-use crate::claim_actor::Input;
-use crate::claim_actor::Settled;
-use crate::claim_actor::Unsettled;
+use crate::claim_actor::CoreEvent;
+use crate::claim_actor::CountUnsettled;
+use crate::claim_actor::SubmitClaim;
+use crate::claim_actor::TransactionSettled;
 use crate::claim_commit;
 use crate::claim_commit::Submit;
 use crate::claim_route::Route;
@@ -44,19 +44,19 @@
 use crate::settings;
 
 /// Longest wait for a claim to be decided.
-const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
+const DECISION_TIMEOUT: Duration = Duration::from_secs(3);
 /// Hexadecimal digits of the body's digest that are kept: 128 bits.
-const DIGEST_CHARS: usize = 32;
+const DIGEST_HEX_CHARS: usize = 32;
 /// Wait for a committer beyond what the platform may take.
-const ROUTE_SLACK: Duration = Duration::from_millis(500);
+const COMMIT_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 /// Longest wait for endings to reach the table when a node stops.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time between two looks at what is not settled.
-const CLOSE_INTERVAL: Duration = Duration::from_millis(20);
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Asks for the right to run a non-idempotent request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct ClaimRequest {
     /// Customer that sent the request.
     pub customer: Name,
     /// The caller's idempotency key.
@@ -76,20 +76,20 @@
     actor: Option<Address<Actor>>,
 }
 
-/// Answer to an ask.
+/// Answer to a claim request.
 #[derive(Debug)]
-pub enum Answer {
+pub enum ClaimResult {
     /// The request may be run, once.
     Granted(Claim),
     /// The request was run before with this result.
-    Replay(Finished),
+    Replay(RequestResult),
     /// The request is not run now.
     Refused(Outcome),
 }
 
 /// Result of a request that was run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Finished {
+pub struct RequestResult {
     /// What became of the request.
     pub outcome: Outcome,
     /// Text of the answer.
@@ -133,7 +133,7 @@
     pub fn start(parts: Parts) -> Self {
         let (actor, mailbox) = Mailbox::unbounded();
         let committer = committer(&parts, actor.clone());
-        tokio::spawn(xtra::run(mailbox, claims(&parts, committer.clone())));
+        tokio::spawn(xtra::run(mailbox, claim_actor(&parts, committer.clone())));
         tokio::spawn(receive(parts.inbox, actor.clone(), committer));
         let sweep = Sweep {
             platform: parts.platform.clone(),
@@ -151,21 +151,21 @@
     }
 
     /// Claims a key before anything is sent to a target.
-    pub async fn claim(&self, ask: Ask) -> Answer {
-        match self.decide(&ask).await {
+    pub async fn claim(&self, claim_request: ClaimRequest) -> ClaimResult {
+        match self.decide(&claim_request).await {
             Some(Decision::Held) => {
                 self.metrics.count("claim.held");
-                Answer::Granted(Claim {
-                    attempt: ask.attempt,
+                ClaimResult::Granted(Claim {
+                    attempt: claim_request.attempt,
                     actor: Some(self.actor.clone()),
                 })
             }
-            Some(Decision::Replay(ending)) => self.replay(ending).await,
+            Some(Decision::Replay(final_result)) => self.replay(final_result).await,
             Some(Decision::Refused(outcome)) => {
                 self.metrics.count("claim.refused");
-                Answer::Refused(outcome)
+                ClaimResult::Refused(outcome)
             }
-            Some(Decision::Unavailable) | None => Answer::Refused(Outcome::NotRun {
+            Some(Decision::Unavailable) | None => ClaimResult::Refused(Outcome::NotRun {
                 reason: Reason::PlatformUnavailable,
                 retry_after_ms: None,
             }),
@@ -175,23 +175,23 @@
     /// Stores the result of a request that was, or may have been, run.
     ///
     /// The result is told to resends at once and reaches the table soon after.
-    pub async fn finish(&self, mut claim: Claim, finished: Finished) {
+    pub async fn finish(&self, mut claim: Claim, result: RequestResult) {
         let Some(actor) = claim.actor.take() else {
             return;
         };
         let attempt = claim.attempt.clone();
         let platform = self.platform.clone();
         tokio::spawn(async move {
-            let answer = claim_store::store_answer(&platform, &attempt, &finished.text).await;
+            let answer = claim_store::store_answer(&platform, &attempt, &result.text).await;
             let final_result = FinalResult {
-                outcome: finished.outcome,
+                outcome: result.outcome,
                 answer,
             };
             let finish = Event::Finish {
                 attempt,
                 final_result,
             };
-            actor.send(Input(finish)).await.ok();
+            actor.send(CoreEvent(finish)).await.ok();
         });
     }
 
@@ -199,55 +199,62 @@
     pub async fn release(&self, mut claim: Claim) {
         if let Some(actor) = claim.actor.take() {
             let attempt = claim.attempt.clone();
-            actor.send(Input(Event::Release { attempt })).await.ok();
+            actor.send(CoreEvent(Event::Release { attempt })).await.ok();
         }
     }
 
     /// Waits until all endings are in the table, or long enough.
     pub async fn close(&self) {
         let start = Instant::now();
-        while let Ok(unsettled @ 1..) = self.actor.send(Unsettled).await {
+        while let Ok(unsettled @ 1..) = self.actor.send(CountUnsettled).await {
             if start.elapsed() > CLOSE_TIMEOUT {
                 warn!(self.log, "Claims left unsettled."; "count" => unsettled);
                 return;
             }
-            tokio::time::sleep(CLOSE_INTERVAL).await;
+            tokio::time::sleep(CLOSE_POLL_INTERVAL).await;
         }
     }
 
-    async fn decide(&self, ask: &Ask) -> Option<Decision> {
-        let (verdict, mut decided) = oneshot::channel();
+    async fn decide(&self, claim_request: &ClaimRequest) -> Option<Decision> {
+        let (sender, mut receiver) = oneshot::channel();
         let request = core::Request {
             id: Id {
-                customer: ask.customer.clone(),
-                key: ask.key.clone(),
+                customer: claim_request.customer.clone(),
+                key: claim_request.key.clone(),
             },
-            attempt: ask.attempt.clone(),
-            digest: ask.digest.chars().take(DIGEST_CHARS).collect(),
+            attempt: claim_request.attempt.clone(),
+            digest: claim_request
+                .digest
+                .chars()
+                .take(DIGEST_HEX_CHARS)
+                .collect(),
             now_unix_ms: clock::unix_now(),
         };
-        self.actor.send(ActorAsk { request, verdict }).await.ok()?;
-        match tokio::time::timeout(CLAIM_TIMEOUT, &mut decided).await {
+        self.actor
+            .send(SubmitClaim { request, sender })
+            .await
+            .ok()?;
+        match tokio::time::timeout(DECISION_TIMEOUT, &mut receiver).await {
             Ok(verdict) => verdict.ok(),
             Err(_) => {
                 // The claim may be held by now, so the last word is waited for.
-                let attempt = ask.attempt.clone();
-                let give_up = Event::Abandon { attempt };
-                self.actor.send(Input(give_up)).await.ok()?;
-                decided.await.ok()
+                let attempt = claim_request.attempt.clone();
+                let abandon = Event::Abandon { attempt };
+                self.actor.send(CoreEvent(abandon)).await.ok()?;
+                receiver.await.ok()
             }
         }
     }
 
-    async fn replay(&self, ending: FinalResult) -> Answer {
+    async fn replay(&self, final_result: FinalResult) -> ClaimResult {
         self.metrics.count("claim.replayed");
-        match claim_store::load_answer(&self.platform, ending.answer).await {
-            Some(text) => Answer::Replay(Finished {
-                outcome: ending.outcome,
+        match claim_store::load_answer(&self.platform, final_result.answer).await {
+            Some(text) => ClaimResult::Replay(RequestResult {
+                outcome: final_result.outcome,
                 text,
             }),
             // It did run, but its answer cannot be had now.
-            None => Answer::Refused(Outcome::MayHaveRun {
+            None => ClaimResult::Refused(Outcome::MayHaveRun {
                 reason: Reason::PlatformUnavailable,
             }),
         }
@@ -269,12 +276,12 @@
             },
         };
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
-            runtime.spawn(actor.send(Input(finish)).detach());
+            runtime.spawn(actor.send(CoreEvent(finish)).detach());
         }
     }
 }
 
-fn claims(parts: &Parts, committer: Address<claim_commit::Actor>) -> Actor {
+fn claim_actor(parts: &Parts, committer: Address<claim_commit::Actor>) -> Actor {
     let own = &parts.own;
     let mut settings = core::Settings::default();
     settings.group_commit.pace_ms = parts.settings.pace_ms;
@@ -283,7 +290,7 @@
         parts.settings.nodes_per_committer.get(),
         committer,
         parts.peers.clone(),
-        parts.platform_timeout + clock::duration(parts.settings.pace_ms) + ROUTE_SLACK,
+        parts.platform_timeout + clock::duration(parts.settings.pace_ms) + COMMIT_TIMEOUT_MARGIN,
     );
     Actor {
         core: core::Claims::new(own.name.clone(), own.incarnation, settings),
@@ -292,7 +299,7 @@
         peers: parts.peers.clone(),
         clock: parts.clock,
         metrics: Arc::clone(&parts.metrics),
-        waiting: IndexMap::new(),
+        pending: IndexMap::new(),
         timer_ms: None,
     }
 }
@@ -323,31 +330,31 @@
 ) {
     while let Some(Incoming { peer, message }) = inbox.recv().await {
         let from = peer.name;
-        let taken = match message {
+        let sent = match message {
             Message::Ask(query) => {
                 actor
-                    .send(Input(Event::QueryReceived { from, query }))
+                    .send(CoreEvent(Event::QueryReceived { from, query }))
                     .await
             }
-            Message::Tell(reply) => actor.send(Input(Event::ReplyReceived(reply))).await,
+            Message::Tell(reply) => actor.send(CoreEvent(Event::ReplyReceived(reply))).await,
             Message::Commit { sequence, changes } => {
-                let unit = ChangeSet {
+                let change_set = ChangeSet {
                     from,
                     sequence,
                     changes,
                 };
-                committer.send(Submit(unit)).await
+                committer.send(Submit(change_set)).await
             }
             Message::Committed { sequence, answer } => {
-                let settled = Settled {
-                    by: from,
+                let settled = TransactionSettled {
+                    committer: from,
                     sequence,
                     answer,
                 };
                 actor.send(settled).await
             }
         };
-        if taken.is_err() {
+        if sent.is_err() {
             return;
         }
     }
--- a/filbertpaddle/src/reply.rs
+++ b/filbertpaddle/src/reply.rs
@@ -16,7 +16,7 @@
 use warp::reply::Response;
 use warp::sse;
 
-use crate::claims::Finished;
+use crate::claims::RequestResult;
 use crate::request::Invalid;
 use crate::request::Item;
 use crate::request::Started;
@@ -56,8 +56,8 @@
 pub(crate) fn streamed(started: Started) -> Response {
     match started {
         Started::Ended(outcome) => ended(&outcome, None),
-        Started::Replay(finished) => {
-            let items = replayed_items(finished);
+        Started::Replay(result) => {
+            let items = replayed_items(result);
             marked_replayed(sse::reply(events(futures_util::stream::iter(items))).into_response())
         }
         Started::Running(items) => running(items),
@@ -73,8 +73,8 @@
 pub(crate) async fn whole(started: Started) -> Response {
     let mut items = match started {
         Started::Ended(outcome) => return ended(&outcome, None),
-        Started::Replay(finished) => {
-            return marked_replayed(whole_body(&finished.outcome, &finished.text));
+        Started::Replay(result) => {
+            return marked_replayed(whole_body(&result.outcome, &result.text));
         }
         Started::Running(items) => items,
     };
@@ -132,12 +132,12 @@
     response
 }
 
-fn replayed_items(finished: Finished) -> Vec<Item> {
+fn replayed_items(result: RequestResult) -> Vec<Item> {
     let token = Item::Token {
         index: 0,
-        text: finished.text,
+        text: result.text,
     };
-    vec![token, Item::End(finished.outcome)]
+    vec![token, Item::End(result.outcome)]
 }
 
 fn events<S>(items: S) -> impl Stream<Item = Result<sse::Event, Infallible>>
--- a/filbertpaddle/src/request.rs
+++ b/filbertpaddle/src/request.rs
@@ -94,7 +94,7 @@
     /// The request was not run, or may have run and its result is unknown.
     Ended(Outcome),
     /// The request was run before.
-    Replay(claims::Finished),
+    Replay(claims::RequestResult),
     /// The request runs.
     Running(mpsc::UnboundedReceiver<Item>),
 }
--- a/filbertpaddle/src/run.rs
+++ b/filbertpaddle/src/run.rs
@@ -81,11 +81,11 @@
             return;
         }
         match self.claim().await {
-            claims::Answer::Granted(claim) => self.run_claimed(claim).await,
-            claims::Answer::Refused(outcome) => self.close(outcome),
-            claims::Answer::Replay(finished) => {
+            claims::ClaimResult::Granted(claim) => self.run_claimed(claim).await,
+            claims::ClaimResult::Refused(outcome) => self.close(outcome),
+            claims::ClaimResult::Replay(result) => {
                 self.context.metrics.count("request.replayed");
-                self.output.replay(Started::Replay(finished));
+                self.output.replay(Started::Replay(result));
             }
         }
     }
@@ -95,29 +95,29 @@
         if matches!(outcome, Outcome::NotRun { .. }) {
             self.context.claims.release(claim).await;
         } else {
-            let finished = claims::Finished {
+            let result = claims::RequestResult {
                 outcome: outcome.clone(),
                 text: self.output.text().to_owned(),
             };
-            self.context.claims.finish(claim, finished).await;
+            self.context.claims.finish(claim, result).await;
         }
         self.close(outcome);
     }
 
-    async fn claim(&self) -> claims::Answer {
+    async fn claim(&self) -> claims::ClaimResult {
         let Some(key) = self.request.key.clone() else {
-            return claims::Answer::Refused(Outcome::NotRun {
+            return claims::ClaimResult::Refused(Outcome::NotRun {
                 reason: Reason::KeyRequired,
                 retry_after_ms: None,
             });
         };
-        let ask = claims::Ask {
+        let claim_request = claims::ClaimRequest {
             customer: self.request.customer.clone(),
             key,
             digest: self.request.digest_hex(),
             attempt: self.delivery.attempt().clone(),
         };
-        self.context.claims.claim(ask).await
+        self.context.claims.claim(claim_request).await
     }
 
     // Every pass uses one target; the attempt limit bounds the passes.
