--- a/filbertpaddle/src/caller_api.rs
+++ b/filbertpaddle/src/caller_api.rs
@@ -23,21 +23,21 @@
 
 use crate::clock;
 use crate::generation::Attempt;
-use crate::generation::Step;
+use crate::generation::AttemptResult;
 use crate::output::Output;
 use crate::pools::Grant;
 use crate::reply;
 use crate::request::Body;
-use crate::request::Invalid;
+use crate::request::FirstResponse;
+use crate::request::InvalidRequest;
 use crate::request::Request;
-use crate::request::Started;
 use crate::request_context::RequestContext;
 use crate::run;
 use crate::ticket;
 use crate::ticket::Ticket;
 
 /// When a caller that met a full node may come back.
-const FULL_RETRY_AFTER_MS: Millis = Millis(1_000);
+const OVERLOAD_RETRY_AFTER_MS: Millis = Millis(1_000);
 
 /// Body of a request to go on with a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
@@ -95,7 +95,7 @@
         Ok(permit) => permit,
         Err(outcome) => return reply::ended(&outcome, None),
     };
-    let request = match checked(&context, authorization, key.as_deref(), body).await {
+    let request = match check_request(&context, authorization, key.as_deref(), body).await {
         Ok(request) => request,
         Err(invalid) => {
             context.metrics.count("request.invalid");
@@ -122,21 +122,21 @@
     context
         .admission
         .try_admit()
-        .ok_or_else(|| refuse(Reason::Overloaded, FULL_RETRY_AFTER_MS))
+        .ok_or_else(|| refuse(Reason::Overloaded, OVERLOAD_RETRY_AFTER_MS))
 }
 
-async fn checked<S, B>(
+async fn check_request<S, B>(
     context: &RequestContext,
     authorization: Option<String>,
     key: Option<&str>,
     body: S,
-) -> Result<Request, Invalid>
+) -> Result<Request, InvalidRequest>
 where
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
 {
-    let customer = customer(context, authorization)?;
-    let body: Body = read(context, body).await?;
+    let customer = authenticated_customer(context, authorization)?;
+    let body: Body = read_body(context, body).await?;
     let template = context
         .templates
         .current()
@@ -145,7 +145,10 @@
     Request::check(customer, template, body, key, clock::unix_now())
 }
 
-fn customer(context: &RequestContext, authorization: Option<String>) -> Result<Name, Invalid> {
+fn authenticated_customer(
+    context: &RequestContext,
+    authorization: Option<String>,
+) -> Result<Name, InvalidRequest> {
     let current = context.templates.current();
     let key = authorization
         .as_deref()
@@ -153,26 +156,26 @@
     current
         .zip(key)
         .and_then(|(current, key)| current.authenticate(key))
-        .ok_or_else(|| Invalid {
+        .ok_or_else(|| InvalidRequest {
             reason: Reason::Unauthorized,
             detail: "the customer's key is missing or wrong".to_owned(),
         })
 }
 
-async fn read<T, S, B>(context: &RequestContext, body: S) -> Result<T, Invalid>
+async fn read_body<T, S, B>(context: &RequestContext, body: S) -> Result<T, InvalidRequest>
 where
     T: DeserializeOwned,
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
 {
     let timeout = clock::duration(context.limits.send_timeout_ms);
-    let bytes = tokio::time::timeout(timeout, collect(body, context.limits.body_bytes))
+    let bytes = tokio::time::timeout(timeout, collect_body(body, context.limits.body_bytes))
         .await
         .map_err(|_| bad_request("the request was not sent in time".to_owned()))??;
     serde_json::from_slice(&bytes).map_err(|error| bad_request(error.to_string()))
 }
 
-async fn collect<S, B>(mut body: S, limit_bytes: u64) -> Result<Vec<u8>, Invalid>
+async fn collect_body<S, B>(mut body: S, limit_bytes: u64) -> Result<Vec<u8>, InvalidRequest>
 where
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
@@ -206,40 +209,40 @@
     let Some(permit) = context.admission.try_admit() else {
         let outcome = Outcome::NotRun {
             reason: Reason::Overloaded,
-            retry_after_ms: Some(FULL_RETRY_AFTER_MS),
+            retry_after_ms: Some(OVERLOAD_RETRY_AFTER_MS),
         };
         return reply::ended(&outcome, None);
     };
-    let asked: Result<(Ticket, u32), Invalid> = async {
-        let customer = customer(&context, authorization)?;
-        let resume: Resume = read(&context, body).await?;
+    let checked: Result<(Ticket, u32), InvalidRequest> = async {
+        let customer = authenticated_customer(&context, authorization)?;
+        let resume: Resume = read_body(&context, body).await?;
         Ok((
             check_ticket(&context, &customer, &resume.ticket)?,
             resume.from,
         ))
     }
     .await;
-    let (ticket, from) = match asked {
-        Ok(asked) => asked,
+    let (ticket, from) = match checked {
+        Ok(checked) => checked,
         Err(invalid) => return reply::invalid(&invalid),
     };
     context.metrics.count("request.resumed");
-    let (answer, started) = oneshot::channel();
+    let (first_response, receiver) = oneshot::channel();
     tokio::spawn(async move {
-        go_on(&context, ticket, from, Output::new(answer)).await;
+        relay_resumed(&context, ticket, from, Output::new(first_response)).await;
         drop(permit);
     });
-    let gone = Started::Ended(Outcome::Incomplete {
+    let not_answered = FirstResponse::Ended(Outcome::Incomplete {
         tokens: from,
         reason: Reason::TargetFailed,
     });
-    reply::streamed(started.await.unwrap_or(gone))
+    reply::streamed(receiver.await.unwrap_or(not_answered))
 }
 
-// The slot stays with the node that asked for it, or with the pool's owner
-// if that node has gone; a resume only reads.
-async fn go_on(context: &RequestContext, ticket: Ticket, from: u32, mut output: Output) {
-    let mut delivery = Delivery::resumed(ticket.promise(), ticket.attempt.clone(), from);
+// The slot stays with the node that checked for it, or with the pool's owner
+// if that node has not_answered; a resume only reads.
+async fn relay_resumed(context: &RequestContext, ticket: Ticket, from: u32, mut output: Output) {
+    let mut delivery = Delivery::resumed(ticket.restart_policy(), ticket.attempt.clone(), from);
     let grant = Grant::to_resume(ticket.target.clone(), ticket.address);
     let attempt = Attempt {
         context,
@@ -248,9 +251,9 @@
         delivery: &mut delivery,
         output: &mut output,
     };
-    let outcome = match attempt.resume().await.step {
-        Step::Ended(outcome) => outcome,
-        Step::Restart | Step::Unsent => Outcome::Incomplete {
+    let outcome = match attempt.resume().await.result {
+        AttemptResult::Ended(outcome) => outcome,
+        AttemptResult::Restart | AttemptResult::Unsent => Outcome::Incomplete {
             tokens: from,
             reason: Reason::TargetFailed,
         },
@@ -267,13 +270,13 @@
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
 {
-    let asked: Result<Ticket, Invalid> = async {
-        let customer = customer(&context, authorization)?;
-        let cancel: Cancel = read(&context, body).await?;
+    let checked: Result<Ticket, InvalidRequest> = async {
+        let customer = authenticated_customer(&context, authorization)?;
+        let cancel: Cancel = read_body(&context, body).await?;
         check_ticket(&context, &customer, &cancel.ticket)
     }
     .await;
-    let ticket = match asked {
+    let ticket = match checked {
         Ok(ticket) => ticket,
         Err(invalid) => return reply::invalid(&invalid),
     };
@@ -288,7 +291,11 @@
     }
 }
 
-fn check_ticket(context: &RequestContext, customer: &str, text: &str) -> Result<Ticket, Invalid> {
+fn check_ticket(
+    context: &RequestContext,
+    customer: &str,
+    text: &str,
+) -> Result<Ticket, InvalidRequest> {
     let secret = context.ticket_secret.as_bytes();
     let ticket = ticket::verify(text, secret, clock::unix_now())
         .map_err(|error| bad_request(error.to_string()))?;
@@ -298,8 +305,8 @@
     Ok(ticket)
 }
 
-fn bad_request(detail: String) -> Invalid {
-    Invalid {
+fn bad_request(detail: String) -> InvalidRequest {
+    InvalidRequest {
         reason: Reason::BadRequest,
         detail,
     }
--- a/filbertpaddle/src/generation.rs
+++ b/filbertpaddle/src/generation.rs
@@ -20,17 +20,17 @@
 use crate::clock;
 use crate::output::Output;
 use crate::pools::Grant;
-use crate::request::Item;
+use crate::request::ResponseItem;
 use crate::request_context::RequestContext;
 use crate::ticket;
 use crate::ticket::Ticket;
 
 /// Wait before a broken stream is resumed.
-const RESUME_PAUSE: Duration = Duration::from_millis(50);
+const RESUME_DELAY: Duration = Duration::from_millis(50);
 
 /// How the use of a target ended.
 #[derive(Debug)]
-pub(crate) enum Step {
+pub(crate) enum AttemptResult {
     /// The request has its final answer.
     Ended(Outcome),
     /// The target may have run the attempt; another may be started.
@@ -39,10 +39,10 @@
     Unsent,
 }
 
-/// A step and what the slot's owner is told.
+/// A result and what the slot's owner is told.
 #[derive(Debug)]
-pub(crate) struct Used {
-    pub(crate) step: Step,
+pub(crate) struct SlotUse {
+    pub(crate) result: AttemptResult,
     pub(crate) ending: Ending,
 }
 
@@ -58,7 +58,7 @@
 
 impl Attempt<'_> {
     /// Sends a generation and relays its tokens.
-    pub(crate) async fn generate(mut self, submit: &Submit) -> Used {
+    pub(crate) async fn generate(mut self, submit: &Submit) -> SlotUse {
         let submitted = self
             .context
             .targets
@@ -76,19 +76,19 @@
     }
 
     /// Goes on with a generation that another node started.
-    pub(crate) async fn resume(mut self) -> Used {
+    pub(crate) async fn resume(mut self) -> SlotUse {
         self.resume_and_relay(&Event::Broken).await
     }
 
     /// Sends a call to a plain service.
-    pub(crate) async fn call(mut self, submit: &Submit, idempotent: bool) -> Used {
+    pub(crate) async fn call(mut self, submit: &Submit, idempotent: bool) -> SlotUse {
         let answered = self.context.targets.call(self.grant.address, submit).await;
         self.context.slots.sent(self.grant);
         match answered {
             Ok(answer) => {
-                self.token(0, answer.body);
-                used(
-                    Step::Ended(Outcome::Complete { tokens: 1 }),
+                self.deliver_token(0, answer.body);
+                slot_use(
+                    AttemptResult::Ended(Outcome::Complete { tokens: 1 }),
                     Ending::Complete,
                 )
             }
@@ -98,49 +98,49 @@
                 let unknown = Outcome::MayHaveRun {
                     reason: Reason::TargetFailed,
                 };
-                let step = if idempotent {
-                    Step::Restart
+                let result = if idempotent {
+                    AttemptResult::Restart
                 } else {
-                    Step::Ended(unknown)
+                    AttemptResult::Ended(unknown)
                 };
-                used(step, Ending::Failed)
+                slot_use(result, Ending::Failed)
             }
         }
     }
 
-    async fn resume_and_relay(&mut self, event: &Event) -> Used {
+    async fn resume_and_relay(&mut self, event: &Event) -> SlotUse {
         let action = self.delivery.on(event);
-        match self.follow(action).await {
+        match self.resume_stream(action).await {
             Ok(stream) => self.relay(stream).await,
-            Err(used) => used,
+            Err(slot_use) => slot_use,
         }
     }
 
-    async fn relay(&mut self, mut stream: Tokens) -> Used {
+    async fn relay(&mut self, mut stream: Tokens) -> SlotUse {
         loop {
             let (event, text) = match stream.next().await {
-                Ok(Some(received)) => match self.event(received) {
+                Ok(Some(received)) => match self.delivery_event(received) {
                     Some(event) => event,
                     None => continue,
                 },
                 Ok(None) => (Event::Broken, String::new()),
                 Err(error) => {
                     self.log_failure(&error);
-                    (failure(&error), String::new())
+                    (failure_event(&error), String::new())
                 }
             };
             match self.delivery.on(&event) {
-                Action::Deliver => self.token(self.delivery.delivered_tokens() - 1, text),
-                Action::DropForeign | Action::DropDuplicate => self.dropped(),
-                action => match self.follow(action).await {
+                Action::Deliver => self.deliver_token(self.delivery.delivered_tokens() - 1, text),
+                Action::DropForeign | Action::DropDuplicate => self.count_dropped(),
+                action => match self.resume_stream(action).await {
                     Ok(resumed) => stream = resumed,
-                    Err(used) => return used,
+                    Err(slot_use) => return slot_use,
                 },
             }
         }
     }
 
-    fn event(&self, received: Received) -> Option<(Event, String)> {
+    fn delivery_event(&self, received: Received) -> Option<(Event, String)> {
         let attempt = self.delivery.attempt().clone();
         match received {
             Received::Token { index, text } => Some((Event::Token { attempt, index }, text)),
@@ -150,22 +150,22 @@
             } => Some((Event::Cancelled { attempt }, String::new())),
             Received::End { tokens, .. } => Some((Event::End { attempt, tokens }, String::new())),
             Received::Foreign { .. } | Received::Repeated { .. } => {
-                self.dropped();
+                self.count_dropped();
                 None
             }
         }
     }
 
     // Resumes until there is a stream again or the attempt is over.
-    async fn follow(&mut self, mut action: Action) -> Result<Tokens, Used> {
+    async fn resume_stream(&mut self, mut action: Action) -> Result<Tokens, SlotUse> {
         loop {
             let from = match action {
                 Action::Resume { from } => from,
                 Action::Finish(outcome) => {
-                    let ending = ending(&outcome);
-                    return Err(used(Step::Ended(outcome), ending));
+                    let ending = slot_ending(&outcome);
+                    return Err(slot_use(AttemptResult::Ended(outcome), ending));
                 }
-                _ => return Err(used(Step::Restart, Ending::Failed)),
+                _ => return Err(slot_use(AttemptResult::Restart, Ending::Failed)),
             };
             self.context.metrics.count("stream.resumed");
             let attempt = self.delivery.attempt();
@@ -174,29 +174,29 @@
                 Ok(stream) => return Ok(stream),
                 Err(error) => {
                     self.log_failure(&error);
-                    tokio::time::sleep(RESUME_PAUSE).await;
-                    action = self.delivery.on(&failure(&error));
+                    tokio::time::sleep(RESUME_DELAY).await;
+                    action = self.delivery.on(&failure_event(&error));
                 }
             }
         }
     }
 
-    fn token(&mut self, index: u32, text: String) {
+    fn deliver_token(&mut self, index: u32, text: String) {
         let generation = self.delivery.attempt().clone();
         let secret = self.context.ticket_secret.as_bytes();
         let ticket = &self.ticket;
-        self.output.token(index, text, || Item::Start {
+        self.output.send_token(index, text, || ResponseItem::Start {
             generation,
             ticket: ticket::sign(ticket, secret),
         });
     }
 
-    fn not_started(&self, error: &Error) -> Used {
+    fn not_started(&self, error: &Error) -> SlotUse {
         self.log_failure(error);
-        used(Step::Unsent, Ending::Refused)
+        slot_use(AttemptResult::Unsent, Ending::Refused)
     }
 
-    fn dropped(&self) {
+    fn count_dropped(&self) {
         self.context.metrics.count("token.dropped");
     }
 
@@ -207,7 +207,7 @@
 }
 
 /// Makes the ticket of an attempt.
-pub(crate) fn ticket(
+pub(crate) fn new_ticket(
     customer: &str,
     delivery: &Delivery,
     grant: &Grant,
@@ -219,18 +219,18 @@
         target: grant.target.clone(),
         address: grant.address,
         idempotent,
-        expires_unix_ms: clock::unix_now() + ticket::LIFE_MS,
+        expires_unix_ms: clock::unix_now() + ticket::LIFETIME_MS,
     }
 }
 
-fn failure(error: &Error) -> Event {
+fn failure_event(error: &Error) -> Event {
     match error {
         Error::NotStarted(NotStarted::Refused(RefusalCause::UnknownAttempt)) => Event::Lost,
         _ => Event::Broken,
     }
 }
 
-fn ending(outcome: &Outcome) -> Ending {
+fn slot_ending(outcome: &Outcome) -> Ending {
     match outcome {
         Outcome::Complete { .. } => Ending::Complete,
         Outcome::Incomplete {
@@ -244,6 +244,6 @@
     }
 }
 
-fn used(step: Step, ending: Ending) -> Used {
-    Used { step, ending }
+fn slot_use(result: AttemptResult, ending: Ending) -> SlotUse {
+    SlotUse { result, ending }
 }
--- a/filbertpaddle/src/output.rs
+++ b/filbertpaddle/src/output.rs
@@ -4,21 +4,21 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-use crate::request::Item;
-use crate::request::Started;
+use crate::request::FirstResponse;
+use crate::request::ResponseItem;
 
 /// Passes a request's items to its caller, who may have gone.
 #[derive(Debug)]
 pub(crate) struct Output {
-    answer: Option<oneshot::Sender<Started>>,
-    items: Option<mpsc::UnboundedSender<Item>>,
+    first_response: Option<oneshot::Sender<FirstResponse>>,
+    items: Option<mpsc::UnboundedSender<ResponseItem>>,
     text: String,
 }
 
 impl Output {
-    pub(crate) fn new(answer: oneshot::Sender<Started>) -> Self {
+    pub(crate) fn new(first_response: oneshot::Sender<FirstResponse>) -> Self {
         Self {
-            answer: Some(answer),
+            first_response: Some(first_response),
             items: None,
             text: String::new(),
         }
@@ -30,55 +30,55 @@
     }
 
     /// Waits until the caller has gone without an answer.
-    pub(crate) async fn abandoned(&mut self) {
-        match &mut self.answer {
-            Some(answer) => answer.closed().await,
+    pub(crate) async fn caller_gone(&mut self) {
+        match &mut self.first_response {
+            Some(first_response) => first_response.closed().await,
             None => std::future::pending().await,
         }
     }
 
     /// Passes one token on; `start` makes the item that goes before the first.
-    pub(crate) fn token<F>(&mut self, index: u32, text: String, start: F)
+    pub(crate) fn send_token<F>(&mut self, index: u32, text: String, start: F)
     where
-        F: FnOnce() -> Item,
+        F: FnOnce() -> ResponseItem,
     {
         if self.items.is_none() {
             self.open(start());
         }
         self.text.push_str(&text);
-        self.send(Item::Token { index, text });
+        self.send(ResponseItem::Token { index, text });
     }
 
     /// Voids what was delivered, which the caller has not been shown.
     pub(crate) fn restart(&mut self) {
         self.text.clear();
-        self.send(Item::Restart);
+        self.send(ResponseItem::Restart);
     }
 
     /// Answers with a stored result.
-    pub(crate) fn replay(&mut self, started: Started) {
-        if let Some(answer) = self.answer.take() {
-            answer.send(started).ok();
+    pub(crate) fn respond(&mut self, response: FirstResponse) {
+        if let Some(first_response) = self.first_response.take() {
+            first_response.send(response).ok();
         }
     }
 
     /// Tells the caller how the request ended.
     pub(crate) fn close(mut self, outcome: Outcome) {
         if self.items.is_some() {
-            self.send(Item::End(outcome));
+            self.send(ResponseItem::End(outcome));
             return;
         }
-        self.replay(Started::Ended(outcome));
+        self.respond(FirstResponse::Ended(outcome));
     }
 
-    fn open(&mut self, start: Item) {
+    fn open(&mut self, start: ResponseItem) {
         let (items, receiver) = mpsc::unbounded_channel();
         self.items = Some(items);
-        self.replay(Started::Running(receiver));
+        self.respond(FirstResponse::Running(receiver));
         self.send(start);
     }
 
-    fn send(&self, item: Item) {
+    fn send(&self, item: ResponseItem) {
         if let Some(items) = &self.items {
             items.send(item).ok();
         }
--- a/filbertpaddle/src/reply.rs
+++ b/filbertpaddle/src/reply.rs
@@ -17,13 +17,13 @@
 use warp::sse;
 
 use crate::claims::RequestResult;
-use crate::request::Invalid;
-use crate::request::Item;
-use crate::request::Started;
+use crate::request::FirstResponse;
+use crate::request::InvalidRequest;
+use crate::request::ResponseItem;
 
 const MS_PER_SECOND: u64 = 1_000;
 /// Answers that were stored for an idempotency key carry this header.
-const REPLAYED: &str = "idempotent-replayed";
+const REPLAYED_HEADER: &str = "idempotent-replayed";
 
 #[derive(Serialize)]
 struct Refused<'a> {
@@ -53,38 +53,38 @@
 }
 
 /// Answers a streaming request.
-pub(crate) fn streamed(started: Started) -> Response {
-    match started {
-        Started::Ended(outcome) => ended(&outcome, None),
-        Started::Replay(result) => {
+pub(crate) fn streamed(response: FirstResponse) -> Response {
+    match response {
+        FirstResponse::Ended(outcome) => ended(&outcome, None),
+        FirstResponse::Replay(result) => {
             let items = replayed_items(result);
             marked_replayed(sse::reply(events(futures_util::stream::iter(items))).into_response())
         }
-        Started::Running(items) => running(items),
+        FirstResponse::Running(items) => running(items),
     }
 }
 
 /// Answers with events while a generation runs.
-pub(crate) fn running(items: mpsc::UnboundedReceiver<Item>) -> Response {
+pub(crate) fn running(items: mpsc::UnboundedReceiver<ResponseItem>) -> Response {
     sse::reply(events(UnboundedReceiverStream::new(items))).into_response()
 }
 
 /// Answers a request whose caller wants the whole answer at once.
-pub(crate) async fn whole(started: Started) -> Response {
-    let mut items = match started {
-        Started::Ended(outcome) => return ended(&outcome, None),
-        Started::Replay(result) => {
+pub(crate) async fn whole(response: FirstResponse) -> Response {
+    let mut items = match response {
+        FirstResponse::Ended(outcome) => return ended(&outcome, None),
+        FirstResponse::Replay(result) => {
             return marked_replayed(whole_body(&result.outcome, &result.text));
         }
-        Started::Running(items) => items,
+        FirstResponse::Running(items) => items,
     };
     let mut text = String::new();
     while let Some(item) = items.recv().await {
         match item {
-            Item::Start { .. } => {}
-            Item::Token { text: more, .. } => text.push_str(&more),
-            Item::Restart => text.clear(),
-            Item::End(outcome) => return whole_body(&outcome, &text),
+            ResponseItem::Start { .. } => {}
+            ResponseItem::Token { text: more, .. } => text.push_str(&more),
+            ResponseItem::Restart => text.clear(),
+            ResponseItem::End(outcome) => return whole_body(&outcome, &text),
         }
     }
     // The task that ran the request has died.
@@ -97,7 +97,7 @@
 }
 
 /// Answers a request that was refused before anything was done for it.
-pub(crate) fn invalid(invalid: &Invalid) -> Response {
+pub(crate) fn invalid(invalid: &InvalidRequest) -> Response {
     let outcome = Outcome::NotRun {
         reason: invalid.reason,
         retry_after_ms: None,
@@ -128,29 +128,29 @@
 
 fn marked_replayed(mut response: Response) -> Response {
     let yes = warp::http::HeaderValue::from_static("true");
-    response.headers_mut().insert(REPLAYED, yes);
+    response.headers_mut().insert(REPLAYED_HEADER, yes);
     response
 }
 
-fn replayed_items(result: RequestResult) -> Vec<Item> {
-    let token = Item::Token {
+fn replayed_items(result: RequestResult) -> Vec<ResponseItem> {
+    let token = ResponseItem::Token {
         index: 0,
         text: result.text,
     };
-    vec![token, Item::End(result.outcome)]
+    vec![token, ResponseItem::End(result.outcome)]
 }
 
 fn events<S>(items: S) -> impl Stream<Item = Result<sse::Event, Infallible>>
 where
-    S: Stream<Item = Item> + Send,
+    S: Stream<Item = ResponseItem> + Send,
 {
     items.map(|item| Ok(event(&item)))
 }
 
-fn event(item: &Item) -> sse::Event {
+fn event(item: &ResponseItem) -> sse::Event {
     match item {
-        Item::Start { generation, ticket } => json("start", &Start { generation, ticket }),
-        Item::Token { index, text } => json(
+        ResponseItem::Start { generation, ticket } => json("start", &Start { generation, ticket }),
+        ResponseItem::Token { index, text } => json(
             "token",
             &Token {
                 index: *index,
@@ -158,8 +158,8 @@
             },
         )
         .id(index.to_string()),
-        Item::Restart => sse::Event::default().event("restart"),
-        Item::End(outcome) => json("end", outcome),
+        ResponseItem::Restart => sse::Event::default().event("restart"),
+        ResponseItem::End(outcome) => json("end", outcome),
     }
 }
 
--- a/filbertpaddle/src/request.rs
+++ b/filbertpaddle/src/request.rs
@@ -58,7 +58,7 @@
 /// Why a request was refused before anything was done for it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{detail}")]
-pub struct Invalid {
+pub struct InvalidRequest {
     /// Machine-readable reason.
     pub reason: Reason,
     /// What is wrong, for people.
@@ -67,7 +67,7 @@
 
 /// What a caller gets, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Item {
+pub enum ResponseItem {
     /// The first token follows; the ticket resumes this generation.
     Start {
         /// Id of the generation.
@@ -90,13 +90,13 @@
 
 /// First answer to a request.
 #[derive(Debug)]
-pub enum Started {
+pub enum FirstResponse {
     /// The request was not run, or may have run and its result is unknown.
     Ended(Outcome),
     /// The request was run before.
     Replay(claims::RequestResult),
     /// The request runs.
-    Running(mpsc::UnboundedReceiver<Item>),
+    Running(mpsc::UnboundedReceiver<ResponseItem>),
 }
 
 impl Request {
@@ -104,14 +104,14 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Invalid`] with the first thing that is wrong.
+    /// Returns [`InvalidRequest`] with the first thing that is wrong.
     pub fn check(
         customer: Name,
         template: Arc<Template>,
         body: Body,
         key: Option<&str>,
         now_unix_ms: Millis,
-    ) -> Result<Self, Invalid> {
+    ) -> Result<Self, InvalidRequest> {
         check_parameters(&template, &body.parameters)?;
         let key = check_key(&template, key)?;
         let wait_ms = check_deadline(&template, body.deadline_unix_ms, now_unix_ms)?;
@@ -171,7 +171,7 @@
 fn check_parameters(
     template: &Template,
     parameters: &IndexMap<Name, String>,
-) -> Result<(), Invalid> {
+) -> Result<(), InvalidRequest> {
     let missing = template
         .parameters
         .iter()
@@ -188,12 +188,12 @@
     Ok(())
 }
 
-fn check_key(template: &Template, key: Option<&str>) -> Result<Option<Name>, Invalid> {
+fn check_key(template: &Template, key: Option<&str>) -> Result<Option<Name>, InvalidRequest> {
     let Some(key) = key else {
         if template.idempotent {
             return Ok(None);
         }
-        return Err(Invalid {
+        return Err(InvalidRequest {
             reason: Reason::KeyRequired,
             detail: "the template is non-idempotent: send an Idempotency-Key".to_owned(),
         });
@@ -210,12 +210,12 @@
     template: &Template,
     deadline_unix_ms: Option<Millis>,
     now_unix_ms: Millis,
-) -> Result<Millis, Invalid> {
+) -> Result<Millis, InvalidRequest> {
     let Some(deadline) = deadline_unix_ms else {
         return Ok(template.max_wait_ms);
     };
     if deadline <= now_unix_ms {
-        return Err(Invalid {
+        return Err(InvalidRequest {
             reason: Reason::Deadline,
             detail: "the deadline has passed".to_owned(),
         });
@@ -232,8 +232,8 @@
     prompt
 }
 
-fn bad_request(detail: String) -> Invalid {
-    Invalid {
+fn bad_request(detail: String) -> InvalidRequest {
+    InvalidRequest {
         reason: Reason::BadRequest,
         detail,
     }
--- a/filbertpaddle/src/retries.rs
+++ b/filbertpaddle/src/retries.rs
@@ -26,14 +26,14 @@
     }
 
     /// Records that a request to a pool gave a whole answer.
-    pub fn succeeded(&self, pool: &Name) {
+    pub fn record_success(&self, pool: &Name) {
         if let Some(budget) = self.lock().get_mut(pool) {
             budget.record_success();
         }
     }
 
     /// Takes one retry; `false` if the failure must be told to the caller.
-    pub fn take(&self, pool: &Name) -> bool {
+    pub fn try_take(&self, pool: &Name) -> bool {
         self.lock()
             .entry(pool.clone())
             .or_insert_with(|| Budget::new(self.settings))
--- a/filbertpaddle/src/run.rs
+++ b/filbertpaddle/src/run.rs
@@ -18,34 +18,38 @@
 use crate::attempt_id;
 use crate::claims;
 use crate::generation::Attempt;
-use crate::generation::Step;
-use crate::generation::Used;
-use crate::generation::ticket;
+use crate::generation::AttemptResult;
+use crate::generation::SlotUse;
+use crate::generation::new_ticket;
 use crate::output::Output;
 use crate::pools;
+use crate::request::FirstResponse;
 use crate::request::Request;
-use crate::request::Started;
 use crate::request_context::RequestContext;
 
 /// Most targets that one request is sent to.
 const MAX_ATTEMPTS: u32 = 3;
 /// When a caller may come back after targets refused.
-const RETRY_AFTER_MS: Millis = Millis(1_000);
+const TARGET_RETRY_AFTER_MS: Millis = Millis(1_000);
 
 /// Runs a request in a task of its own, which outlives the caller's connection.
 pub async fn start(
     context: Arc<RequestContext>,
     request: Request,
     permit: OwnedSemaphorePermit,
-) -> Started {
-    let (answer, started) = oneshot::channel();
+) -> FirstResponse {
+    let (first_response, receiver) = oneshot::channel();
     tokio::spawn(async move {
-        Run::new(context, request, Output::new(answer)).run().await;
+        Run::new(context, request, Output::new(first_response))
+            .run()
+            .await;
         drop(permit);
     });
-    started.await.unwrap_or(Started::Ended(Outcome::MayHaveRun {
-        reason: Reason::TargetFailed,
-    }))
+    receiver
+        .await
+        .unwrap_or(FirstResponse::Ended(Outcome::MayHaveRun {
+            reason: Reason::TargetFailed,
+        }))
 }
 
 struct Run {
@@ -59,11 +63,11 @@
 
 impl Run {
     fn new(context: Arc<RequestContext>, request: Request, output: Output) -> Self {
-        let promise = RestartPolicy {
+        let restart_policy = RestartPolicy {
             idempotent: request.template.idempotent,
             buffered: request.template.delivery == template::DeliveryMode::Whole,
         };
-        let delivery = Delivery::new(promise, context.admission.next_attempt_id());
+        let delivery = Delivery::new(restart_policy, context.admission.next_attempt_id());
         Self {
             context,
             request,
@@ -76,7 +80,7 @@
 
     async fn run(mut self) {
         if self.request.template.idempotent {
-            let outcome = self.work().await;
+            let outcome = self.run_attempts().await;
             self.close(outcome);
             return;
         }
@@ -85,13 +89,13 @@
             claims::ClaimResult::Refused(outcome) => self.close(outcome),
             claims::ClaimResult::Replay(result) => {
                 self.context.metrics.count("request.replayed");
-                self.output.replay(Started::Replay(result));
+                self.output.respond(FirstResponse::Replay(result));
             }
         }
     }
 
     async fn run_claimed(mut self, claim: claims::Claim) {
-        let outcome = self.work().await;
+        let outcome = self.run_attempts().await;
         if matches!(outcome, Outcome::NotRun { .. }) {
             self.context.claims.release(claim).await;
         } else {
@@ -121,55 +125,58 @@
     }
 
     // Every pass uses one target; the attempt limit bounds the passes.
-    async fn work(&mut self) -> Outcome {
+    async fn run_attempts(&mut self) -> Outcome {
         loop {
             let grant = match self.acquire().await {
                 Ok(grant) => grant,
                 Err(outcome) => return outcome,
             };
             self.attempts += 1;
-            let step = self.attempt(grant).await;
-            self.sent |= !matches!(step, Step::Unsent);
-            match step {
-                Step::Ended(outcome) => return self.ended(outcome),
-                Step::Restart | Step::Unsent if !self.may_retry() => {
-                    return self.not_granted(refusal());
+            let result = self.attempt(grant).await;
+            self.sent |= !matches!(result, AttemptResult::Unsent);
+            match result {
+                AttemptResult::Ended(outcome) => return self.record_outcome(outcome),
+                AttemptResult::Restart | AttemptResult::Unsent if !self.may_retry() => {
+                    return self.refused_outcome(target_failure());
                 }
-                Step::Restart => self.restart(),
-                Step::Unsent => {}
+                AttemptResult::Restart => self.restart(),
+                AttemptResult::Unsent => {}
             }
         }
     }
 
     fn may_retry(&self) -> bool {
         let retries = &self.context.retries;
-        let allowed = self.attempts < MAX_ATTEMPTS && retries.take(&self.request.template.model);
+        let allowed =
+            self.attempts < MAX_ATTEMPTS && retries.try_take(&self.request.template.model);
         if !allowed {
             self.context.metrics.count("request.not_retried");
         }
         allowed
     }
 
-    fn ended(&self, outcome: Outcome) -> Outcome {
+    fn record_outcome(&self, outcome: Outcome) -> Outcome {
         if matches!(outcome, Outcome::Complete { .. }) {
-            self.context.retries.succeeded(&self.request.template.model);
+            self.context
+                .retries
+                .record_success(&self.request.template.model);
         }
         outcome
     }
 
     async fn acquire(&mut self) -> Result<pools::Grant, Outcome> {
-        let ask = self.ask();
+        let request = self.slot_request();
         let slot = tokio::select! {
-            slot = self.context.slots.acquire(ask) => slot,
-            () = self.output.abandoned() => Err(pools::Refusal {
+            slot = self.context.slots.acquire(request) => slot,
+            () = self.output.caller_gone() => Err(pools::Refusal {
                 reason: Reason::Cancelled,
                 retry_after_ms: None,
             }),
         };
-        slot.map_err(|refusal| self.not_granted(refusal))
+        slot.map_err(|refusal| self.refused_outcome(refusal))
     }
 
-    fn ask(&self) -> pools::Ask {
+    fn slot_request(&self) -> pools::Ask {
         let template = &self.request.template;
         pools::Ask {
             model: template.model.clone(),
@@ -187,9 +194,9 @@
         }
     }
 
-    async fn attempt(&mut self, grant: pools::Grant) -> Step {
+    async fn attempt(&mut self, grant: pools::Grant) -> AttemptResult {
         let template = Arc::clone(&self.request.template);
-        self.name_attempt(&grant);
+        self.add_slot_to_attempt_id(&grant);
         let submit = Submit {
             attempt: self.delivery.attempt().clone(),
             fence: grant.fence,
@@ -199,7 +206,7 @@
         };
         let attempt = Attempt {
             context: &self.context,
-            ticket: ticket(
+            ticket: new_ticket(
                 &self.request.customer,
                 &self.delivery,
                 &grant,
@@ -209,17 +216,17 @@
             delivery: &mut self.delivery,
             output: &mut self.output,
         };
-        let Used { step, ending } = match template.work {
+        let SlotUse { result, ending } = match template.work {
             WorkKind::Generation => attempt.generate(&submit).await,
             WorkKind::Call => attempt.call(&submit, template.idempotent).await,
         };
         let tokens = self.delivery.delivered_tokens();
         self.context.slots.release(grant, ending, tokens);
-        step
+        result
     }
 
     // Reports of the target then show whose slot the attempt uses.
-    fn name_attempt(&mut self, grant: &pools::Grant) {
+    fn add_slot_to_attempt_id(&mut self, grant: &pools::Grant) {
         if let Some(slot) = &grant.slot {
             let attempt = attempt_id::with_slot(self.delivery.attempt(), &slot.key);
             self.delivery.restart(attempt);
@@ -237,7 +244,7 @@
     }
 
     // "Not run" is said only if no target was sent anything.
-    fn not_granted(&self, refusal: pools::Refusal) -> Outcome {
+    fn refused_outcome(&self, refusal: pools::Refusal) -> Outcome {
         if self.sent {
             return Outcome::Incomplete {
                 tokens: 0,
@@ -251,20 +258,20 @@
     }
 
     fn close(self, outcome: Outcome) {
-        self.context.metrics.count(metric(&outcome));
+        self.context.metrics.count(outcome_metric(&outcome));
         debug!(self.context.log, "Request ended."; "outcome" => ?outcome);
         self.output.close(outcome);
     }
 }
 
-fn refusal() -> pools::Refusal {
+fn target_failure() -> pools::Refusal {
     pools::Refusal {
         reason: Reason::TargetFailed,
-        retry_after_ms: Some(RETRY_AFTER_MS),
+        retry_after_ms: Some(TARGET_RETRY_AFTER_MS),
     }
 }
 
-fn metric(outcome: &Outcome) -> &'static str {
+fn outcome_metric(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Complete { .. } => "request.complete",
         Outcome::NotRun { .. } => "request.not_run",
--- a/filbertpaddle/src/ticket.rs
+++ b/filbertpaddle/src/ticket.rs
@@ -17,7 +17,7 @@
 use sha2::Sha256;
 
 /// How long a ticket is valid.
-pub const LIFE_MS: Millis = Millis::from_secs(3_600);
+pub const LIFETIME_MS: Millis = Millis::from_secs(3_600);
 
 /// Where a generation runs and whose it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -49,7 +49,7 @@
 
 impl Ticket {
     /// Returns what may be done again when the target fails.
-    pub fn promise(&self) -> RestartPolicy {
+    pub fn restart_policy(&self) -> RestartPolicy {
         RestartPolicy {
             idempotent: self.idempotent,
             buffered: false,
--- a/filbertpaddle/tests/ticket.rs
+++ b/filbertpaddle/tests/ticket.rs
@@ -17,7 +17,7 @@
         target: "engine-1".into(),
         address: "127.0.0.1:1".parse().unwrap(),
         idempotent: true,
-        expires_unix_ms: NOW + ticket::LIFE_MS,
+        expires_unix_ms: NOW + ticket::LIFETIME_MS,
     }
 }
 
@@ -55,6 +55,6 @@
 #[test]
 fn an_expired_ticket_is_refused() {
     let text = ticket::sign(&ticket(), SECRET);
-    let later = NOW + ticket::LIFE_MS + Millis(1);
+    let later = NOW + ticket::LIFETIME_MS + Millis(1);
     assert_eq!(ticket::verify(&text, SECRET, later), Err(Error::Expired));
 }
