--- a/filbertpaddle/src/claim_actor.rs
+++ b/filbertpaddle/src/claim_actor.rs
@@ -1,4 +1,4 @@
-//! The actor that carries out what the core decides about claims.
+//! Actor that performs the actions of the core's claims.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,25 +32,25 @@
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 
-/// Longest wait for the answer of a claim's holder.
+/// Timeout of a status query to the holder of a claim.
 const STATUS_QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A request to claim, and where its decision goes.
+/// Submits a claim; the decision is sent to `sender`.
 #[derive(Debug)]
 pub(crate) struct SubmitClaim {
     pub(crate) request: Request,
     pub(crate) sender: oneshot::Sender<Decision>,
 }
 
-/// Something that happened to the claims.
+/// Passes an event to the core.
 #[derive(Debug)]
 pub(crate) struct CoreEvent(pub(crate) Event);
 
-/// Asks for the number of attempts that are not settled.
+/// Returns the number of attempts that are not settled.
 #[derive(Debug)]
 pub(crate) struct CountUnsettled;
 
-/// Says what became of changes that were handed to a committer.
+/// Reports the result of changes that were submitted to a committer.
 #[derive(Debug)]
 pub(crate) struct TransactionSettled {
     pub(crate) committer: Name,
@@ -58,18 +58,18 @@
     pub(crate) answer: TransactionResult,
 }
 
-/// A committer has had long enough to answer.
+/// The timeout for a committer's answer has passed.
 #[derive(Debug)]
 struct CommitTimeout {
     committer: Name,
     sequence: u64,
 }
 
-/// A timer that the actor armed for itself.
+/// A timer of the actor has fired.
 #[derive(Debug)]
 struct Timer;
 
-/// What the actor works with.
+/// State of the actor.
 #[derive(Debug)]
 pub(crate) struct Actor {
     pub(crate) core: Claims,
@@ -195,7 +195,8 @@
 
     fn query_status(&self, holder: &Name, query: StatusQuery, own: &WeakAddress<Self>) {
         self.metrics.count("claim.asked");
-        // Silence proves nothing, so it is taken as a holder that has gone.
+        // A missing reply says nothing about the request, so it counts as a holder that
+        // is gone.
         let no_reply = StatusReply {
             requester: query.requester.clone(),
             attempt: query.attempt.clone(),
@@ -222,7 +223,7 @@
             .swap_remove(attempt)
             .is_some_and(|pending| pending.send(decision).is_ok());
         if held && !is_delivered {
-            // Nobody is left to send the request.
+            // The task that would send the request has ended.
             let attempt = attempt.clone();
             self.on(Event::Release { attempt }, own);
         }
--- a/filbertpaddle/src/claim_commit.rs
+++ b/filbertpaddle/src/claim_commit.rs
@@ -1,4 +1,4 @@
-//! The actor that commits the changes of many nodes together.
+//! Actor that commits the claims of several nodes in shared transactions.
 
 use std::sync::Arc;
 
@@ -28,7 +28,7 @@
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 
-/// Hands in the changes of one node.
+/// Submits the changes of one node.
 #[derive(Debug)]
 pub(crate) struct Submit(pub(crate) ChangeSet);
 
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 struct Timer;
 
-/// What the actor works with.
+/// State of the actor.
 #[derive(Debug)]
 pub(crate) struct Actor {
     pub(crate) core: Committer,
@@ -105,9 +105,9 @@
         let log = self.log.clone();
         tokio::spawn(async move {
             let result = claim_store::transact(&platform, &changes).await;
-            // Neither keys nor answers go into logs.
+            // Logs contain neither idempotency keys nor answers.
             let label = claim_store::result_label(&result);
-            debug!(log, "Claims written."; "rows" => changes.len(), "answer" => label);
+            debug!(log, "Claim transaction done."; "rows" => changes.len(), "answer" => label);
             own.send(TransactionDone(result)).await.ok();
         });
     }
--- a/filbertpaddle/src/claim_route.rs
+++ b/filbertpaddle/src/claim_route.rs
@@ -1,4 +1,4 @@
-//! Where a node hands in its changes of claims.
+//! Choice of the committer to which a node submits its changes of claims.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
 use crate::peers::Peer;
 use crate::peers::Peers;
 
-/// How long a committer that did not answer is passed over.
+/// Time for which a committer that did not answer is not chosen again.
 const COMMITTER_AVOID_MS: Millis = Millis::from_secs(10);
 
-/// The committers that a node knows, and the changes it has handed in.
+/// Chooses committers and tracks the changes in flight.
 #[derive(Debug)]
 pub(crate) struct Route {
     own: Peer,
@@ -30,7 +30,7 @@
     sequence: u64,
     in_flight: Option<(u64, Name)>,
     avoided: IndexMap<Name, Millis>,
-    /// Longest wait for a committer's answer.
+    /// Timeout for a committer's answer.
     pub(crate) timeout: Duration,
 }
 
@@ -43,7 +43,7 @@
         timeout: Duration,
     ) -> Self {
         Self {
-            // Answers to an earlier life of the node carry smaller numbers.
+            // Answers to an earlier incarnation of the node carry smaller sequence numbers.
             sequence: own.incarnation << 16,
             own,
             nodes_per_committer,
@@ -55,7 +55,10 @@
         }
     }
 
-    /// Hands changes in and returns the number and the committer that identify their answer.
+    /// Submits changes and returns the sequence number and the committer that identify the
+    /// answer.
+    ///
+    /// Falls back to this node's own committer if the chosen one cannot be reached.
     pub(crate) fn submit(&mut self, now: Millis, changes: Vec<Change>) -> (u64, Name) {
         self.sequence += 1;
         let sequence = self.sequence;
@@ -75,7 +78,8 @@
         (sequence, committer)
     }
 
-    /// Returns whether an answer is the one that is waited for, and waits no longer if so.
+    /// Returns whether an answer belongs to the changes in flight, which then are no longer
+    /// in flight.
     pub(crate) fn settle(&mut self, sequence: u64, from: &Name) -> bool {
         let is_in_flight = self
             .in_flight
@@ -87,7 +91,7 @@
         is_in_flight
     }
 
-    /// Passes a committer over that did not answer.
+    /// Excludes a committer that did not answer for [`COMMITTER_AVOID_MS`].
     pub(crate) fn avoid(&mut self, now: Millis, committer: Name) {
         self.avoided.insert(committer, now + COMMITTER_AVOID_MS);
     }
--- a/filbertpaddle/src/claim_store.rs
+++ b/filbertpaddle/src/claim_store.rs
@@ -1,4 +1,4 @@
-//! Claims in the platform's table and object store.
+//! Storage of claims in the platform's table and of large answers in its object store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,12 +21,12 @@
 use filbertpaddle_platform::protocol::Transaction;
 use filbertpaddle_platform::protocol::Write;
 
-/// Most tries to store a large answer.
+/// Maximum number of attempts to store a large answer.
 const MAX_PUT_ATTEMPTS: u32 = 10;
-/// Pause between two of them.
+/// Delay between two attempts to store a large answer.
 const PUT_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Makes the changes in one transaction.
+/// Performs the changes in one transaction.
 pub(crate) async fn transact(platform: &Client, changes: &[Change]) -> TransactionResult {
     let Some(transaction) = transaction(changes) else {
         return TransactionResult::NotDone;
@@ -41,7 +41,7 @@
     }
 }
 
-/// Reads claims; absent ones are left out and `None` means that nothing could be read.
+/// Reads claims, with absent ones left out; `None` if the read failed.
 pub(crate) async fn read(platform: &Client, ids: &[Id]) -> Option<BTreeMap<Id, Row>> {
     let keys = ids.iter().map(Id::row_key).collect();
     let rows = platform.read(keys).await.ok()?.rows;
@@ -52,7 +52,10 @@
     Some(found.collect())
 }
 
-/// Stores the text of an answer; its place is lost if the object store stays out.
+/// Stores the text of an answer: a short one inline, a large one in the object store.
+///
+/// Returns [`claim::StoredAnswer::Absent`] if the object store fails [`MAX_PUT_ATTEMPTS`]
+/// times.
 pub(crate) async fn store_answer(
     platform: &Client,
     attempt: &Name,
@@ -72,7 +75,7 @@
     claim::StoredAnswer::Absent
 }
 
-/// Reads the text of a stored answer; `None` if it cannot be had.
+/// Reads the text of a stored answer; `None` if it is absent or cannot be read.
 pub(crate) async fn load_answer(platform: &Client, answer: claim::StoredAnswer) -> Option<String> {
     match answer {
         claim::StoredAnswer::Absent => None,
@@ -123,7 +126,7 @@
     rows.iter().find(|row| row.key == key)
 }
 
-/// Parses a row; one that cannot be read stands for a claim whose holder is unknown.
+/// Parses a row; one that cannot be parsed counts as a claim with an unknown holder.
 fn parse_row(row: &protocol::Row, digest: &Name) -> Row {
     let record = serde_json::from_str(&row.value).unwrap_or_else(|_| Record {
         attempt: Name::default(),
@@ -139,7 +142,7 @@
     }
 }
 
-/// Names an answer for logs.
+/// Returns the name of a result in logs.
 pub(crate) fn result_label(result: &TransactionResult) -> &'static str {
     match result {
         TransactionResult::Committed { .. } => "committed",
--- a/filbertpaddle/src/claim_sweep.rs
+++ b/filbertpaddle/src/claim_sweep.rs
@@ -1,7 +1,7 @@
-//! Removes claims that are kept no longer.
+//! Removal of claims past their retention.
 //!
 //! All nodes share one cursor in the table. A node takes the next page by
-//! moving the cursor, so that pages are looked at once in a pass.
+//! advancing the cursor, so that each page is processed by one node in a pass.
 
 use std::sync::Arc;
 
@@ -32,7 +32,7 @@
 /// Table key of the shared cursor.
 const CURSOR_KEY: &str = "sweep/claim";
 
-/// What the removal works with.
+/// Task that removes expired claims.
 #[derive(Debug)]
 pub(crate) struct Sweep {
     pub(crate) platform: Client,
@@ -42,16 +42,20 @@
 }
 
 impl Sweep {
-    /// Takes a step from time to time for as long as the node lives.
+    /// Processes one page at intervals until the actor of the claims stops.
     pub(crate) async fn run(self) {
-        // A random start keeps nodes that started together apart.
+        // Nodes that start together get different delays.
         let start = rand::random_range(0..sweep::MAX_START_DELAY_MS.0);
         tokio::time::sleep(clock::duration(Millis(start))).await;
         while self.actor.is_connected() {
             let interval_ms = match self.step().await {
                 Ok(interval_ms) => interval_ms,
                 Err(error) => {
-                    debug!(self.log, "Old claims not removed."; "error" => %error);
+                    debug!(
+                        self.log,
+                        "Page of expired claims not processed; a later step repeats it.";
+                        "error" => %error,
+                    );
                     sweep::SLOW_INTERVAL_MS
                 }
             };
@@ -82,7 +86,7 @@
         Ok(step.interval_ms)
     }
 
-    /// Moves the cursor; returns false if another node was first.
+    /// Advances the cursor; returns `false` if another node advanced it first.
     async fn advance(&self, revision: Option<u64>, after: Option<String>) -> Result<bool, Error> {
         let transaction = Transaction {
             conditions: vec![Condition {
--- a/filbertpaddle/src/claims.rs
+++ b/filbertpaddle/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on idempotency keys.
+//! Claims on idempotency keys, so that a non-idempotent request runs at most once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,18 +43,18 @@
 use crate::peers::Peers;
 use crate::settings;
 
-/// Longest wait for a claim to be decided.
+/// Timeout for the decision on a claim, after which the claim is abandoned.
 const DECISION_TIMEOUT: Duration = Duration::from_secs(3);
-/// Hexadecimal digits of the body's digest that are kept: 128 bits.
+/// Number of hexadecimal digits of the body's digest to store, which is 128 bits.
 const DIGEST_HEX_CHARS: usize = 32;
-/// Wait for a committer beyond what the platform may take.
+/// Margin of the timeout for a committer over the platform's timeout and the commit pace.
 const COMMIT_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
-/// Longest wait for endings to reach the table when a node stops.
+/// Maximum time for final results to reach the table when a node stops.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between two looks at what is not settled.
+/// Interval at which a stopping node checks for unsettled attempts.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Asks for the right to run a non-idempotent request.
+/// Request for the right to run a non-idempotent request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
     /// Customer that sent the request.
@@ -67,49 +67,49 @@
     pub attempt: Name,
 }
 
-/// A right to run a request, once.
+/// The right to run a request once.
 ///
-/// A claim that is dropped is taken as one whose request may have run.
+/// If a claim is dropped, its request is recorded as one that may have run.
 #[derive(Debug)]
 pub struct Claim {
     attempt: Name,
     actor: Option<Address<Actor>>,
 }
 
-/// Answer to a claim request.
+/// Response to a claim request.
 #[derive(Debug)]
 pub enum ClaimResult {
-    /// The request may be run, once.
+    /// The request may be run once.
     Granted(Claim),
-    /// The request was run before with this result.
+    /// The request ran before and had this result.
     Replay(RequestResult),
-    /// The request is not run now.
+    /// The request must not be run.
     Refused(Outcome),
 }
 
-/// Result of a request that was run.
+/// Result of a request that has run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestResult {
-    /// What became of the request.
+    /// Outcome of the request.
     pub outcome: Outcome,
     /// Text of the answer.
     pub text: String,
 }
 
-/// What claims need of their node.
+/// Dependencies of the claims.
 #[derive(Debug)]
 pub struct Parts {
     /// This node.
     pub own: Peer,
-    /// How claims are committed.
+    /// Settings of the group commit of claims.
     pub settings: settings::Claims,
-    /// Table and object store.
+    /// Client of the platform's table and object store.
     pub platform: Client,
-    /// Longest wait for an answer of the platform.
+    /// Timeout of calls to the platform.
     pub platform_timeout: Duration,
-    /// Links to other nodes.
+    /// Connections to other nodes.
     pub peers: Peers,
-    /// What other nodes ask and answer.
+    /// Messages about claims from other nodes.
     pub inbox: mpsc::Receiver<Incoming<Message>>,
     /// The node's clock.
     pub clock: Clock,
@@ -119,7 +119,7 @@
     pub log: Logger,
 }
 
-/// Gives out claims.
+/// Handle of the tasks that claim keys for this node.
 #[derive(Clone, Debug)]
 pub struct Claims {
     actor: Address<Actor>,
@@ -129,7 +129,8 @@
 }
 
 impl Claims {
-    /// Starts to give out claims and to answer other nodes about them.
+    /// Starts the tasks that claim keys, commit claims, remove expired ones and answer
+    /// other nodes.
     pub fn start(parts: Parts) -> Self {
         let (actor, mailbox) = Mailbox::unbounded();
         let committer = committer(&parts, actor.clone());
@@ -174,7 +175,8 @@
 
     /// Stores the result of a request that was, or may have been, run.
     ///
-    /// The result is told to resends at once and reaches the table soon after.
+    /// Resent requests receive the result as soon as its text is stored; the table
+    /// receives it with the next commit.
     pub async fn finish(&self, mut claim: Claim, result: RequestResult) {
         let Some(actor) = claim.actor.take() else {
             return;
@@ -195,7 +197,7 @@
         });
     }
 
-    /// Gives a claim back of which nothing was sent to any target.
+    /// Releases a claim whose request was not sent to any target.
     pub async fn release(&self, mut claim: Claim) {
         if let Some(actor) = claim.actor.take() {
             let attempt = claim.attempt.clone();
@@ -203,12 +205,17 @@
         }
     }
 
-    /// Waits until all endings are in the table, or long enough.
+    /// Waits until all final results are in the table, or until a timeout.
     pub async fn close(&self) {
         let start = Instant::now();
         while let Ok(unsettled @ 1..) = self.actor.send(CountUnsettled).await {
             if start.elapsed() > CLOSE_TIMEOUT {
-                warn!(self.log, "Claims left unsettled."; "count" => unsettled);
+                warn!(
+                    self.log,
+                    "Claims unsettled {:?} after the stop; their results may not be in the table.",
+                    CLOSE_TIMEOUT;
+                    "count" => unsettled,
+                );
                 return;
             }
             tokio::time::sleep(CLOSE_POLL_INTERVAL).await;
@@ -237,7 +244,8 @@
         match tokio::time::timeout(DECISION_TIMEOUT, &mut receiver).await {
             Ok(verdict) => verdict.ok(),
             Err(_) => {
-                // The claim may be held by now, so the last word is waited for.
+                // The claim may have been granted in the meantime, so this waits for the
+                // decision that follows the abandonment.
                 let attempt = claim_request.attempt.clone();
                 let abandon = Event::Abandon { attempt };
                 self.actor.send(CoreEvent(abandon)).await.ok()?;
@@ -253,7 +261,7 @@
                 outcome: final_result.outcome,
                 text,
             }),
-            // It did run, but its answer cannot be had now.
+            // The request did run, but its stored answer cannot be read now.
             None => ClaimResult::Refused(Outcome::MayHaveRun {
                 reason: Reason::PlatformUnavailable,
             }),
