--- a/filbertpaddle/src/admission.rs
+++ b/filbertpaddle/src/admission.rs
@@ -1,4 +1,5 @@
-//! Counts requests in and out and names their attempts.
+//! Admission of callers' requests: the limit on concurrent requests, draining and the
+//! assignment of attempt ids.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -9,7 +10,7 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::sync::Semaphore;
 
-/// Lets requests in until the node drains.
+/// Admits requests up to a limit until the node drains.
 #[derive(Debug)]
 pub struct Admission {
     attempt_prefix: Name,
@@ -20,9 +21,9 @@
 }
 
 impl Admission {
-    /// Opens the gate for at most `max_requests` requests at once.
+    /// Creates an admission of at most `max_requests` concurrent requests.
     ///
-    /// `attempt_prefix` starts all attempt ids of this life of the node.
+    /// `attempt_prefix` is the prefix of all attempt ids of this incarnation of the node.
     pub fn new(attempt_prefix: Name, max_requests: usize) -> Self {
         Self {
             attempt_prefix,
@@ -33,23 +34,23 @@
         }
     }
 
-    /// Returns an attempt id that no node has used.
+    /// Returns a new attempt id, unique across all nodes.
     pub fn next_attempt_id(&self) -> Name {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         format!("{}-{number:x}", self.attempt_prefix).into()
     }
 
-    /// Counts a request in; `None` if too many run.
+    /// Admits a request until the permit is dropped; `None` if the limit is reached.
     pub fn try_admit(&self) -> Option<OwnedSemaphorePermit> {
         Arc::clone(&self.permits).try_acquire_owned().ok()
     }
 
-    /// Returns whether new work is refused because the node is leaving.
+    /// Returns whether the node is draining and refuses new requests.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Refuses new work and waits until all that runs has ended.
+    /// Refuses new requests and waits until all admitted ones have ended.
     pub async fn drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
         let all = u32::try_from(self.max_requests).unwrap_or(u32::MAX);
--- a/filbertpaddle/src/attempt_id.rs
+++ b/filbertpaddle/src/attempt_id.rs
@@ -1,18 +1,21 @@
-//! Names of attempts, which tell targets' reports apart.
+//! Identifiers of attempts, which encode the node and the slot that an attempt uses.
+//!
+//! Targets report the attempts that they run by these ids, so the owner of a pool learns
+//! which slots are in use.
 
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::roster::Id;
 use filbertpaddle_core::slot::Key;
 use filbertpaddle_core::slot::Source;
 
-/// Returns the start of all attempt names of one life of a node.
+/// Returns the prefix of all attempt ids of one incarnation of a node.
 pub fn prefix(id: &Id) -> Name {
     format!("{}-{:x}", id.name, id.incarnation).into()
 }
 
-/// Returns the name of an attempt with the slot that it uses.
+/// Returns an attempt id extended by the slot that the attempt uses.
 ///
-/// Any slot that `attempt` named before is replaced.
+/// A slot that `attempt` already contains is replaced.
 pub fn with_slot(attempt: &str, key: &Key) -> Name {
     let base = attempt.split('.').next().unwrap_or(attempt);
     let source = match key.source {
@@ -22,10 +25,10 @@
     format!("{base}.{:x}{source}{:x}", key.epoch, key.number).into()
 }
 
-/// Returns the slot that an attempt uses.
+/// Returns the slot that an attempt id contains.
 ///
-/// A name of another form yields a slot of a holder that nobody knows, so
-/// that the work is counted all the same.
+/// An id of another form yields a slot of an unknown holder, so that its work is still
+/// counted.
 pub fn slot(attempt: &Name) -> Key {
     parse(attempt).unwrap_or_else(|| Key {
         holder: Id {
--- a/filbertpaddle/src/caller_api.rs
+++ b/filbertpaddle/src/caller_api.rs
@@ -1,4 +1,4 @@
-//! HTTP for callers.
+//! HTTP interface for callers: requests, resumes and cancellations.
 
 use std::sync::Arc;
 
@@ -36,10 +36,10 @@
 use crate::ticket;
 use crate::ticket::Ticket;
 
-/// When a caller that met a full node may come back.
+/// Time until a caller may retry after the node refused it because of its request limit.
 const OVERLOAD_RETRY_AFTER_MS: Millis = Millis(1_000);
 
-/// Body of a request to go on with a stream.
+/// Body of a request to resume a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Resume {
@@ -116,7 +116,7 @@
         retry_after_ms: Some(retry_after_ms),
     };
     if context.admission.is_draining() {
-        // Another node takes the request now; the balancer knows which.
+        // An immediate retry reaches another node, since the balancer passes over this one.
         return Err(refuse(Reason::Draining, Millis::ZERO));
     }
     context
@@ -205,7 +205,7 @@
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
 {
-    // A resume is running work, so a draining node still takes it.
+    // A resume belongs to a running generation, so a draining node still accepts it.
     let Some(permit) = context.admission.try_admit() else {
         let outcome = Outcome::NotRun {
             reason: Reason::Overloaded,
@@ -239,8 +239,8 @@
     reply::streamed(receiver.await.unwrap_or(not_answered))
 }
 
-// The slot stays with the node that checked for it, or with the pool's owner
-// if that node has not_answered; a resume only reads.
+// The slot stays with the node that acquired it, or with the pool's owner if that node is
+// gone, since a resume only reads.
 async fn relay_resumed(context: &RequestContext, ticket: Ticket, from: u32, mut output: Output) {
     let mut delivery = Delivery::resumed(ticket.restart_policy(), ticket.attempt.clone(), from);
     let grant = Grant::to_resume(ticket.target.clone(), ticket.address);
--- a/filbertpaddle/src/generation.rs
+++ b/filbertpaddle/src/generation.rs
@@ -1,4 +1,4 @@
-//! One attempt at one target, from submit to its last token.
+//! One attempt of a request on one target, from the submission to the last token.
 
 use std::time::Duration;
 
@@ -25,28 +25,28 @@
 use crate::ticket;
 use crate::ticket::Ticket;
 
-/// Wait before a broken stream is resumed.
+/// Delay before a failed resume is repeated.
 const RESUME_DELAY: Duration = Duration::from_millis(50);
 
-/// How the use of a target ended.
+/// Result of an attempt.
 #[derive(Debug)]
 pub(crate) enum AttemptResult {
-    /// The request has its final answer.
+    /// The request has ended with this outcome.
     Ended(Outcome),
     /// The target may have run the attempt; another may be started.
     Restart,
-    /// The target provably did nothing.
+    /// The target did not start the attempt; another may be started.
     Unsent,
 }
 
-/// A result and what the slot's owner is told.
+/// Result of an attempt, and the ending of its slot to report to the pool's owner.
 #[derive(Debug)]
 pub(crate) struct SlotUse {
     pub(crate) result: AttemptResult,
     pub(crate) ending: Ending,
 }
 
-/// One attempt and whom it is for.
+/// An attempt with its slot, its caller's output and its delivery state.
 #[derive(Debug)]
 pub(crate) struct Attempt<'a> {
     pub(crate) context: &'a RequestContext,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Goes on with a generation that another node started.
+    /// Resumes a generation from its ticket and relays the remaining tokens.
     pub(crate) async fn resume(mut self) -> SlotUse {
         self.resume_and_relay(&Event::Broken).await
     }
@@ -156,7 +156,7 @@
         }
     }
 
-    // Resumes until there is a stream again or the attempt is over.
+    // Resumes the stream until that succeeds or the delivery ends the attempt.
     async fn resume_stream(&mut self, mut action: Action) -> Result<Tokens, SlotUse> {
         loop {
             let from = match action {
@@ -202,11 +202,11 @@
 
     fn log_failure(&self, error: &Error) {
         let target = &self.grant.target;
-        debug!(self.context.log, "Target failed."; "target" => %target, "error" => %error);
+        debug!(self.context.log, "Call to target failed."; "target" => %target, "error" => %error);
     }
 }
 
-/// Makes the ticket of an attempt.
+/// Creates the resume ticket of an attempt.
 pub(crate) fn new_ticket(
     customer: &str,
     delivery: &Delivery,
--- a/filbertpaddle/src/output.rs
+++ b/filbertpaddle/src/output.rs
@@ -1,4 +1,4 @@
-//! What a running request gives its caller.
+//! Output of a running request to its caller.
 
 use filbertpaddle_core::outcome::Outcome;
 use tokio::sync::mpsc;
@@ -7,7 +7,7 @@
 use crate::request::FirstResponse;
 use crate::request::ResponseItem;
 
-/// Passes a request's items to its caller, who may have gone.
+/// Sends the response of a request to its caller, who may have disconnected.
 #[derive(Debug)]
 pub(crate) struct Output {
     first_response: Option<oneshot::Sender<FirstResponse>>,
@@ -24,12 +24,13 @@
         }
     }
 
-    /// Returns all text that was delivered of this generation.
+    /// Returns the text that was sent of the current generation.
     pub(crate) fn text(&self) -> &str {
         &self.text
     }
 
-    /// Waits until the caller has gone without an answer.
+    /// Waits until the caller disconnects before its first response; pending forever after
+    /// that response.
     pub(crate) async fn caller_gone(&mut self) {
         match &mut self.first_response {
             Some(first_response) => first_response.closed().await,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Passes one token on; `start` makes the item that goes before the first.
+    /// Sends one token; `start` creates the item to send before the first token.
     pub(crate) fn send_token<F>(&mut self, index: u32, text: String, start: F)
     where
         F: FnOnce() -> ResponseItem,
@@ -49,20 +50,20 @@
         self.send(ResponseItem::Token { index, text });
     }
 
-    /// Voids what was delivered, which the caller has not been shown.
+    /// Discards the text sent so far, which a caller of a whole answer has not received yet.
     pub(crate) fn restart(&mut self) {
         self.text.clear();
         self.send(ResponseItem::Restart);
     }
 
-    /// Answers with a stored result.
+    /// Sends the first response, if it has not been sent yet.
     pub(crate) fn respond(&mut self, response: FirstResponse) {
         if let Some(first_response) = self.first_response.take() {
             first_response.send(response).ok();
         }
     }
 
-    /// Tells the caller how the request ended.
+    /// Sends the outcome of the request.
     pub(crate) fn close(mut self, outcome: Outcome) {
         if self.items.is_some() {
             self.send(ResponseItem::End(outcome));
--- a/filbertpaddle/src/reply.rs
+++ b/filbertpaddle/src/reply.rs
@@ -1,4 +1,4 @@
-//! HTTP answers to callers.
+//! HTTP responses to callers.
 
 use std::convert::Infallible;
 
@@ -22,7 +22,7 @@
 use crate::request::ResponseItem;
 
 const MS_PER_SECOND: u64 = 1_000;
-/// Answers that were stored for an idempotency key carry this header.
+/// Header of responses that replay the stored result of an idempotency key.
 const REPLAYED_HEADER: &str = "idempotent-replayed";
 
 #[derive(Serialize)]
@@ -52,7 +52,7 @@
     text: &'a str,
 }
 
-/// Answers a streaming request.
+/// Returns the response to a streaming request.
 pub(crate) fn streamed(response: FirstResponse) -> Response {
     match response {
         FirstResponse::Ended(outcome) => ended(&outcome, None),
@@ -64,12 +64,12 @@
     }
 }
 
-/// Answers with events while a generation runs.
+/// Returns a response that streams the items of a running generation.
 pub(crate) fn running(items: mpsc::UnboundedReceiver<ResponseItem>) -> Response {
     sse::reply(events(UnboundedReceiverStream::new(items))).into_response()
 }
 
-/// Answers a request whose caller wants the whole answer at once.
+/// Returns the response to a request whose answer is delivered whole.
 pub(crate) async fn whole(response: FirstResponse) -> Response {
     let mut items = match response {
         FirstResponse::Ended(outcome) => return ended(&outcome, None),
@@ -87,7 +87,7 @@
             ResponseItem::End(outcome) => return whole_body(&outcome, &text),
         }
     }
-    // The task that ran the request has died.
+    // The task that ran the request ended without an outcome.
     ended(
         &Outcome::MayHaveRun {
             reason: Reason::HolderGone,
@@ -96,7 +96,7 @@
     )
 }
 
-/// Answers a request that was refused before anything was done for it.
+/// Returns the response to a request that was refused before it was run.
 pub(crate) fn invalid(invalid: &InvalidRequest) -> Response {
     let outcome = Outcome::NotRun {
         reason: invalid.reason,
@@ -105,7 +105,7 @@
     ended(&outcome, Some(&invalid.detail))
 }
 
-/// Answers a request that ended without tokens.
+/// Returns the response to a request that ended without tokens.
 pub(crate) fn ended(outcome: &Outcome, detail: Option<&str>) -> Response {
     let body = warp::reply::json(&Refused { outcome, detail });
     let status = status(outcome);
@@ -167,7 +167,7 @@
 where
     T: Serialize,
 {
-    // These bodies have text keys only, so they always have a JSON form.
+    // Serialization cannot fail, since all keys of these bodies are strings.
     let data = serde_json::to_string(body).unwrap_or_default();
     sse::Event::default().event(name).data(data)
 }
@@ -184,7 +184,7 @@
             retry_after_ms,
         } => match reason {
             Reason::BadRequest | Reason::KeyRequired => StatusCode::BAD_REQUEST,
-            // Without a time to come back, the caller's own deadline is at fault.
+            // Without a retry time, the deadline in the request was invalid.
             Reason::Deadline if retry_after_ms.is_none() => StatusCode::BAD_REQUEST,
             Reason::Unauthorized => StatusCode::UNAUTHORIZED,
             Reason::KeyReused | Reason::Quarantined => StatusCode::UNPROCESSABLE_ENTITY,
--- a/filbertpaddle/src/request.rs
+++ b/filbertpaddle/src/request.rs
@@ -1,4 +1,4 @@
-//! One caller's request and what the caller gets of it.
+//! A caller's request, checked against its template, and the items of its response.
 
 use std::sync::Arc;
 
@@ -19,12 +19,12 @@
 
 use crate::claims;
 
-/// Bytes of text that one token stands for, as an estimate.
+/// Estimated number of bytes per token.
 const TOKEN_BYTES: usize = 4;
-/// Longest idempotency key.
+/// Maximum length of an idempotency key.
 const MAX_KEY_BYTES: usize = 128;
 
-/// Body of a request as the caller sends it.
+/// Body of a request as sent by the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Body {
@@ -33,46 +33,46 @@
     /// Value of each parameter of the template.
     #[serde(default)]
     pub parameters: IndexMap<Name, String>,
-    /// Unix time after which an answer is of no use.
+    /// Unix time after which the caller no longer needs an answer.
     #[serde(default)]
     pub deadline_unix_ms: Option<Millis>,
 }
 
-/// A request whose parts have been checked against its template.
+/// A request that was checked against its template.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// Customer that sent the request.
     pub customer: Name,
     /// Name of the template.
     pub template_name: Name,
-    /// The template in force when the request came.
+    /// The template at the time of the request.
     pub template: Arc<Template>,
     /// Prompt or call body for the target.
     pub prompt: String,
     /// The caller's idempotency key, if any.
     pub key: Option<Name>,
-    /// How long the request may wait for a target.
+    /// Maximum wait for a slot on a target.
     pub wait_ms: Millis,
 }
 
-/// Why a request was refused before anything was done for it.
+/// Error of a request that was refused before it was run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{detail}")]
 pub struct InvalidRequest {
     /// Machine-readable reason.
     pub reason: Reason,
-    /// What is wrong, for people.
+    /// Human-readable description of the error.
     pub detail: String,
 }
 
-/// What a caller gets, in order.
+/// Item of a response, in the order sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResponseItem {
-    /// The first token follows; the ticket resumes this generation.
+    /// The generation has started.
     Start {
-        /// Id of the generation.
+        /// Identifier of the generation.
         generation: Name,
-        /// Signed ticket.
+        /// Signed ticket that resumes the generation.
         ticket: String,
     },
     /// One token.
@@ -82,20 +82,20 @@
         /// Text of the token.
         text: String,
     },
-    /// What was kept for a whole answer is void; another generation starts.
+    /// A new generation replaces the tokens so far; only for answers delivered whole.
     Restart,
-    /// Nothing follows.
+    /// The request has ended with this outcome.
     End(Outcome),
 }
 
-/// First answer to a request.
+/// First response to a request.
 #[derive(Debug)]
 pub enum FirstResponse {
-    /// The request was not run, or may have run and its result is unknown.
+    /// The request ended without a result: it was not run, or it is not known whether it ran.
     Ended(Outcome),
-    /// The request was run before.
+    /// The request ran before and had this result.
     Replay(claims::RequestResult),
-    /// The request runs.
+    /// The request is running.
     Running(mpsc::UnboundedReceiver<ResponseItem>),
 }
 
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`InvalidRequest`] with the first thing that is wrong.
+    /// Returns [`InvalidRequest`] for the first check that fails.
     pub fn check(
         customer: Name,
         template: Arc<Template>,
@@ -126,18 +126,18 @@
         })
     }
 
-    /// Returns customer and template as one name.
+    /// Returns the key of the template, which contains its customer.
     pub fn template_key(&self) -> Name {
         format!("{}/{}", self.customer, self.template_name).into()
     }
 
-    /// Returns an estimate of the prompt's length.
+    /// Returns the estimated length of the prompt.
     pub fn prompt_tokens(&self) -> u32 {
         u32::try_from(self.prompt.len() / TOKEN_BYTES + 1).unwrap_or(u32::MAX)
     }
 
-    /// Returns the digest of the whole blocks that the template fixes, as the
-    /// targets' caches know it; zero if there are none.
+    /// Returns the digest that targets' prefix caches use for the complete blocks of the
+    /// template's prompt; zero if there are none.
     pub fn prefix(&self) -> u64 {
         digests(&self.template.prompt)
             .last()
@@ -145,18 +145,18 @@
             .unwrap_or_default()
     }
 
-    /// Returns an estimate of the length of the blocks that the template fixes.
+    /// Returns the estimated length of the complete blocks of the template's prompt.
     pub fn prefix_tokens(&self) -> u32 {
         let bytes = digests(&self.template.prompt).len() * BLOCK_BYTES;
         u32::try_from(bytes / TOKEN_BYTES).unwrap_or(u32::MAX)
     }
 
-    /// Returns a digest that is the same for a resend.
+    /// Returns a digest that is equal for a resent request.
     pub fn digest(&self) -> u64 {
         xxh3_64(self.identity().as_bytes())
     }
 
-    /// Returns a collision-resistant digest that is the same for a resend.
+    /// Returns a collision-resistant digest that is equal for a resent request.
     pub fn digest_hex(&self) -> Name {
         HEXLOWER
             .encode(&Sha256::digest(self.identity().as_bytes()))
--- a/filbertpaddle/src/request_context.rs
+++ b/filbertpaddle/src/request_context.rs
@@ -1,4 +1,4 @@
-//! What every request on this node uses.
+//! Services and limits shared by all requests of a node.
 
 use std::sync::Arc;
 
@@ -13,16 +13,16 @@
 use crate::slots::Slots;
 use crate::templates::Templates;
 
-/// Parts and limits shared by all requests of a node.
+/// Services and limits shared by all requests of a node.
 #[derive(Debug)]
 pub struct RequestContext {
-    /// Configuration in force.
+    /// Current configuration.
     pub templates: Templates,
-    /// Claims on idempotency keys.
+    /// Claims of idempotency keys.
     pub claims: Claims,
     /// Slots on targets.
     pub slots: Slots,
-    /// Budgets for sending a request to another target.
+    /// Retry budgets of the pools.
     pub retries: Retries,
     /// Client of targets.
     pub targets: Client,
@@ -34,6 +34,6 @@
     pub metrics: Arc<Metrics>,
     /// Log of requests.
     pub log: Logger,
-    /// Counts requests in and out.
+    /// Admission of requests.
     pub admission: Admission,
 }
--- a/filbertpaddle/src/retries.rs
+++ b/filbertpaddle/src/retries.rs
@@ -1,4 +1,4 @@
-//! Budgets for sending a request to another target.
+//! Retry budgets of a node, one per pool.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -9,7 +9,7 @@
 use filbertpaddle_core::retry::Settings;
 use indexmap::IndexMap;
 
-/// The retries that this node may still make towards each pool.
+/// Retries that this node may still make towards each pool.
 #[derive(Debug, Default)]
 pub struct Retries {
     settings: Settings,
@@ -17,7 +17,7 @@
 }
 
 impl Retries {
-    /// Creates full budgets.
+    /// Creates budgets that start full.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -25,14 +25,15 @@
         }
     }
 
-    /// Records that a request to a pool gave a whole answer.
+    /// Records a complete answer from a pool.
     pub fn record_success(&self, pool: &Name) {
         if let Some(budget) = self.lock().get_mut(pool) {
             budget.record_success();
         }
     }
 
-    /// Takes one retry; `false` if the failure must be told to the caller.
+    /// Takes one retry from a pool's budget; `false` if it is exhausted and the failure must
+    /// be reported to the caller.
     pub fn try_take(&self, pool: &Name) -> bool {
         self.lock()
             .entry(pool.clone())
--- a/filbertpaddle/src/run.rs
+++ b/filbertpaddle/src/run.rs
@@ -1,4 +1,5 @@
-//! The life of one request: claim, slot, target, answer, release.
+//! Runs one request: claims its key, acquires a slot, sends it to a target, delivers the
+//! answer and releases the slot.
 
 use std::sync::Arc;
 
@@ -27,12 +28,12 @@
 use crate::request::Request;
 use crate::request_context::RequestContext;
 
-/// Most targets that one request is sent to.
+/// Maximum number of attempts of one request, each on one target.
 const MAX_ATTEMPTS: u32 = 3;
-/// When a caller may come back after targets refused.
+/// Time until a caller may retry after its request failed at the targets.
 const TARGET_RETRY_AFTER_MS: Millis = Millis(1_000);
 
-/// Runs a request in a task of its own, which outlives the caller's connection.
+/// Runs a request in a task of its own, which continues if the caller disconnects.
 pub async fn start(
     context: Arc<RequestContext>,
     request: Request,
@@ -124,7 +125,7 @@
         self.context.claims.claim(claim_request).await
     }
 
-    // Every pass uses one target; the attempt limit bounds the passes.
+    // Each iteration makes one attempt on one target, up to `MAX_ATTEMPTS`.
     async fn run_attempts(&mut self) -> Outcome {
         loop {
             let grant = match self.acquire().await {
@@ -225,7 +226,7 @@
         result
     }
 
-    // Reports of the target then show whose slot the attempt uses.
+    // The target's reports then show which slot the attempt uses.
     fn add_slot_to_attempt_id(&mut self, grant: &pools::Grant) {
         if let Some(slot) = &grant.slot {
             let attempt = attempt_id::with_slot(self.delivery.attempt(), &slot.key);
@@ -243,7 +244,7 @@
         self.output.restart();
     }
 
-    // "Not run" is said only if no target was sent anything.
+    // The outcome is `NotRun` only if nothing was sent to any target.
     fn refused_outcome(&self, refusal: pools::Refusal) -> Outcome {
         if self.sent {
             return Outcome::Incomplete {
--- a/filbertpaddle/src/slot_message.rs
+++ b/filbertpaddle/src/slot_message.rs
@@ -1,4 +1,4 @@
-//! Bodies of slot messages, to and from the core's types.
+//! Conversions between the messages about slots and the core's types.
 
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::owner;
--- a/filbertpaddle/src/ticket.rs
+++ b/filbertpaddle/src/ticket.rs
@@ -1,7 +1,7 @@
-//! Signed resume tickets.
+//! Signed tickets with which callers resume a stream.
 //!
-//! A ticket carries all that any node needs to go on with a generation, so
-//! that no node keeps state for callers that may come back.
+//! A ticket contains all that any node needs to resume a generation, so nodes keep no
+//! state for callers that may resume.
 
 use std::net::SocketAddr;
 
@@ -16,10 +16,10 @@
 use serde::Serialize;
 use sha2::Sha256;
 
-/// How long a ticket is valid.
+/// Validity period of a ticket.
 pub const LIFETIME_MS: Millis = Millis::from_secs(3_600);
 
-/// Where a generation runs and whose it is.
+/// Location and customer of a running generation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ticket {
     /// Customer that may resume.
@@ -30,25 +30,25 @@
     pub target: Name,
     /// Address of the target.
     pub address: SocketAddr,
-    /// Whether the request may run twice.
+    /// Whether the request may safely run twice.
     pub idempotent: bool,
-    /// End of the ticket's life, Unix time.
+    /// Unix time at which the ticket expires.
     pub expires_unix_ms: Millis,
 }
 
-/// Why a ticket was refused.
+/// Error of a ticket that was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The ticket was not signed with our secret.
+    /// The ticket is malformed or was not signed with this secret.
     #[error("the ticket is not valid")]
     Invalid,
-    /// The ticket's life has ended.
+    /// The ticket has expired.
     #[error("the ticket has expired")]
     Expired,
 }
 
 impl Ticket {
-    /// Returns what may be done again when the target fails.
+    /// Returns whether the generation may restart when its target fails.
     pub fn restart_policy(&self) -> RestartPolicy {
         RestartPolicy {
             idempotent: self.idempotent,
@@ -60,7 +60,7 @@
 /// Signs a ticket.
 pub fn sign(ticket: &Ticket, secret: &[u8]) -> String {
     let mut body = Vec::new();
-    // Writing to memory cannot fail, and an empty ticket would not verify.
+    // Writing to memory cannot fail, and verification would reject an empty ticket.
     ciborium::into_writer(ticket, &mut body).unwrap_or_default();
     let digest = mac(secret, &body).finalize().into_bytes();
     let mut bytes = digest.to_vec();
@@ -68,12 +68,12 @@
     BASE64URL_NOPAD.encode(&bytes)
 }
 
-/// Checks a ticket in constant time and reads it.
+/// Verifies the signature of a ticket in constant time and parses the ticket.
 ///
 /// # Errors
 ///
 /// Returns [`Error::Invalid`] for a ticket that was not signed with `secret`
-/// and [`Error::Expired`] for one past its life.
+/// and [`Error::Expired`] for one that has expired.
 pub fn verify(text: &str, secret: &[u8], now_unix_ms: Millis) -> Result<Ticket, Error> {
     let bytes = BASE64URL_NOPAD
         .decode(text.as_bytes())
