--- a/filbertpaddle/tests/at_most_once.rs
+++ b/filbertpaddle/tests/at_most_once.rs
@@ -1,4 +1,5 @@
-//! A request with effects runs at most once, whatever fails around it.
+//! Non-idempotent requests run at most once when nodes, links, the platform or the target
+//! fail.
 
 #![expect(clippy::unwrap_used, reason = "a failed set-up fails the test")]
 
@@ -37,11 +38,11 @@
 use filbertpaddle_standins::service;
 use filbertpaddle_standins::service::Service;
 
-const SHARED_COMMITTER: &str = "claims: {nodes_per_committer: 2}";
+const SHARED_COMMITTER_SETTINGS: &str = "claims: {nodes_per_committer: 2}";
 const COMPLETE: Outcome = Outcome::Complete { tokens: 1 };
 
-/// Two nodes, each behind its own proxy to the platform, and one plain service
-/// behind another.
+/// Two nodes, each with its own proxy to the platform, and one plain service behind a
+/// proxy.
 struct Fleet {
     platform: Platform,
     service: Service,
@@ -55,7 +56,7 @@
         Self::start_with(call_ms, "").await
     }
 
-    /// Starts nodes with more settings.
+    /// Starts nodes with additional settings.
     async fn start_with(call_ms: Millis, more: &str) -> Self {
         let mut platform = Platform::start();
         let service = Service::start(service::Settings {
@@ -100,7 +101,7 @@
 
     async fn wait_for_target(&self, node: usize) {
         self.nodes[node].ready().await;
-        wait::until("a target is known", async || {
+        wait::until("the node completes a request at the target", async || {
             let outcome = self.send(node, "stock", "probe", None).await;
             (outcome == COMPLETE).then_some(())
         })
@@ -118,7 +119,7 @@
         self.send(node, "order", text, Some(text)).await
     }
 
-    /// Starts an order that the test does not wait for yet.
+    /// Sends an order in a task of its own.
     fn start_order(&self, node: usize, text: &'static str) -> tokio::task::JoinHandle<Outcome> {
         let address = self.nodes[node].addresses.callers;
         tokio::spawn(async move {
@@ -127,7 +128,7 @@
         })
     }
 
-    /// Sends the order again until its stored answer comes back.
+    /// Resends the order until its stored answer is replayed.
     async fn wait_for_replay(&self, node: usize, text: &str) {
         wait::until("the answer is replayed", async || {
             (self.order(node, text).await == COMPLETE).then_some(())
@@ -182,16 +183,16 @@
 }
 
 #[tokio::test]
-async fn same_key_to_two_nodes_at_once_runs_once() {
+async fn same_key_sent_to_two_nodes_concurrently_runs_once() {
     let fleet = Fleet::start(Millis(300)).await;
     for text in ["a", "b", "c", "d", "e"] {
         let (first, second) = tokio::join!(fleet.order(0, text), fleet.order(1, text));
         let mut outcomes = [first, second];
         outcomes.sort_by_key(|outcome| *outcome != COMPLETE);
         assert_eq!(outcomes[0], COMPLETE);
-        // The second is told that the first runs, or what became of it.
-        let told = matches!(outcomes[1], Outcome::MayHaveRun { .. });
-        assert!(told || outcomes[1] == COMPLETE, "{outcomes:?}");
+        // The second reports that the first is running, or replays its result.
+        let is_may_have_run = matches!(outcomes[1], Outcome::MayHaveRun { .. });
+        assert!(is_may_have_run || outcomes[1] == COMPLETE, "{outcomes:?}");
         for node in 0..2 {
             fleet.wait_for_replay(node, text).await;
         }
@@ -214,7 +215,7 @@
 }
 
 #[tokio::test]
-async fn lost_answer_after_commit_is_read_back() {
+async fn lost_commit_answer_is_read_back() {
     let fleet = Fleet::start(Millis(1)).await;
     for (text, loss) in [("a", Loss::Drop), ("b", Loss::Status), ("c", Loss::Hold)] {
         fleet
@@ -225,7 +226,7 @@
             })
             .await;
         let outcome = fleet.order(0, text).await;
-        // On a slow machine reading back may take too long after a timeout.
+        // On a slow machine, reading back may exceed the time limit after a timeout.
         let slow = loss == Loss::Hold && is_unavailable(&outcome);
         assert!(slow || outcome == COMPLETE, "{loss:?}: {outcome:?}");
         fleet.wait_for_replay(1, text).await;
@@ -233,8 +234,11 @@
     }
 }
 
-/// Freezes entry-1 when its claim is in the table and it does not know that yet.
-async fn pause_before_send(fleet: &Fleet, text: &'static str) -> tokio::task::JoinHandle<Outcome> {
+/// Pauses entry-1 once its claim is in the table but the answer has not reached it.
+async fn pause_between_claim_and_send(
+    fleet: &Fleet,
+    text: &'static str,
+) -> tokio::task::JoinHandle<Outcome> {
     fleet.proxies[0].set_link(Link::CutBackward);
     let first = fleet.start_order(0, text);
     fleet.wait_for_claim(text).await;
@@ -244,9 +248,9 @@
 }
 
 #[tokio::test]
-async fn holder_killed_after_its_claim_leaves_the_truth_unknown() {
+async fn holder_killed_between_claim_and_send_leaves_the_outcome_unknown() {
     let mut fleet = Fleet::start(Millis(1)).await;
-    let lost = pause_before_send(&fleet, "a").await;
+    let lost = pause_between_claim_and_send(&fleet, "a").await;
     let resent = fleet.order(1, "a").await;
     assert_eq!(resent, may_have_run(Reason::HolderGone));
     fleet.nodes.remove(0).process.close();
@@ -257,7 +261,7 @@
 }
 
 #[tokio::test]
-async fn holder_killed_after_it_sent_is_not_replaced() {
+async fn holder_killed_after_send_is_not_replaced() {
     let mut fleet = Fleet::start(Millis(1)).await;
     fleet.service_proxy.set_link(Link::CutBackward);
     let lost = fleet.start_order(0, "a");
@@ -276,9 +280,9 @@
 }
 
 #[tokio::test]
-async fn holder_paused_between_claim_and_send_runs_once_when_it_wakes() {
+async fn holder_paused_between_claim_and_send_runs_once_after_it_resumes() {
     let fleet = Fleet::start(Millis(1)).await;
-    let first = pause_before_send(&fleet, "a").await;
+    let first = pause_between_claim_and_send(&fleet, "a").await;
     for _ in 0..3 {
         let resent = fleet.order(1, "a").await;
         assert_eq!(resent, may_have_run(Reason::HolderGone));
@@ -286,7 +290,7 @@
     assert_eq!(fleet.executions("a"), 0);
     fleet.nodes[0].process.wake().unwrap();
     let outcome = first.await.unwrap();
-    // On a slow machine the node may have given up before it was frozen.
+    // On a slow machine, the node may have abandoned the claim before it was paused.
     assert!(
         outcome == COMPLETE || is_unavailable(&outcome),
         "{outcome:?}"
@@ -297,9 +301,9 @@
 }
 
 #[tokio::test]
-async fn claim_abandoned_by_a_node_cut_off_is_taken_over() {
+async fn claim_abandoned_by_a_disconnected_node_is_taken_over() {
     let fleet = Fleet::start(Millis(1)).await;
-    // What entry-1 writes arrives, but no answer comes back to it.
+    // The writes of entry-1 reach the platform, but no answer reaches entry-1.
     fleet.proxies[0].set_link(Link::CutBackward);
     let refused = fleet.order(0, "a").await;
     assert!(is_unavailable(&refused), "{refused:?}");
@@ -312,7 +316,7 @@
 }
 
 #[tokio::test]
-async fn target_lost_after_it_ran_is_told_as_unknown_and_not_tried_again() {
+async fn target_lost_after_it_ran_is_reported_as_may_have_run_and_not_retried() {
     let fleet = Fleet::start(Millis(1)).await;
     fleet.service_proxy.set_link(Link::CutBackward);
     let first = fleet.start_order(0, "a");
@@ -324,7 +328,7 @@
     let unknown = may_have_run(Reason::TargetFailed);
     assert_eq!(first.await.unwrap(), unknown);
     fleet.service_proxy.heal();
-    wait::until("the ending is known to the other node", async || {
+    wait::until("the other node replays the final result", async || {
         (fleet.order(1, "a").await == unknown).then_some(())
     })
     .await;
@@ -333,7 +337,7 @@
 }
 
 #[tokio::test]
-async fn planned_stop_leaves_every_ending_in_the_table() {
+async fn planned_stop_stores_every_result_in_the_table() {
     let mut fleet = Fleet::start(Millis(1)).await;
     assert_eq!(fleet.order(0, "a").await, COMPLETE);
     let mut stopped = fleet.nodes.remove(0);
@@ -348,7 +352,7 @@
 }
 
 #[tokio::test]
-async fn large_answer_is_replayed_whole() {
+async fn large_answer_is_replayed_completely() {
     let fleet = Fleet::start(Millis(1)).await;
     let text: String = "long ".repeat(2_000);
     let address = fleet.nodes[0].addresses.callers;
@@ -365,7 +369,7 @@
 }
 
 #[tokio::test]
-async fn old_claims_are_removed_and_young_ones_stay() {
+async fn expired_claims_are_removed_and_recent_ones_are_kept() {
     let platform = Platform::start();
     let now = clock::unix_now();
     let old = Millis(now.0 - sweep::RETENTION_MS.0 - 1);
@@ -396,7 +400,7 @@
 }
 
 fn finished_record(claimed_at_ms: Millis) -> String {
-    let ending = FinalResult {
+    let final_result = FinalResult {
         outcome: COMPLETE,
         answer: StoredAnswer::Inline("done".into()),
     };
@@ -406,12 +410,12 @@
         holder: "entry-9".into(),
         incarnation: 1,
         claimed_at_ms,
-        state: State::Finished(ending),
+        state: State::Finished(final_result),
     };
     serde_json::to_string(&record).unwrap()
 }
 
-/// Returns the node that commits for both, and the other.
+/// Returns the index of the node that commits for both, and of the other one.
 fn committer_and_other(fleet: &Fleet) -> (usize, usize) {
     let names: Vec<Name> = fleet
         .nodes
@@ -426,8 +430,8 @@
 }
 
 #[tokio::test]
-async fn node_cut_off_from_the_platform_claims_through_its_committer() {
-    let fleet = Fleet::start_with(Millis(1), SHARED_COMMITTER).await;
+async fn node_disconnected_from_the_platform_claims_through_its_committer() {
+    let fleet = Fleet::start_with(Millis(1), SHARED_COMMITTER_SETTINGS).await;
     let (_, other) = committer_and_other(&fleet);
     fleet.proxies[other].set_link(Link::Cut);
     fleet.wait_for_replay(other, "a").await;
@@ -435,8 +439,8 @@
 }
 
 #[tokio::test]
-async fn committer_that_is_paused_is_passed_over_and_its_late_write_does_nothing() {
-    let fleet = Fleet::start_with(Millis(1), SHARED_COMMITTER).await;
+async fn paused_committer_is_avoided_and_its_late_write_has_no_effect() {
+    let fleet = Fleet::start_with(Millis(1), SHARED_COMMITTER_SETTINGS).await;
     let (committer, other) = committer_and_other(&fleet);
     fleet.proxies[other].set_link(Link::Cut);
     fleet.wait_for_replay(other, "a").await;
@@ -450,8 +454,8 @@
 }
 
 #[tokio::test]
-async fn same_key_to_two_nodes_of_one_committer_runs_once() {
-    let fleet = Fleet::start_with(Millis(50), SHARED_COMMITTER).await;
+async fn same_key_sent_to_two_nodes_with_one_committer_runs_once() {
+    let fleet = Fleet::start_with(Millis(50), SHARED_COMMITTER_SETTINGS).await;
     for text in ["a", "b", "c", "d", "e"] {
         let (first, second) = tokio::join!(fleet.order(0, text), fleet.order(1, text));
         assert!(
@@ -465,7 +469,7 @@
 }
 
 #[tokio::test]
-async fn platform_out_refuses_orders_and_serves_the_rest() {
+async fn platform_outage_refuses_orders_and_serves_idempotent_requests() {
     let fleet = Fleet::start(Millis(1)).await;
     for (text, outage) in [("a", Outage::Refuse), ("b", Outage::Stall)] {
         fleet
@@ -479,7 +483,7 @@
             assert!(is_unavailable(&refused), "{refused:?}");
             assert_eq!(fleet.send(node, "stock", text, None).await, COMPLETE);
         }
-        // The stock request has the same body and ran on both nodes.
+        // The idempotent request has the same body and ran once through each node.
         assert_eq!(fleet.executions(text), 2);
         fleet.set_faults(Faults::default()).await;
         fleet.wait_for_replay(0, text).await;
--- a/filbertpaddle/tests/bad_input.rs
+++ b/filbertpaddle/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear answer with a reason and loses nothing else.
+//! Invalid input is refused with a reason, and the node still serves valid requests.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -21,15 +21,15 @@
 use serde_json::json;
 
 const LIMITS: &str = "limits: {body_bytes: 2000, requests: 4}";
-const IMPATIENT: &str = "limits: {send_timeout_ms: 300}";
+const SHORT_SEND_TIMEOUT: &str = "limits: {send_timeout_ms: 300}";
 
-struct Bench {
+struct Deployment {
     platform: Platform,
     _engine: StandIn,
     node: Node,
 }
 
-async fn start(limits: &str) -> Bench {
+async fn start(limits: &str) -> Deployment {
     let mut platform = Platform::start();
     let engine = StandIn::start(&["engine", "--seed", "7", "--speed", "20"]);
     let mut booking = fleet::template("booking");
@@ -48,15 +48,15 @@
         more: limits.to_owned(),
     });
     node.ready().await;
-    Bench {
+    Deployment {
         platform,
         _engine: engine,
         node,
     }
 }
 
-async fn post(bench: &Bench, key: &str, body: String) -> String {
-    let url = format!("http://{}/v1/requests", bench.node.addresses.callers);
+async fn post(deployment: &Deployment, key: &str, body: String) -> String {
+    let url = format!("http://{}/v1/requests", deployment.node.addresses.callers);
     let request = reqwest::Client::new().post(url).bearer_auth(key).body(body);
     let response = request.send().await.unwrap();
     let status = response.status().as_u16();
@@ -64,8 +64,8 @@
 }
 
 #[tokio::test]
-async fn each_fault_of_a_request_is_named() {
-    let bench = start(LIMITS).await;
+async fn each_error_of_a_request_is_reported_with_its_reason() {
+    let deployment = start(LIMITS).await;
     let request = |parameters: serde_json::Value| {
         json!({"template": "summary", "parameters": parameters}).to_string()
     };
@@ -100,7 +100,7 @@
     ];
     let mut answers = String::new();
     for (name, key, body) in cases {
-        answers.push_str(&format!("{name}: {}\n", post(&bench, key, body).await));
+        answers.push_str(&format!("{name}: {}\n", post(&deployment, key, body).await));
     }
     expect![[r#"
         wrong key: 401 {"outcome":"not_run","reason":"unauthorized","retry_after_ms":null,"detail":"the customer's key is missing or wrong"}
@@ -113,16 +113,16 @@
         no idempotency key: 400 {"outcome":"not_run","reason":"key_required","retry_after_ms":null,"detail":"the template is non-idempotent: send an Idempotency-Key"}
         too large: 400 {"outcome":"not_run","reason":"bad_request","retry_after_ms":null,"detail":"the body is over 2000 bytes"}
     "#]].assert_eq(&answers);
-    whole_answer(&bench).await;
+    assert_complete_answer(&deployment).await;
 }
 
 #[tokio::test]
-async fn a_slow_sender_is_refused() {
-    let bench = start(IMPATIENT).await;
-    let address = bench.node.addresses.callers;
+async fn slow_sender_is_refused() {
+    let deployment = start(SHORT_SEND_TIMEOUT).await;
+    let address = deployment.node.addresses.callers;
     let answer = tokio::task::spawn_blocking(move || {
         let mut connection = TcpStream::connect(address).unwrap();
-        connection.write_all(half_a_request().as_bytes()).unwrap();
+        connection.write_all(partial_request().as_bytes()).unwrap();
         let mut answer = String::new();
         connection.read_to_string(&mut answer).ok();
         answer
@@ -131,52 +131,52 @@
     .unwrap();
     assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
     assert!(answer.contains("not sent in time"), "{answer}");
-    whole_answer(&bench).await;
+    assert_complete_answer(&deployment).await;
 }
 
 #[tokio::test]
 async fn requests_beyond_the_limit_are_refused_at_once() {
-    let bench = start(LIMITS).await;
-    let address = bench.node.addresses.callers;
-    // Senders that never finish hold all places.
-    let held: Vec<TcpStream> = (0..4)
+    let deployment = start(LIMITS).await;
+    let address = deployment.node.addresses.callers;
+    // Requests whose bodies never arrive use up the request limit.
+    let partial: Vec<TcpStream> = (0..4)
         .map(|_| {
             let mut connection = TcpStream::connect(address).unwrap();
-            connection.write_all(half_a_request().as_bytes()).unwrap();
+            connection.write_all(partial_request().as_bytes()).unwrap();
             connection
         })
         .collect();
-    let refused = common::wait::until("the node is full", async || {
+    let refused = common::wait::until("the node has reached its request limit", async || {
         let response = caller::send(address, "summary", "a", None).await;
         (response.status() == 503).then_some(response)
     })
     .await;
     assert!(refused.headers().contains_key("retry-after"));
-    drop(held);
-    whole_answer(&bench).await;
+    drop(partial);
+    assert_complete_answer(&deployment).await;
 }
 
 #[tokio::test]
-async fn a_ticket_serves_only_its_customer_and_only_as_signed() {
-    let bench = start(LIMITS).await;
-    let address = bench.node.addresses.callers;
+async fn malformed_ticket_is_refused() {
+    let deployment = start(LIMITS).await;
+    let address = deployment.node.addresses.callers;
     let response = caller::resume(address, "not-a-ticket", 0).await;
     assert_eq!(response.status(), 400);
     let body: serde_json::Value = response.json().await.unwrap();
     assert_eq!(body["reason"], "bad_request");
-    drop(bench.platform);
+    drop(deployment.platform);
 }
 
-fn half_a_request() -> String {
+fn partial_request() -> String {
     format!(
         "POST /v1/requests HTTP/1.1\r\nhost: a\r\nauthorization: Bearer {CUSTOMER_KEY}\r\n\
          content-length: 100\r\nconnection: close\r\n\r\n{{"
     )
 }
 
-async fn whole_answer(bench: &Bench) {
-    let address = bench.node.addresses.callers;
-    let response = common::wait::until("the node serves", async || {
+async fn assert_complete_answer(deployment: &Deployment) {
+    let address = deployment.node.addresses.callers;
+    let response = common::wait::until("the node accepts a request", async || {
         let response = caller::send(address, "summary", "a", None).await;
         (response.status() == 200).then_some(response)
     })
--- a/filbertpaddle/tests/drain.rs
+++ b/filbertpaddle/tests/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts no request.
+//! A planned stop of a node lets its running requests finish.
 
 mod common;
 
@@ -15,13 +15,13 @@
 
 const STREAMS: usize = 20;
 
-struct Bench {
+struct Deployment {
     _platform: Platform,
     _engine: StandIn,
     node: Node,
 }
 
-async fn start() -> Bench {
+async fn start() -> Deployment {
     let mut platform = Platform::start();
     let engine = StandIn::start(&["engine", "--seed", "7", "--speed", "10"]);
     platform
@@ -38,7 +38,7 @@
         more: String::new(),
     });
     node.ready().await;
-    Bench {
+    Deployment {
         _platform: platform,
         _engine: engine,
         node,
@@ -46,9 +46,9 @@
 }
 
 #[tokio::test]
-async fn a_terminated_node_finishes_what_runs_and_refuses_the_rest() {
-    let mut bench = start().await;
-    let address = bench.node.addresses.callers;
+async fn terminated_node_finishes_running_requests_and_refuses_new_ones() {
+    let mut deployment = start().await;
+    let address = deployment.node.addresses.callers;
     let mut streams = Vec::new();
     while streams.len() < STREAMS {
         let text = format!("summary {}", streams.len());
@@ -61,8 +61,8 @@
     let readyz = format!("http://{address}/readyz");
     idle.get(&readyz).send().await.unwrap();
 
-    bench.node.process.terminate().unwrap();
-    common::wait::until("the balancer is told", async || {
+    deployment.node.process.terminate().unwrap();
+    common::wait::until("the node reports that it is not ready", async || {
         let response = idle.get(&readyz).send().await.ok()?;
         (response.status() == 503).then_some(())
     })
@@ -86,25 +86,25 @@
         let tokens = u32::try_from(tokens.len()).unwrap();
         assert_eq!(outcome, Some(Outcome::Complete { tokens }));
     }
-    let status = tokio::task::spawn_blocking(move || bench.node.process.wait().unwrap())
+    let status = tokio::task::spawn_blocking(move || deployment.node.process.wait().unwrap())
         .await
         .unwrap();
     assert!(status.success(), "{status:?}");
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_does_not_hold_up_the_stop() {
-    let mut bench = start().await;
-    let address = bench.node.addresses.callers;
-    let mut stream = common::wait::until("a stream", async || {
+async fn disconnected_caller_does_not_delay_the_stop() {
+    let mut deployment = start().await;
+    let address = deployment.node.addresses.callers;
+    let mut stream = common::wait::until("a stream is open", async || {
         let response = caller::send(address, "summary", "left", None).await;
         (response.status() == 200).then(|| Stream::open(response))
     })
     .await;
     assert!(matches!(stream.next().await, Some(Event::Start { .. })));
     drop(stream);
-    bench.node.process.terminate().unwrap();
-    let status = tokio::task::spawn_blocking(move || bench.node.process.wait().unwrap())
+    deployment.node.process.terminate().unwrap();
+    let status = tokio::task::spawn_blocking(move || deployment.node.process.wait().unwrap())
         .await
         .unwrap();
     assert!(status.success(), "{status:?}");
--- a/filbertpaddle/tests/quarantine.rs
+++ b/filbertpaddle/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! A request that crashes its targets, sent again through several nodes.
+//! A request that crashes its targets is quarantined although it is resent through several
+//! nodes, while other requests complete.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -22,11 +23,11 @@
 use serde_json::Value;
 
 const MODEL: &str = "teacher";
-const POISON: &str = "poison";
+const CRASH_TEXT: &str = "poison";
 const ENGINES: usize = 6;
-const RESENDS: usize = 12;
-const RESEND_PAUSE: Duration = Duration::from_millis(100);
-const INNOCENT: usize = 24;
+const REFUSALS: usize = 12;
+const RESEND_INTERVAL: Duration = Duration::from_millis(100);
+const REGULAR_REQUESTS: usize = 24;
 
 struct Deployment {
     platform: Platform,
@@ -37,7 +38,11 @@
 async fn start() -> Deployment {
     let mut platform = Platform::start();
     let engines: Vec<_> = (0..ENGINES)
-        .map(|_| StandIn::start(&["engine", "--seed", "7", "--speed", "20", "--poison", POISON]))
+        .map(|_| {
+            StandIn::start(&[
+                "engine", "--seed", "7", "--speed", "20", "--poison", CRASH_TEXT,
+            ])
+        })
         .collect();
     platform.seed(&[("summary", fleet::template(MODEL))]).await;
     for (number, engine) in engines.iter().enumerate() {
@@ -64,17 +69,17 @@
         engines,
         nodes,
     };
-    deployment.settled().await;
+    deployment.wait_until_ready().await;
     deployment
 }
 
 impl Deployment {
     /// Waits until all nodes are members and a request is completed.
-    async fn settled(&self) {
-        wait::until("the record settles", async || {
+    async fn wait_until_ready(&self) {
+        wait::until("all nodes are in the roster", async || {
             let record = record::read(&self.platform.client, "north").await.ok()?;
-            let whole = record.roster.sharers.len() == self.nodes.len();
-            (whole && record.roster.next.is_none()).then_some(())
+            let all_joined = record.roster.sharers.len() == self.nodes.len();
+            (all_joined && record.roster.next.is_none()).then_some(())
         })
         .await;
         for node in 0..self.nodes.len() {
@@ -96,10 +101,10 @@
         outcome.unwrap()
     }
 
-    /// Sends an innocent request until it is answered, as its caller would.
-    async fn answered(&self, number: usize) {
+    /// Resends a regular request until it completes, as its caller would.
+    async fn send_until_complete(&self, number: usize) {
         let text = format!("pupil {number}");
-        wait::until("an innocent request is answered", async || {
+        wait::until("a regular request is completed", async || {
             let outcome = self.send(number % self.nodes.len(), &text).await;
             let quarantined = matches!(
                 outcome,
@@ -123,12 +128,12 @@
         crashes
     }
 
-    /// Sends the poison through one node after the other until it is refused
-    /// for good, and some times more.
-    async fn resend(&self, nodes: &[usize]) {
+    /// Sends the crashing request through the nodes in turn until it was refused as
+    /// quarantined [`REFUSALS`] times.
+    async fn send_until_quarantined(&self, nodes: &[usize]) {
         let mut refused = 0;
         for turn in 0.. {
-            let outcome = self.send(nodes[turn % nodes.len()], POISON).await;
+            let outcome = self.send(nodes[turn % nodes.len()], CRASH_TEXT).await;
             match outcome {
                 Outcome::NotRun {
                     reason: Reason::Quarantined,
@@ -137,11 +142,11 @@
                     assert_eq!(retry_after_ms, None);
                     refused += 1;
                 }
-                Outcome::Complete { .. } => panic!("the poison was answered"),
-                _ => assert!(turn < 10 * RESENDS, "not refused: {outcome:?}"),
+                Outcome::Complete { .. } => panic!("the crashing request was completed"),
+                _ => assert!(turn < 10 * REFUSALS, "not refused: {outcome:?}"),
             }
-            tokio::time::sleep(RESEND_PAUSE).await;
-            if refused == RESENDS {
+            tokio::time::sleep(RESEND_INTERVAL).await;
+            if refused == REFUSALS {
                 return;
             }
         }
@@ -149,20 +154,21 @@
 }
 
 #[tokio::test]
-async fn poison_stops_and_the_innocent_beside_it_are_answered() {
+async fn crashing_request_is_quarantined_and_concurrent_requests_complete() {
     let deployment = start().await;
-    let innocent = join_all((0..INNOCENT).map(|number| deployment.answered(number)));
-    let poison = deployment.resend(&[0, 1, 2]);
-    tokio::join!(innocent, poison);
+    let regular =
+        join_all((0..REGULAR_REQUESTS).map(|number| deployment.send_until_complete(number)));
+    let crashing = deployment.send_until_quarantined(&[0, 1, 2]);
+    tokio::join!(regular, crashing);
     let crashes = deployment.crashes().await;
     assert!(crashes >= 1);
     assert!(crashes <= CRASH_LIMIT as u64, "{crashes} targets crashed");
 }
 
 #[tokio::test]
-async fn a_successor_still_refuses_the_poison() {
+async fn new_pool_owner_still_refuses_the_crashing_request() {
     let mut deployment = start().await;
-    deployment.resend(&[0, 1, 2]).await;
+    deployment.send_until_quarantined(&[0, 1, 2]).await;
     let roster = record::read(&deployment.platform.client, "north")
         .await
         .unwrap()
@@ -171,14 +177,14 @@
     let named = |node: &Node| node.name == owner.member.name;
     let index = deployment.nodes.iter().position(named).unwrap();
     deployment.nodes.remove(index).process.close();
-    wait::until("another owner", async || {
+    wait::until("the pool has a new owner", async || {
         let record = record::read(&deployment.platform.client, "north")
             .await
             .ok()?;
         (record.roster.owner(MODEL)?.epoch > owner.epoch).then_some(())
     })
     .await;
-    deployment.resend(&[0, 1]).await;
+    deployment.send_until_quarantined(&[0, 1]).await;
     let crashes = deployment.crashes().await;
     assert!(crashes <= CRASH_LIMIT as u64, "{crashes} targets crashed");
 }
--- a/filbertpaddle/tests/thin_path.rs
+++ b/filbertpaddle/tests/streaming.rs
@@ -1,4 +1,5 @@
-//! A request goes from a caller over a node to a target and comes back whole.
+//! A node streams a generation to its caller; the stream can be cancelled or resumed through
+//! another node.
 
 mod common;
 
@@ -44,7 +45,7 @@
 }
 
 async fn stream(node: &Node, text: &str) -> Stream {
-    let response = common::wait::until("a target is known", async || {
+    let response = common::wait::until("a stream is open", async || {
         let response = caller::send(node.addresses.callers, "summary", text, None).await;
         (response.status() == 200).then_some(response)
     })
@@ -53,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn each_node_streams_a_whole_answer() {
+async fn each_node_streams_a_complete_answer() {
     let (_platform, _engine, nodes) = start().await;
     for node in &nodes {
         let (tokens, outcome) = stream(node, "a short summary").await.rest().await;
@@ -64,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn a_cancelled_stream_is_not_called_complete() {
+async fn cancelled_stream_ends_as_incomplete() {
     let (_platform, _engine, nodes) = start_at_speed("1").await;
     let mut stream = stream(&nodes[0], "a long summary").await;
     let Some(Event::Start { ticket, .. }) = stream.next().await else {
@@ -86,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_outlives_the_node_it_started_on() {
+async fn stream_is_resumed_on_another_node_after_its_node_is_killed() {
     let (_platform, _engine, mut nodes) = start().await;
     let (whole, _) = stream(&nodes[1], "the same prompt").await.rest().await;
     let mut first = stream(&nodes[0], "the same prompt").await;
--- a/filbertpaddle/tests/ticket.rs
+++ b/filbertpaddle/tests/ticket.rs
@@ -1,4 +1,4 @@
-//! Resume tickets are valid for a time and only as signed.
+//! Resume tickets are accepted only unchanged, with the right secret and before they expire.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -22,13 +22,13 @@
 }
 
 #[test]
-fn a_signed_ticket_is_read_back() {
+fn signed_ticket_is_verified_and_parsed() {
     let text = ticket::sign(&ticket(), SECRET);
     assert_eq!(ticket::verify(&text, SECRET, NOW), Ok(ticket()));
 }
 
 #[test]
-fn any_changed_character_is_refused() {
+fn ticket_with_any_changed_character_is_refused() {
     let text = ticket::sign(&ticket(), SECRET);
     for position in 0..text.len() {
         let mut changed: Vec<u8> = text.bytes().collect();
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn another_secret_is_refused() {
+fn ticket_signed_with_another_secret_is_refused() {
     let text = ticket::sign(&ticket(), b"another-secret");
     assert_eq!(ticket::verify(&text, SECRET, NOW), Err(Error::Invalid));
 }
 
 #[test]
-fn an_expired_ticket_is_refused() {
+fn expired_ticket_is_refused() {
     let text = ticket::sign(&ticket(), SECRET);
     let later = NOW + ticket::LIFETIME_MS + Millis(1);
     assert_eq!(ticket::verify(&text, SECRET, later), Err(Error::Expired));
