--- a/filbertpaddle/src/caller_api.rs
+++ b/filbertpaddle/src/caller_api.rs
@@ -29,8 +29,8 @@
 use crate::reply;
 use crate::request::Body;
 use crate::request::FirstResponse;
-use crate::request::InvalidRequest;
 use crate::request::Request;
+use crate::request::ValidationError;
 use crate::request_context::RequestContext;
 use crate::run;
 use crate::ticket;
@@ -130,7 +130,7 @@
     authorization: Option<String>,
     key: Option<&str>,
     body: S,
-) -> Result<Request, InvalidRequest>
+) -> Result<Request, ValidationError>
 where
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
@@ -148,7 +148,7 @@
 fn authenticated_customer(
     context: &RequestContext,
     authorization: Option<String>,
-) -> Result<Name, InvalidRequest> {
+) -> Result<Name, ValidationError> {
     let current = context.templates.current();
     let key = authorization
         .as_deref()
@@ -156,13 +156,13 @@
     current
         .zip(key)
         .and_then(|(current, key)| current.authenticate(key))
-        .ok_or_else(|| InvalidRequest {
+        .ok_or_else(|| ValidationError {
             reason: Reason::Unauthorized,
             detail: "the customer's key is missing or wrong".to_owned(),
         })
 }
 
-async fn read_body<T, S, B>(context: &RequestContext, body: S) -> Result<T, InvalidRequest>
+async fn read_body<T, S, B>(context: &RequestContext, body: S) -> Result<T, ValidationError>
 where
     T: DeserializeOwned,
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
@@ -175,7 +175,7 @@
     serde_json::from_slice(&bytes).map_err(|error| bad_request(error.to_string()))
 }
 
-async fn collect_body<S, B>(mut body: S, limit_bytes: u64) -> Result<Vec<u8>, InvalidRequest>
+async fn collect_body<S, B>(mut body: S, limit_bytes: u64) -> Result<Vec<u8>, ValidationError>
 where
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
@@ -213,7 +213,7 @@
         };
         return reply::ended(&outcome, None);
     };
-    let checked: Result<(Ticket, u32), InvalidRequest> = async {
+    let checked: Result<(Ticket, u32), ValidationError> = async {
         let customer = authenticated_customer(&context, authorization)?;
         let resume: Resume = read_body(&context, body).await?;
         Ok((
@@ -270,7 +270,7 @@
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
 {
-    let checked: Result<Ticket, InvalidRequest> = async {
+    let checked: Result<Ticket, ValidationError> = async {
         let customer = authenticated_customer(&context, authorization)?;
         let cancel: Cancel = read_body(&context, body).await?;
         check_ticket(&context, &customer, &cancel.ticket)
@@ -295,7 +295,7 @@
     context: &RequestContext,
     customer: &str,
     text: &str,
-) -> Result<Ticket, InvalidRequest> {
+) -> Result<Ticket, ValidationError> {
     let secret = context.ticket_secret.as_bytes();
     let ticket = ticket::verify(text, secret, clock::unix_now())
         .map_err(|error| bad_request(error.to_string()))?;
@@ -305,8 +305,8 @@
     Ok(ticket)
 }
 
-fn bad_request(detail: String) -> InvalidRequest {
-    InvalidRequest {
+fn bad_request(detail: String) -> ValidationError {
+    ValidationError {
         reason: Reason::BadRequest,
         detail,
     }
--- a/filbertpaddle/src/reply.rs
+++ b/filbertpaddle/src/reply.rs
@@ -18,8 +18,8 @@
 
 use crate::claims::RequestResult;
 use crate::request::FirstResponse;
-use crate::request::InvalidRequest;
 use crate::request::ResponseItem;
+use crate::request::ValidationError;
 
 const MS_PER_SECOND: u64 = 1_000;
 /// Header of responses that replay the stored result of an idempotency key.
@@ -97,7 +97,7 @@
 }
 
 /// Returns the response to a request that was refused before it was run.
-pub(crate) fn invalid(invalid: &InvalidRequest) -> Response {
+pub(crate) fn invalid(invalid: &ValidationError) -> Response {
     let outcome = Outcome::NotRun {
         reason: invalid.reason,
         retry_after_ms: None,
--- a/filbertpaddle/src/request.rs
+++ b/filbertpaddle/src/request.rs
@@ -58,7 +58,7 @@
 /// Error of a request that was refused before it was run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{detail}")]
-pub struct InvalidRequest {
+pub struct ValidationError {
     /// Machine-readable reason.
     pub reason: Reason,
     /// Human-readable description of the error.
@@ -104,14 +104,14 @@
     ///
     /// # Errors
     ///
-    /// Returns [`InvalidRequest`] for the first check that fails.
+    /// Returns [`ValidationError`] for the first check that fails.
     pub fn check(
         customer: Name,
         template: Arc<Template>,
         body: Body,
         key: Option<&str>,
         now_unix_ms: Millis,
-    ) -> Result<Self, InvalidRequest> {
+    ) -> Result<Self, ValidationError> {
         check_parameters(&template, &body.parameters)?;
         let key = check_key(&template, key)?;
         let wait_ms = check_deadline(&template, body.deadline_unix_ms, now_unix_ms)?;
@@ -171,7 +171,7 @@
 fn check_parameters(
     template: &Template,
     parameters: &IndexMap<Name, String>,
-) -> Result<(), InvalidRequest> {
+) -> Result<(), ValidationError> {
     let missing = template
         .parameters
         .iter()
@@ -188,12 +188,12 @@
     Ok(())
 }
 
-fn check_key(template: &Template, key: Option<&str>) -> Result<Option<Name>, InvalidRequest> {
+fn check_key(template: &Template, key: Option<&str>) -> Result<Option<Name>, ValidationError> {
     let Some(key) = key else {
         if template.idempotent {
             return Ok(None);
         }
-        return Err(InvalidRequest {
+        return Err(ValidationError {
             reason: Reason::KeyRequired,
             detail: "the template is non-idempotent: send an Idempotency-Key".to_owned(),
         });
@@ -210,12 +210,12 @@
     template: &Template,
     deadline_unix_ms: Option<Millis>,
     now_unix_ms: Millis,
-) -> Result<Millis, InvalidRequest> {
+) -> Result<Millis, ValidationError> {
     let Some(deadline) = deadline_unix_ms else {
         return Ok(template.max_wait_ms);
     };
     if deadline <= now_unix_ms {
-        return Err(InvalidRequest {
+        return Err(ValidationError {
             reason: Reason::Deadline,
             detail: "the deadline has passed".to_owned(),
         });
@@ -232,8 +232,8 @@
     prompt
 }
 
-fn bad_request(detail: String) -> InvalidRequest {
-    InvalidRequest {
+fn bad_request(detail: String) -> ValidationError {
+    ValidationError {
         reason: Reason::BadRequest,
         detail,
     }
