--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -259,7 +259,7 @@
             Message::Refuse(_, number) => self.on_refuse(now, number),
             Message::Release(_, used, end) => {
                 if let Some(owner) = &mut self.owner {
-                    let key = slot_message::used_key(from, used);
+                    let key = slot_message::key_of_used(from, used);
                     owner.on_release(now, &key, end.ending.is_over());
                     self.placer.ended(now, &key, end);
                 }
@@ -286,7 +286,7 @@
         if slot.key.source == Source::Share {
             self.placer.ended(now, &slot.key, end);
         }
-        let used = slot_message::used(&slot.key);
+        let used = slot_message::to_used(&slot.key);
         self.tell_owner(Message::Release(self.name.clone(), used, end));
     }
 
@@ -326,7 +326,7 @@
             upto: holding.upto,
             session: holding.session,
             works: works
-                .map(|held| slot_message::work(&held.target, &held.key))
+                .map(|held| slot_message::to_work(&held.target, &held.key))
                 .collect(),
         };
         let message = Message::Holding(self.name.clone(), message);
@@ -347,7 +347,7 @@
             .position(|waiter| waiter.asked == Some(granted.ask) && !waiter.reply.is_closed());
         let own = self.member.id().clone();
         let grant = slot::Grant {
-            key: slot_message::used_key(&own, used),
+            key: slot_message::key_of_used(&own, used),
             target: granted.target,
             ask: granted.ask,
             stamp: granted.stamp,
--- a/filbertpaddle/src/pool_owner.rs
+++ b/filbertpaddle/src/pool_owner.rs
@@ -60,7 +60,7 @@
         };
         for granted in self.placer.grants(now, owner) {
             let to = granted.key.holder.clone();
-            let message = Message::Grant(self.name.clone(), slot_message::grant_message(granted));
+            let message = Message::Grant(self.name.clone(), slot_message::to_grant(granted));
             self.out.push(Out { to, message });
         }
         for denied in self.placer.denied(now) {
@@ -69,7 +69,7 @@
             let message = Message::Deny(
                 self.name.clone(),
                 number,
-                slot_message::denial(&denied.refusal),
+                slot_message::to_denial(&denied.refusal),
             );
             let to = denied.ask.holder;
             self.out.push(Out { to, message });
@@ -125,7 +125,7 @@
             let message = Message::Deny(
                 self.name.clone(),
                 ask.number,
-                slot_message::denial(&refusal),
+                slot_message::to_denial(&refusal),
             );
             self.out.push(Out { to, message });
         }
--- a/filbertpaddle/src/remote.rs
+++ b/filbertpaddle/src/remote.rs
@@ -193,7 +193,7 @@
             Ok(Ok(Err(refusal))) => {
                 pending.open = false;
                 self.state().asked.swap_remove(&number);
-                return Err(slot_message::refusal(refusal));
+                return Err(slot_message::to_refusal(refusal));
             }
             Ok(Err(_)) | Err(_) => return Err(unanswered()),
         };
--- a/filbertpaddle/src/slot_message.rs
+++ b/filbertpaddle/src/slot_message.rs
@@ -12,21 +12,21 @@
 
 use crate::pools::Refusal;
 
-pub(crate) fn refusal(denial: Denial) -> Refusal {
+pub(crate) fn to_refusal(denial: Denial) -> Refusal {
     Refusal {
         reason: denial.reason,
         retry_after_ms: denial.retry_after_ms,
     }
 }
 
-pub(crate) fn denial(refusal: &scheduler::Refusal) -> Denial {
+pub(crate) fn to_denial(refusal: &scheduler::Refusal) -> Denial {
     Denial {
         reason: refusal.reason,
         retry_after_ms: refusal.retry_after_ms,
     }
 }
 
-pub(crate) fn work(target: &Name, key: &Key) -> grant::Work {
+pub(crate) fn to_work(target: &Name, key: &Key) -> grant::Work {
     grant::Work {
         target: target.clone(),
         epoch: key.epoch,
@@ -35,7 +35,7 @@
     }
 }
 
-pub(crate) fn used(key: &Key) -> grant::Used {
+pub(crate) fn to_used(key: &Key) -> grant::Used {
     grant::Used {
         epoch: key.epoch,
         source: key.source,
@@ -43,7 +43,7 @@
     }
 }
 
-pub(crate) fn used_key(holder: &Id, used: grant::Used) -> Key {
+pub(crate) fn key_of_used(holder: &Id, used: grant::Used) -> Key {
     Key {
         holder: holder.clone(),
         epoch: used.epoch,
@@ -52,7 +52,7 @@
     }
 }
 
-pub(crate) fn key(holder: &Id, work: &grant::Work) -> Key {
+pub(crate) fn key_of_work(holder: &Id, work: &grant::Work) -> Key {
     Key {
         holder: holder.clone(),
         epoch: work.epoch,
@@ -64,7 +64,7 @@
 pub(crate) fn to_holding(holder: &Id, holding: &grant::Holding) -> owner::Holding {
     let works = holding.works.iter();
     let held = |work: &grant::Work| Held {
-        key: key(holder, work),
+        key: key_of_work(holder, work),
         target: work.target.clone(),
     };
     owner::Holding {
@@ -76,7 +76,7 @@
     }
 }
 
-pub(crate) fn grant_message(granted: slot::Grant) -> grant::Grant {
+pub(crate) fn to_grant(granted: slot::Grant) -> grant::Grant {
     grant::Grant {
         epoch: granted.key.epoch,
         number: granted.key.number,
