--- a/filbertpaddle/src/caller_api.rs
+++ b/filbertpaddle/src/caller_api.rs
@@ -232,11 +232,11 @@
         relay_resumed(&context, ticket, from, Output::new(first_response)).await;
         drop(permit);
     });
-    let not_answered = FirstResponse::Ended(Outcome::Incomplete {
+    let task_lost = FirstResponse::Ended(Outcome::Incomplete {
         tokens: from,
         reason: Reason::TargetFailed,
     });
-    reply::streamed(receiver.await.unwrap_or(not_answered))
+    reply::streamed(receiver.await.unwrap_or(task_lost))
 }
 
 // The slot stays with the node that acquired it, or with the pool's owner if that node is
--- a/filbertpaddle/src/claim_actor.rs
+++ b/filbertpaddle/src/claim_actor.rs
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub(crate) struct CoreEvent(pub(crate) Event);
 
-/// Returns the number of attempts that are not settled.
+/// Requests the number of attempts that are not settled.
 #[derive(Debug)]
 pub(crate) struct CountUnsettled;
 
@@ -148,52 +148,53 @@
 }
 
 impl Actor {
-    fn on(&mut self, event: Event, own: &WeakAddress<Self>) {
+    fn on(&mut self, event: Event, address: &WeakAddress<Self>) {
         for action in self.core.on(self.clock.now(), event) {
-            self.perform(action, own);
+            self.perform(action, address);
         }
-        self.arm_timer(own);
+        self.arm_timer(address);
     }
 
-    fn perform(&mut self, action: Action, own: &WeakAddress<Self>) {
+    fn perform(&mut self, action: Action, address: &WeakAddress<Self>) {
         match action {
-            Action::Transact(changes) => self.transact(changes, own),
-            Action::Read(ids) => self.read(ids, own),
-            Action::SendQuery { holder, query } => self.query_status(&holder, query, own),
+            Action::Transact(changes) => self.transact(changes, address),
+            Action::Read(ids) => self.read(ids, address),
+            Action::SendQuery { holder, query } => self.query_status(&holder, query, address),
             Action::SendReply { to, reply } => {
                 let message = Message::Claim(claim::Message::Tell(reply));
                 self.peers.send(&to, message);
             }
-            Action::Decide { attempt, decision } => self.decide(&attempt, decision, own),
+            Action::Decide { attempt, decision } => self.decide(&attempt, decision, address),
         }
     }
 
-    fn transact(&mut self, changes: Vec<Change>, own: &WeakAddress<Self>) {
+    fn transact(&mut self, changes: Vec<Change>, address: &WeakAddress<Self>) {
         let (sequence, committer) = self.route.submit(self.clock.now(), changes);
         let timeout = self.route.timeout;
-        let own = own.clone();
+        let address = address.clone();
         tokio::spawn(async move {
             tokio::time::sleep(timeout).await;
-            own.send(CommitTimeout {
-                committer,
-                sequence,
-            })
-            .await
-            .ok();
+            address
+                .send(CommitTimeout {
+                    committer,
+                    sequence,
+                })
+                .await
+                .ok();
         });
     }
 
-    fn read(&self, ids: Vec<Id>, own: &WeakAddress<Self>) {
+    fn read(&self, ids: Vec<Id>, address: &WeakAddress<Self>) {
         self.metrics.count("claim.read_back");
         let platform = self.platform.clone();
-        let own = own.clone();
+        let address = address.clone();
         tokio::spawn(async move {
             let rows = claim_store::read(&platform, &ids).await;
-            own.send(CoreEvent(Event::ReadBack(rows))).await.ok();
+            address.send(CoreEvent(Event::ReadBack(rows))).await.ok();
         });
     }
 
-    fn query_status(&self, holder: &Name, query: StatusQuery, own: &WeakAddress<Self>) {
+    fn query_status(&self, holder: &Name, query: StatusQuery, address: &WeakAddress<Self>) {
         self.metrics.count("claim.asked");
         // A missing reply says nothing about the request, so it counts as a holder that
         // is gone.
@@ -207,16 +208,17 @@
             true => STATUS_QUERY_TIMEOUT,
             false => Duration::ZERO,
         };
-        let own = own.clone();
+        let address = address.clone();
         tokio::spawn(async move {
             tokio::time::sleep(wait).await;
-            own.send(CoreEvent(Event::ReplyReceived(no_reply)))
+            address
+                .send(CoreEvent(Event::ReplyReceived(no_reply)))
                 .await
                 .ok();
         });
     }
 
-    fn decide(&mut self, attempt: &Name, decision: Decision, own: &WeakAddress<Self>) {
+    fn decide(&mut self, attempt: &Name, decision: Decision, address: &WeakAddress<Self>) {
         let held = decision == Decision::Held;
         let is_delivered = self
             .pending
@@ -225,11 +227,11 @@
         if held && !is_delivered {
             // The task that would send the request has ended.
             let attempt = attempt.clone();
-            self.on(Event::Release { attempt }, own);
+            self.on(Event::Release { attempt }, address);
         }
     }
 
-    fn arm_timer(&mut self, own: &WeakAddress<Self>) {
+    fn arm_timer(&mut self, address: &WeakAddress<Self>) {
         let Some(next_ms) = self.core.next_tick() else {
             return;
         };
@@ -238,10 +240,10 @@
         }
         self.timer_ms = Some(next_ms);
         let wait = clock::duration(next_ms.since(self.clock.now()));
-        let own = own.clone();
+        let address = address.clone();
         tokio::spawn(async move {
             tokio::time::sleep(wait).await;
-            own.send(Timer).await.ok();
+            address.send(Timer).await.ok();
         });
     }
 }
--- a/filbertpaddle/src/claim_commit.rs
+++ b/filbertpaddle/src/claim_commit.rs
@@ -84,10 +84,10 @@
 }
 
 impl Actor {
-    fn on(&mut self, event: Event, own: &WeakAddress<Self>) {
+    fn on(&mut self, event: Event, address: &WeakAddress<Self>) {
         for action in self.core.on(self.clock.now(), event) {
             match action {
-                Action::Transact(changes) => self.transact(changes, own),
+                Action::Transact(changes) => self.transact(changes, address),
                 Action::Reply {
                     to,
                     sequence,
@@ -95,20 +95,20 @@
                 } => self.reply(&to, sequence, result),
             }
         }
-        self.arm_timer(own);
+        self.arm_timer(address);
     }
 
-    fn transact(&self, changes: Vec<Change>, own: &WeakAddress<Self>) {
+    fn transact(&self, changes: Vec<Change>, address: &WeakAddress<Self>) {
         self.metrics.count("claim.transaction");
         let platform = self.platform.clone();
-        let own = own.clone();
+        let address = address.clone();
         let log = self.log.clone();
         tokio::spawn(async move {
             let result = claim_store::transact(&platform, &changes).await;
             // Logs contain neither idempotency keys nor answers.
             let label = claim_store::result_label(&result);
             debug!(log, "Claim transaction done."; "rows" => changes.len(), "answer" => label);
-            own.send(TransactionDone(result)).await.ok();
+            address.send(TransactionDone(result)).await.ok();
         });
     }
 
@@ -126,7 +126,7 @@
         tokio::spawn(self.claims.send(settled).detach());
     }
 
-    fn arm_timer(&mut self, own: &WeakAddress<Self>) {
+    fn arm_timer(&mut self, address: &WeakAddress<Self>) {
         let Some(next_ms) = self.core.next_tick() else {
             return;
         };
@@ -135,10 +135,10 @@
         }
         self.timer_ms = Some(next_ms);
         let wait = clock::duration(next_ms.since(self.clock.now()));
-        let own = own.clone();
+        let address = address.clone();
         tokio::spawn(async move {
             tokio::time::sleep(wait).await;
-            own.send(Timer).await.ok();
+            address.send(Timer).await.ok();
         });
     }
 }
--- a/filbertpaddle/src/claim_route.rs
+++ b/filbertpaddle/src/claim_route.rs
@@ -91,7 +91,7 @@
         is_in_flight
     }
 
-    /// Excludes a committer that did not answer for [`COMMITTER_AVOID_MS`].
+    /// Excludes a committer, which did not answer in time, for [`COMMITTER_AVOID_MS`].
     pub(crate) fn avoid(&mut self, now: Millis, committer: Name) {
         self.avoided.insert(committer, now + COMMITTER_AVOID_MS);
     }
--- a/filbertpaddle/tests/bad_input.rs
+++ b/filbertpaddle/tests/bad_input.rs
@@ -113,7 +113,7 @@
         no idempotency key: 400 {"outcome":"not_run","reason":"key_required","retry_after_ms":null,"detail":"the template is non-idempotent: send an Idempotency-Key"}
         too large: 400 {"outcome":"not_run","reason":"bad_request","retry_after_ms":null,"detail":"the body is over 2000 bytes"}
     "#]].assert_eq(&answers);
-    assert_complete_answer(&deployment).await;
+    check_complete_answer(&deployment).await;
 }
 
 #[tokio::test]
@@ -131,7 +131,7 @@
     .unwrap();
     assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
     assert!(answer.contains("not sent in time"), "{answer}");
-    assert_complete_answer(&deployment).await;
+    check_complete_answer(&deployment).await;
 }
 
 #[tokio::test]
@@ -153,7 +153,7 @@
     .await;
     assert!(refused.headers().contains_key("retry-after"));
     drop(partial);
-    assert_complete_answer(&deployment).await;
+    check_complete_answer(&deployment).await;
 }
 
 #[tokio::test]
@@ -174,7 +174,7 @@
     )
 }
 
-async fn assert_complete_answer(deployment: &Deployment) {
+async fn check_complete_answer(deployment: &Deployment) {
     let address = deployment.node.addresses.callers;
     let response = common::wait::until("the node accepts a request", async || {
         let response = caller::send(address, "summary", "a", None).await;
