--- a/filbertpaddle/src/caller.rs
+++ b/filbertpaddle/src/caller_api.rs
@@ -1,4 +1,4 @@
-//! HTTP for callers.
+//! HTTP interface for callers: requests, resumes and cancellations.
 
 use std::sync::Arc;
 
@@ -22,24 +22,24 @@
 use warp::reply::Response;
 
 use crate::clock;
-use crate::front::Front;
 use crate::generation::Attempt;
-use crate::generation::Step;
+use crate::generation::AttemptResult;
 use crate::output::Output;
 use crate::pools::Grant;
 use crate::reply;
 use crate::request::Body;
-use crate::request::Invalid;
+use crate::request::FirstResponse;
 use crate::request::Request;
-use crate::request::Started;
+use crate::request::ValidationError;
+use crate::request_context::RequestContext;
 use crate::run;
 use crate::ticket;
 use crate::ticket::Ticket;
 
-/// When a caller that met a full node may come back.
-const FULL_RETRY_AFTER_MS: Millis = Millis(1_000);
+/// Time until a caller may retry after the node refused it because of its request limit.
+const OVERLOAD_RETRY_AFTER_MS: Millis = Millis(1_000);
 
-/// Body of a request to go on with a stream.
+/// Body of a request to resume a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Resume {
@@ -56,25 +56,25 @@
 
 /// Returns the routes for callers.
 pub fn routes(
-    front: Arc<Front>,
+    context: Arc<RequestContext>,
 ) -> impl Filter<Extract = (Response,), Error = Rejection> + Clone + Send + Sync + 'static {
-    let with_front = warp::any().map(move || Arc::clone(&front));
+    let with_context = warp::any().map(move || Arc::clone(&context));
     let requests = warp::path!("v1" / "requests")
         .and(warp::post())
-        .and(with_front.clone())
+        .and(with_context.clone())
         .and(warp::header::optional("authorization"))
         .and(warp::header::optional("idempotency-key"))
         .and(warp::body::stream())
         .then(request);
     let resume = warp::path!("v1" / "resume")
         .and(warp::post())
-        .and(with_front.clone())
+        .and(with_context.clone())
         .and(warp::header::optional("authorization"))
         .and(warp::body::stream())
         .then(resume);
     let cancel = warp::path!("v1" / "cancel")
         .and(warp::post())
-        .and(with_front)
+        .and(with_context)
         .and(warp::header::optional("authorization"))
         .and(warp::body::stream())
         .then(cancel);
@@ -82,7 +82,7 @@
 }
 
 async fn request<S, B>(
-    front: Arc<Front>,
+    context: Arc<RequestContext>,
     authorization: Option<String>,
     key: Option<String>,
     body: S,
@@ -91,53 +91,53 @@
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
 {
-    let permit = match enter(&front) {
+    let permit = match try_admit(&context) {
         Ok(permit) => permit,
         Err(outcome) => return reply::ended(&outcome, None),
     };
-    let request = match checked(&front, authorization, key.as_deref(), body).await {
+    let request = match check_request(&context, authorization, key.as_deref(), body).await {
         Ok(request) => request,
         Err(invalid) => {
-            front.metrics.count("request.invalid");
+            context.metrics.count("request.invalid");
             return reply::invalid(&invalid);
         }
     };
     let delivery = request.template.delivery;
-    let started = run::start(front, request, permit).await;
+    let started = run::start(context, request, permit).await;
     match delivery {
         template::DeliveryMode::Stream => reply::streamed(started),
         template::DeliveryMode::Whole => reply::whole(started).await,
     }
 }
 
-fn enter(front: &Front) -> Result<OwnedSemaphorePermit, Outcome> {
+fn try_admit(context: &RequestContext) -> Result<OwnedSemaphorePermit, Outcome> {
     let refuse = |reason, retry_after_ms| Outcome::NotRun {
         reason,
         retry_after_ms: Some(retry_after_ms),
     };
-    if front.gate.is_draining() {
-        // Another node takes the request now; the balancer knows which.
+    if context.admission.is_draining() {
+        // An immediate retry reaches another node, since the balancer passes over this one.
         return Err(refuse(Reason::Draining, Millis::ZERO));
     }
-    front
-        .gate
-        .enter()
-        .ok_or_else(|| refuse(Reason::Overloaded, FULL_RETRY_AFTER_MS))
+    context
+        .admission
+        .try_admit()
+        .ok_or_else(|| refuse(Reason::Overloaded, OVERLOAD_RETRY_AFTER_MS))
 }
 
-async fn checked<S, B>(
-    front: &Front,
+async fn check_request<S, B>(
+    context: &RequestContext,
     authorization: Option<String>,
     key: Option<&str>,
     body: S,
-) -> Result<Request, Invalid>
+) -> Result<Request, ValidationError>
 where
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
 {
-    let customer = customer(front, authorization)?;
-    let body: Body = read(front, body).await?;
-    let template = front
+    let customer = authenticated_customer(context, authorization)?;
+    let body: Body = read_body(context, body).await?;
+    let template = context
         .templates
         .current()
         .and_then(|current| current.template(&customer, &body.template))
@@ -145,34 +145,37 @@
     Request::check(customer, template, body, key, clock::unix_now())
 }
 
-fn customer(front: &Front, authorization: Option<String>) -> Result<Name, Invalid> {
-    let current = front.templates.current();
+fn authenticated_customer(
+    context: &RequestContext,
+    authorization: Option<String>,
+) -> Result<Name, ValidationError> {
+    let current = context.templates.current();
     let key = authorization
         .as_deref()
         .and_then(|value| value.strip_prefix("Bearer "));
     current
         .zip(key)
         .and_then(|(current, key)| current.authenticate(key))
-        .ok_or_else(|| Invalid {
+        .ok_or_else(|| ValidationError {
             reason: Reason::Unauthorized,
             detail: "the customer's key is missing or wrong".to_owned(),
         })
 }
 
-async fn read<T, S, B>(front: &Front, body: S) -> Result<T, Invalid>
+async fn read_body<T, S, B>(context: &RequestContext, body: S) -> Result<T, ValidationError>
 where
     T: DeserializeOwned,
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
 {
-    let timeout = clock::duration(front.limits.send_timeout_ms);
-    let bytes = tokio::time::timeout(timeout, collect(body, front.limits.body_bytes))
+    let timeout = clock::duration(context.limits.send_timeout_ms);
+    let bytes = tokio::time::timeout(timeout, collect_body(body, context.limits.body_bytes))
         .await
         .map_err(|_| bad_request("the request was not sent in time".to_owned()))??;
     serde_json::from_slice(&bytes).map_err(|error| bad_request(error.to_string()))
 }
 
-async fn collect<S, B>(mut body: S, limit_bytes: u64) -> Result<Vec<u8>, Invalid>
+async fn collect_body<S, B>(mut body: S, limit_bytes: u64) -> Result<Vec<u8>, ValidationError>
 where
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
@@ -193,60 +196,64 @@
     Ok(bytes)
 }
 
-async fn resume<S, B>(front: Arc<Front>, authorization: Option<String>, body: S) -> Response
+async fn resume<S, B>(
+    context: Arc<RequestContext>,
+    authorization: Option<String>,
+    body: S,
+) -> Response
 where
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
 {
-    // A resume is running work, so a draining node still takes it.
-    let Some(permit) = front.gate.enter() else {
+    // A resume belongs to a running generation, so a draining node still accepts it.
+    let Some(permit) = context.admission.try_admit() else {
         let outcome = Outcome::NotRun {
             reason: Reason::Overloaded,
-            retry_after_ms: Some(FULL_RETRY_AFTER_MS),
+            retry_after_ms: Some(OVERLOAD_RETRY_AFTER_MS),
         };
         return reply::ended(&outcome, None);
     };
-    let asked: Result<(Ticket, u32), Invalid> = async {
-        let customer = customer(&front, authorization)?;
-        let resume: Resume = read(&front, body).await?;
+    let checked: Result<(Ticket, u32), ValidationError> = async {
+        let customer = authenticated_customer(&context, authorization)?;
+        let resume: Resume = read_body(&context, body).await?;
         Ok((
-            check_ticket(&front, &customer, &resume.ticket)?,
+            check_ticket(&context, &customer, &resume.ticket)?,
             resume.from,
         ))
     }
     .await;
-    let (ticket, from) = match asked {
-        Ok(asked) => asked,
+    let (ticket, from) = match checked {
+        Ok(checked) => checked,
         Err(invalid) => return reply::invalid(&invalid),
     };
-    front.metrics.count("request.resumed");
-    let (answer, started) = oneshot::channel();
+    context.metrics.count("request.resumed");
+    let (first_response, receiver) = oneshot::channel();
     tokio::spawn(async move {
-        go_on(&front, ticket, from, Output::new(answer)).await;
+        relay_resumed(&context, ticket, from, Output::new(first_response)).await;
         drop(permit);
     });
-    let gone = Started::Ended(Outcome::Incomplete {
+    let task_lost = FirstResponse::Ended(Outcome::Incomplete {
         tokens: from,
         reason: Reason::TargetFailed,
     });
-    reply::streamed(started.await.unwrap_or(gone))
+    reply::streamed(receiver.await.unwrap_or(task_lost))
 }
 
-// The slot stays with the node that asked for it, or with the pool's owner
-// if that node has gone; a resume only reads.
-async fn go_on(front: &Front, ticket: Ticket, from: u32, mut output: Output) {
-    let mut delivery = Delivery::resumed(ticket.promise(), ticket.attempt.clone(), from);
+// The slot stays with the node that acquired it, or with the pool's owner if that node is
+// gone, since a resume only reads.
+async fn relay_resumed(context: &RequestContext, ticket: Ticket, from: u32, mut output: Output) {
+    let mut delivery = Delivery::resumed(ticket.restart_policy(), ticket.attempt.clone(), from);
     let grant = Grant::to_resume(ticket.target.clone(), ticket.address);
     let attempt = Attempt {
-        front,
+        context,
         ticket,
         grant: &grant,
         delivery: &mut delivery,
         output: &mut output,
     };
-    let outcome = match attempt.resume().await.step {
-        Step::Ended(outcome) => outcome,
-        Step::Restart | Step::Unsent => Outcome::Incomplete {
+    let outcome = match attempt.resume().await.result {
+        AttemptResult::Ended(outcome) => outcome,
+        AttemptResult::Restart | AttemptResult::Unsent => Outcome::Incomplete {
             tokens: from,
             reason: Reason::TargetFailed,
         },
@@ -254,30 +261,42 @@
     output.close(outcome);
 }
 
-async fn cancel<S, B>(front: Arc<Front>, authorization: Option<String>, body: S) -> Response
+async fn cancel<S, B>(
+    context: Arc<RequestContext>,
+    authorization: Option<String>,
+    body: S,
+) -> Response
 where
     S: Stream<Item = Result<B, warp::Error>> + Send + Unpin,
     B: Buf,
 {
-    let asked: Result<Ticket, Invalid> = async {
-        let customer = customer(&front, authorization)?;
-        let cancel: Cancel = read(&front, body).await?;
-        check_ticket(&front, &customer, &cancel.ticket)
+    let checked: Result<Ticket, ValidationError> = async {
+        let customer = authenticated_customer(&context, authorization)?;
+        let cancel: Cancel = read_body(&context, body).await?;
+        check_ticket(&context, &customer, &cancel.ticket)
     }
     .await;
-    let ticket = match asked {
+    let ticket = match checked {
         Ok(ticket) => ticket,
         Err(invalid) => return reply::invalid(&invalid),
     };
-    front.metrics.count("request.cancelled");
-    match front.targets.cancel(ticket.address, &ticket.attempt).await {
+    context.metrics.count("request.cancelled");
+    match context
+        .targets
+        .cancel(ticket.address, &ticket.attempt)
+        .await
+    {
         Ok(()) => StatusCode::NO_CONTENT.into_response(),
         Err(_) => StatusCode::BAD_GATEWAY.into_response(),
     }
 }
 
-fn check_ticket(front: &Front, customer: &str, text: &str) -> Result<Ticket, Invalid> {
-    let secret = front.ticket_secret.as_bytes();
+fn check_ticket(
+    context: &RequestContext,
+    customer: &str,
+    text: &str,
+) -> Result<Ticket, ValidationError> {
+    let secret = context.ticket_secret.as_bytes();
     let ticket = ticket::verify(text, secret, clock::unix_now())
         .map_err(|error| bad_request(error.to_string()))?;
     if ticket.customer != customer {
@@ -286,8 +305,8 @@
     Ok(ticket)
 }
 
-fn bad_request(detail: String) -> Invalid {
-    Invalid {
+fn bad_request(detail: String) -> ValidationError {
+    ValidationError {
         reason: Reason::BadRequest,
         detail,
     }
--- a/filbertpaddle/src/claim_commit.rs
+++ b/filbertpaddle/src/claim_commit.rs
@@ -1,4 +1,4 @@
-//! The actor that commits the changes of many nodes together.
+//! Actor that commits the claims of several nodes in shared transactions.
 
 use std::sync::Arc;
 
@@ -21,24 +21,24 @@
 use xtra::WeakAddress;
 
 use crate::claim_actor;
-use crate::claim_actor::Settled;
+use crate::claim_actor::TransactionSettled;
 use crate::claim_store;
 use crate::clock;
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 
-/// Hands in the changes of one node.
+/// Submits the changes of one node.
 #[derive(Debug)]
 pub(crate) struct Submit(pub(crate) ChangeSet);
 
 #[derive(Debug)]
-struct Answered(TransactionResult);
+struct TransactionDone(TransactionResult);
 
 #[derive(Debug)]
 struct Timer;
 
-/// What the actor works with.
+/// State of the actor.
 #[derive(Debug)]
 pub(crate) struct Actor {
     pub(crate) core: Committer,
@@ -66,14 +66,11 @@
     }
 }
 
-impl Handler<Answered> for Actor {
+impl Handler<TransactionDone> for Actor {
     type Return = ();
 
-    async fn handle(&mut self, answered: Answered, context: &mut Context<Self>) {
-        self.on(
-            Event::TransactionDone(answered.0),
-            &context.mailbox().address(),
-        );
+    async fn handle(&mut self, done: TransactionDone, context: &mut Context<Self>) {
+        self.on(Event::TransactionDone(done.0), &context.mailbox().address());
     }
 }
 
@@ -87,10 +84,10 @@
 }
 
 impl Actor {
-    fn on(&mut self, event: Event, own: &WeakAddress<Self>) {
+    fn on(&mut self, event: Event, address: &WeakAddress<Self>) {
         for action in self.core.on(self.clock.now(), event) {
             match action {
-                Action::Transact(changes) => self.transact(changes, own),
+                Action::Transact(changes) => self.transact(changes, address),
                 Action::Reply {
                     to,
                     sequence,
@@ -98,20 +95,20 @@
                 } => self.reply(&to, sequence, result),
             }
         }
-        self.arm(own);
+        self.arm_timer(address);
     }
 
-    fn transact(&self, changes: Vec<Change>, own: &WeakAddress<Self>) {
+    fn transact(&self, changes: Vec<Change>, address: &WeakAddress<Self>) {
         self.metrics.count("claim.transaction");
         let platform = self.platform.clone();
-        let own = own.clone();
+        let address = address.clone();
         let log = self.log.clone();
         tokio::spawn(async move {
-            let answer = claim_store::transact(&platform, &changes).await;
-            // Neither keys nor answers go into logs.
-            let answered = claim_store::kind(&answer);
-            debug!(log, "Claims written."; "rows" => changes.len(), "answer" => answered);
-            own.send(Answered(answer)).await.ok();
+            let result = claim_store::transact(&platform, &changes).await;
+            // Logs contain neither idempotency keys nor answers.
+            let label = claim_store::result_label(&result);
+            debug!(log, "Claim transaction done."; "rows" => changes.len(), "answer" => label);
+            address.send(TransactionDone(result)).await.ok();
         });
     }
 
@@ -121,15 +118,15 @@
             self.peers.send(to, Message::Claim(message));
             return;
         }
-        let settled = Settled {
-            by: to.clone(),
+        let settled = TransactionSettled {
+            committer: to.clone(),
             sequence,
             answer,
         };
         tokio::spawn(self.claims.send(settled).detach());
     }
 
-    fn arm(&mut self, own: &WeakAddress<Self>) {
+    fn arm_timer(&mut self, address: &WeakAddress<Self>) {
         let Some(next_ms) = self.core.next_tick() else {
             return;
         };
@@ -138,10 +135,10 @@
         }
         self.timer_ms = Some(next_ms);
         let wait = clock::duration(next_ms.since(self.clock.now()));
-        let own = own.clone();
+        let address = address.clone();
         tokio::spawn(async move {
             tokio::time::sleep(wait).await;
-            own.send(Timer).await.ok();
+            address.send(Timer).await.ok();
         });
     }
 }
--- a/filbertpaddle/src/claim_store.rs
+++ b/filbertpaddle/src/claim_store.rs
@@ -1,4 +1,4 @@
-//! Claims in the platform's table and object store.
+//! Storage of claims in the platform's table and of large answers in its object store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,12 +21,12 @@
 use filbertpaddle_platform::protocol::Transaction;
 use filbertpaddle_platform::protocol::Write;
 
-/// Most tries to store a large answer.
-const MAX_PUTS: u32 = 10;
-/// Pause between two of them.
-const PUT_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of attempts to store a large answer.
+const MAX_PUT_ATTEMPTS: u32 = 10;
+/// Delay between two attempts to store a large answer.
+const PUT_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Makes the changes in one transaction.
+/// Performs the changes in one transaction.
 pub(crate) async fn transact(platform: &Client, changes: &[Change]) -> TransactionResult {
     let Some(transaction) = transaction(changes) else {
         return TransactionResult::NotDone;
@@ -34,25 +34,28 @@
     match platform.transact(&transaction).await {
         Ok(TransactAnswer::Committed { revision }) => TransactionResult::Committed { revision },
         Ok(TransactAnswer::Conflict { rows, keys }) => TransactionResult::Conflict {
-            rows: conflicts(changes, &keys, &rows),
+            rows: conflicting_rows(changes, &keys, &rows),
         },
         Err(Error::NotDone(_)) => TransactionResult::NotDone,
         Err(Error::Unknown(_)) => TransactionResult::Unknown,
     }
 }
 
-/// Reads claims; absent ones are left out and `None` means that nothing could be read.
+/// Reads claims, with absent ones left out; `None` if the read failed.
 pub(crate) async fn read(platform: &Client, ids: &[Id]) -> Option<BTreeMap<Id, Row>> {
     let keys = ids.iter().map(Id::row_key).collect();
     let rows = platform.read(keys).await.ok()?.rows;
     let found = ids.iter().filter_map(|id| {
         let row = find(&rows, &id.row_key())?;
-        Some((id.clone(), parse(row, &Name::default())))
+        Some((id.clone(), parse_row(row, &Name::default())))
     });
     Some(found.collect())
 }
 
-/// Stores the text of an answer; its place is lost if the object store stays out.
+/// Stores the text of an answer: a short one inline, a large one in the object store.
+///
+/// Returns [`claim::StoredAnswer::Absent`] if the object store fails [`MAX_PUT_ATTEMPTS`]
+/// times.
 pub(crate) async fn store_answer(
     platform: &Client,
     attempt: &Name,
@@ -62,17 +65,17 @@
         return claim::StoredAnswer::Inline(text.into());
     }
     let key = format!("answer/{attempt}");
-    for _ in 0..MAX_PUTS {
+    for _ in 0..MAX_PUT_ATTEMPTS {
         let put = platform.put_object(&key, text.as_bytes().to_vec()).await;
         if put.is_ok() {
             return claim::StoredAnswer::Object(key.into());
         }
-        tokio::time::sleep(PUT_INTERVAL).await;
+        tokio::time::sleep(PUT_RETRY_INTERVAL).await;
     }
     claim::StoredAnswer::Absent
 }
 
-/// Reads the text of a stored answer; `None` if it cannot be had.
+/// Reads the text of a stored answer; `None` if it is absent or cannot be read.
 pub(crate) async fn load_answer(platform: &Client, answer: claim::StoredAnswer) -> Option<String> {
     match answer {
         claim::StoredAnswer::Absent => None,
@@ -102,7 +105,7 @@
     })
 }
 
-fn conflicts(
+fn conflicting_rows(
     changes: &[Change],
     keys: &[String],
     rows: &[protocol::Row],
@@ -113,7 +116,7 @@
         .map(|change| {
             let digest = change.record.as_ref().map(|record| &record.digest);
             let row = find(rows, &change.id.row_key());
-            let row = row.map(|row| parse(row, digest.unwrap_or(&Name::default())));
+            let row = row.map(|row| parse_row(row, digest.unwrap_or(&Name::default())));
             (change.id.clone(), row)
         })
         .collect()
@@ -123,8 +126,8 @@
     rows.iter().find(|row| row.key == key)
 }
 
-/// Parses a row; one that cannot be read stands for a claim whose holder is unknown.
-fn parse(row: &protocol::Row, digest: &Name) -> Row {
+/// Parses a row; one that cannot be parsed counts as a claim with an unknown holder.
+fn parse_row(row: &protocol::Row, digest: &Name) -> Row {
     let record = serde_json::from_str(&row.value).unwrap_or_else(|_| Record {
         attempt: Name::default(),
         digest: digest.clone(),
@@ -139,9 +142,9 @@
     }
 }
 
-/// Names an answer for logs.
-pub(crate) fn kind(answer: &TransactionResult) -> &'static str {
-    match answer {
+/// Returns the name of a result in logs.
+pub(crate) fn result_label(result: &TransactionResult) -> &'static str {
+    match result {
         TransactionResult::Committed { .. } => "committed",
         TransactionResult::Conflict { .. } => "conflict",
         TransactionResult::NotDone => "not done",
--- a/filbertpaddle/src/claims.rs
+++ b/filbertpaddle/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on idempotency keys.
+//! Claims on idempotency keys, so that a non-idempotent request runs at most once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,10 +26,10 @@
 use xtra::Mailbox;
 
 use crate::claim_actor::Actor;
-use crate::claim_actor::Ask as ActorAsk;
-use crate::claim_actor::Input;
-use crate::claim_actor::Settled;
-use crate::claim_actor::Unsettled;
+use crate::claim_actor::CoreEvent;
+use crate::claim_actor::CountUnsettled;
+use crate::claim_actor::SubmitClaim;
+use crate::claim_actor::TransactionSettled;
 use crate::claim_commit;
 use crate::claim_commit::Submit;
 use crate::claim_route::Route;
@@ -43,20 +43,20 @@
 use crate::peers::Peers;
 use crate::settings;
 
-/// Longest wait for a claim to be decided.
-const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
-/// Hexadecimal digits of the body's digest that are kept: 128 bits.
-const DIGEST_CHARS: usize = 32;
-/// Wait for a committer beyond what the platform may take.
-const ROUTE_SLACK: Duration = Duration::from_millis(500);
-/// Longest wait for endings to reach the table when a node stops.
+/// Timeout for the decision on a claim, after which the claim is abandoned.
+const DECISION_TIMEOUT: Duration = Duration::from_secs(3);
+/// Number of hexadecimal digits of the body's digest to store, which is 128 bits.
+const DIGEST_HEX_CHARS: usize = 32;
+/// Margin of the timeout for a committer over the platform's timeout and the commit pace.
+const COMMIT_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
+/// Maximum time for final results to reach the table when a node stops.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between two looks at what is not settled.
-const CLOSE_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which a stopping node checks for unsettled attempts.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Asks for the right to run a non-idempotent request.
+/// Request for the right to run a non-idempotent request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct ClaimRequest {
     /// Customer that sent the request.
     pub customer: Name,
     /// The caller's idempotency key.
@@ -67,49 +67,49 @@
     pub attempt: Name,
 }
 
-/// A right to run a request, once.
+/// The right to run a request once.
 ///
-/// A claim that is dropped is taken as one whose request may have run.
+/// If a claim is dropped, its request is recorded as one that may have run.
 #[derive(Debug)]
 pub struct Claim {
     attempt: Name,
     actor: Option<Address<Actor>>,
 }
 
-/// Answer to an ask.
+/// Response to a claim request.
 #[derive(Debug)]
-pub enum Answer {
-    /// The request may be run, once.
+pub enum ClaimResult {
+    /// The request may be run once.
     Granted(Claim),
-    /// The request was run before with this result.
-    Replay(Finished),
-    /// The request is not run now.
+    /// The request ran before and had this result.
+    Replay(RequestResult),
+    /// The request must not be run.
     Refused(Outcome),
 }
 
-/// Result of a request that was run.
+/// Result of a request that has run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Finished {
-    /// What became of the request.
+pub struct RequestResult {
+    /// Outcome of the request.
     pub outcome: Outcome,
     /// Text of the answer.
     pub text: String,
 }
 
-/// What claims need of their node.
+/// Dependencies of the claims.
 #[derive(Debug)]
 pub struct Parts {
     /// This node.
     pub own: Peer,
-    /// How claims are committed.
+    /// Settings of the group commit of claims.
     pub settings: settings::Claims,
-    /// Table and object store.
+    /// Client of the platform's table and object store.
     pub platform: Client,
-    /// Longest wait for an answer of the platform.
+    /// Timeout of calls to the platform.
     pub platform_timeout: Duration,
-    /// Links to other nodes.
+    /// Connections to other nodes.
     pub peers: Peers,
-    /// What other nodes ask and answer.
+    /// Messages about claims from other nodes.
     pub inbox: mpsc::Receiver<Incoming<Message>>,
     /// The node's clock.
     pub clock: Clock,
@@ -119,7 +119,7 @@
     pub log: Logger,
 }
 
-/// Gives out claims.
+/// Handle of the tasks that claim keys for this node.
 #[derive(Clone, Debug)]
 pub struct Claims {
     actor: Address<Actor>,
@@ -129,11 +129,12 @@
 }
 
 impl Claims {
-    /// Starts to give out claims and to answer other nodes about them.
+    /// Starts the tasks that claim keys, commit claims, remove expired ones and answer
+    /// other nodes.
     pub fn start(parts: Parts) -> Self {
         let (actor, mailbox) = Mailbox::unbounded();
         let committer = committer(&parts, actor.clone());
-        tokio::spawn(xtra::run(mailbox, claims(&parts, committer.clone())));
+        tokio::spawn(xtra::run(mailbox, claim_actor(&parts, committer.clone())));
         tokio::spawn(receive(parts.inbox, actor.clone(), committer));
         let sweep = Sweep {
             platform: parts.platform.clone(),
@@ -151,21 +152,21 @@
     }
 
     /// Claims a key before anything is sent to a target.
-    pub async fn claim(&self, ask: Ask) -> Answer {
-        match self.decide(&ask).await {
+    pub async fn claim(&self, claim_request: ClaimRequest) -> ClaimResult {
+        match self.decide(&claim_request).await {
             Some(Decision::Held) => {
                 self.metrics.count("claim.held");
-                Answer::Granted(Claim {
-                    attempt: ask.attempt,
+                ClaimResult::Granted(Claim {
+                    attempt: claim_request.attempt,
                     actor: Some(self.actor.clone()),
                 })
             }
-            Some(Decision::Replay(ending)) => self.replay(ending).await,
+            Some(Decision::Replay(final_result)) => self.replay(final_result).await,
             Some(Decision::Refused(outcome)) => {
                 self.metrics.count("claim.refused");
-                Answer::Refused(outcome)
+                ClaimResult::Refused(outcome)
             }
-            Some(Decision::Unavailable) | None => Answer::Refused(Outcome::NotRun {
+            Some(Decision::Unavailable) | None => ClaimResult::Refused(Outcome::NotRun {
                 reason: Reason::PlatformUnavailable,
                 retry_after_ms: None,
             }),
@@ -174,80 +175,94 @@
 
     /// Stores the result of a request that was, or may have been, run.
     ///
-    /// The result is told to resends at once and reaches the table soon after.
-    pub async fn finish(&self, mut claim: Claim, finished: Finished) {
+    /// Resent requests receive the result as soon as its text is stored; the table
+    /// receives it with the next commit.
+    pub async fn finish(&self, mut claim: Claim, result: RequestResult) {
         let Some(actor) = claim.actor.take() else {
             return;
         };
         let attempt = claim.attempt.clone();
         let platform = self.platform.clone();
         tokio::spawn(async move {
-            let answer = claim_store::store_answer(&platform, &attempt, &finished.text).await;
+            let answer = claim_store::store_answer(&platform, &attempt, &result.text).await;
             let final_result = FinalResult {
-                outcome: finished.outcome,
+                outcome: result.outcome,
                 answer,
             };
             let finish = Event::Finish {
                 attempt,
                 final_result,
             };
-            actor.send(Input(finish)).await.ok();
+            actor.send(CoreEvent(finish)).await.ok();
         });
     }
 
-    /// Gives a claim back of which nothing was sent to any target.
+    /// Releases a claim whose request was not sent to any target.
     pub async fn release(&self, mut claim: Claim) {
         if let Some(actor) = claim.actor.take() {
             let attempt = claim.attempt.clone();
-            actor.send(Input(Event::Release { attempt })).await.ok();
+            actor.send(CoreEvent(Event::Release { attempt })).await.ok();
         }
     }
 
-    /// Waits until all endings are in the table, or long enough.
+    /// Waits until all final results are in the table, or until a timeout.
     pub async fn close(&self) {
         let start = Instant::now();
-        while let Ok(unsettled @ 1..) = self.actor.send(Unsettled).await {
+        while let Ok(unsettled @ 1..) = self.actor.send(CountUnsettled).await {
             if start.elapsed() > CLOSE_TIMEOUT {
-                warn!(self.log, "Claims left unsettled."; "count" => unsettled);
+                warn!(
+                    self.log,
+                    "Claims unsettled {:?} after the stop; their results may not be in the table.",
+                    CLOSE_TIMEOUT;
+                    "count" => unsettled,
+                );
                 return;
             }
-            tokio::time::sleep(CLOSE_INTERVAL).await;
+            tokio::time::sleep(CLOSE_POLL_INTERVAL).await;
         }
     }
 
-    async fn decide(&self, ask: &Ask) -> Option<Decision> {
-        let (verdict, mut decided) = oneshot::channel();
+    async fn decide(&self, claim_request: &ClaimRequest) -> Option<Decision> {
+        let (sender, mut receiver) = oneshot::channel();
         let request = core::Request {
             id: Id {
-                customer: ask.customer.clone(),
-                key: ask.key.clone(),
+                customer: claim_request.customer.clone(),
+                key: claim_request.key.clone(),
             },
-            attempt: ask.attempt.clone(),
-            digest: ask.digest.chars().take(DIGEST_CHARS).collect(),
+            attempt: claim_request.attempt.clone(),
+            digest: claim_request
+                .digest
+                .chars()
+                .take(DIGEST_HEX_CHARS)
+                .collect(),
             now_unix_ms: clock::unix_now(),
         };
-        self.actor.send(ActorAsk { request, verdict }).await.ok()?;
-        match tokio::time::timeout(CLAIM_TIMEOUT, &mut decided).await {
+        self.actor
+            .send(SubmitClaim { request, sender })
+            .await
+            .ok()?;
+        match tokio::time::timeout(DECISION_TIMEOUT, &mut receiver).await {
             Ok(verdict) => verdict.ok(),
             Err(_) => {
-                // The claim may be held by now, so the last word is waited for.
-                let attempt = ask.attempt.clone();
-                let give_up = Event::Abandon { attempt };
-                self.actor.send(Input(give_up)).await.ok()?;
-                decided.await.ok()
+                // The claim may have been granted in the meantime, so this waits for the
+                // decision that follows the abandonment.
+                let attempt = claim_request.attempt.clone();
+                let abandon = Event::Abandon { attempt };
+                self.actor.send(CoreEvent(abandon)).await.ok()?;
+                receiver.await.ok()
             }
         }
     }
 
-    async fn replay(&self, ending: FinalResult) -> Answer {
+    async fn replay(&self, final_result: FinalResult) -> ClaimResult {
         self.metrics.count("claim.replayed");
-        match claim_store::load_answer(&self.platform, ending.answer).await {
-            Some(text) => Answer::Replay(Finished {
-                outcome: ending.outcome,
+        match claim_store::load_answer(&self.platform, final_result.answer).await {
+            Some(text) => ClaimResult::Replay(RequestResult {
+                outcome: final_result.outcome,
                 text,
             }),
-            // It did run, but its answer cannot be had now.
-            None => Answer::Refused(Outcome::MayHaveRun {
+            // The request did run, but its stored answer cannot be read now.
+            None => ClaimResult::Refused(Outcome::MayHaveRun {
                 reason: Reason::PlatformUnavailable,
             }),
         }
@@ -269,12 +284,12 @@
             },
         };
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
-            runtime.spawn(actor.send(Input(finish)).detach());
+            runtime.spawn(actor.send(CoreEvent(finish)).detach());
         }
     }
 }
 
-fn claims(parts: &Parts, committer: Address<claim_commit::Actor>) -> Actor {
+fn claim_actor(parts: &Parts, committer: Address<claim_commit::Actor>) -> Actor {
     let own = &parts.own;
     let mut settings = core::Settings::default();
     settings.group_commit.pace_ms = parts.settings.pace_ms;
@@ -283,7 +298,7 @@
         parts.settings.nodes_per_committer.get(),
         committer,
         parts.peers.clone(),
-        parts.platform_timeout + clock::duration(parts.settings.pace_ms) + ROUTE_SLACK,
+        parts.platform_timeout + clock::duration(parts.settings.pace_ms) + COMMIT_TIMEOUT_MARGIN,
     );
     Actor {
         core: core::Claims::new(own.name.clone(), own.incarnation, settings),
@@ -292,7 +307,7 @@
         peers: parts.peers.clone(),
         clock: parts.clock,
         metrics: Arc::clone(&parts.metrics),
-        waiting: IndexMap::new(),
+        pending: IndexMap::new(),
         timer_ms: None,
     }
 }
@@ -323,31 +338,31 @@
 ) {
     while let Some(Incoming { peer, message }) = inbox.recv().await {
         let from = peer.name;
-        let taken = match message {
+        let sent = match message {
             Message::Ask(query) => {
                 actor
-                    .send(Input(Event::QueryReceived { from, query }))
+                    .send(CoreEvent(Event::QueryReceived { from, query }))
                     .await
             }
-            Message::Tell(reply) => actor.send(Input(Event::ReplyReceived(reply))).await,
+            Message::Tell(reply) => actor.send(CoreEvent(Event::ReplyReceived(reply))).await,
             Message::Commit { sequence, changes } => {
-                let unit = ChangeSet {
+                let change_set = ChangeSet {
                     from,
                     sequence,
                     changes,
                 };
-                committer.send(Submit(unit)).await
+                committer.send(Submit(change_set)).await
             }
             Message::Committed { sequence, answer } => {
-                let settled = Settled {
-                    by: from,
+                let settled = TransactionSettled {
+                    committer: from,
                     sequence,
                     answer,
                 };
                 actor.send(settled).await
             }
         };
-        if taken.is_err() {
+        if sent.is_err() {
             return;
         }
     }
--- a/filbertpaddle/src/lib.rs
+++ b/filbertpaddle/src/lib.rs
@@ -1,10 +1,10 @@
 //! A node: the process between callers and back ends.
 
+pub mod admission;
 pub mod arguments;
-pub mod attempt;
-mod body;
+pub mod attempt_id;
 mod bounds;
-pub mod caller;
+pub mod caller_api;
 mod claim_actor;
 mod claim_commit;
 mod claim_route;
@@ -18,8 +18,6 @@
 mod coordinator_inputs;
 mod coordinator_tasks;
 pub mod edit;
-pub mod front;
-pub mod gate;
 mod generation;
 pub mod health;
 pub mod heart;
@@ -43,11 +41,13 @@
 mod remote;
 mod reply;
 pub mod request;
+pub mod request_context;
 pub mod retries;
 pub mod run;
 pub mod service;
 pub mod settings;
 pub mod show;
+mod slot_message;
 pub mod slots;
 pub mod status;
 pub mod table;
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -20,16 +20,15 @@
 use tokio::task::JoinHandle;
 use warp::Filter;
 
-use crate::attempt;
-use crate::caller;
+use crate::admission::Admission;
+use crate::attempt_id;
+use crate::caller_api;
 use crate::claims;
 use crate::claims::Claims;
 use crate::clock;
 use crate::clock::Clock;
 use crate::config;
 use crate::config::Config;
-use crate::front::Front;
-use crate::gate::Gate;
 use crate::health;
 use crate::inbox;
 use crate::inbox::Inboxes;
@@ -44,6 +43,7 @@
 use crate::pools::Pools;
 use crate::refusals::Keeper;
 use crate::remote::Remote;
+use crate::request_context::RequestContext;
 use crate::retries::Retries;
 use crate::service::Service;
 use crate::settings::Settings;
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 pub struct Node {
     addresses: Addresses,
-    front: Arc<Front>,
+    front: Arc<RequestContext>,
     servers: Vec<Server>,
     log: Logger,
 }
@@ -135,7 +135,7 @@
         let servers = vec![
             serve(
                 callers,
-                caller::routes(Arc::clone(&front)).or(health::routes(Arc::clone(&front))),
+                caller_api::routes(Arc::clone(&front)).or(health::routes(Arc::clone(&front))),
             ),
             serve(
                 operators,
@@ -160,7 +160,7 @@
     /// Refuses new work, lets all that runs end, and stops.
     pub async fn close(self) {
         info!(self.log, "Node drains.");
-        self.front.gate.drain().await;
+        self.front.admission.drain().await;
         self.front.slots.leave().await;
         self.front.claims.close().await;
         for server in self.servers {
@@ -204,14 +204,14 @@
     templates: Templates,
     claims: Claims,
     slots: Slots,
-) -> eyre::Result<Front> {
+) -> eyre::Result<RequestContext> {
     let own = &common.own;
     let log = &common.log;
-    let attempt_prefix = attempt::prefix(&NodeId {
+    let attempt_prefix = attempt_id::prefix(&NodeId {
         name: own.name.clone(),
         incarnation: own.incarnation,
     });
-    Ok(Front {
+    Ok(RequestContext {
         templates,
         claims,
         slots,
@@ -221,7 +221,7 @@
         limits: settings.limits.clone(),
         metrics: Arc::clone(&common.metrics),
         log: log::part(log, "request"),
-        gate: Gate::open(attempt_prefix, settings.limits.requests),
+        admission: Admission::new(attempt_prefix, settings.limits.requests),
     })
 }
 
--- a/filbertpaddle/src/request.rs
+++ b/filbertpaddle/src/request.rs
@@ -1,4 +1,4 @@
-//! One caller's request and what the caller gets of it.
+//! A caller's request, checked against its template, and the items of its response.
 
 use std::sync::Arc;
 
@@ -19,12 +19,12 @@
 
 use crate::claims;
 
-/// Bytes of text that one token stands for, as an estimate.
+/// Estimated number of bytes per token.
 const TOKEN_BYTES: usize = 4;
-/// Longest idempotency key.
+/// Maximum length of an idempotency key.
 const MAX_KEY_BYTES: usize = 128;
 
-/// Body of a request as the caller sends it.
+/// Body of a request as sent by the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Body {
@@ -33,46 +33,46 @@
     /// Value of each parameter of the template.
     #[serde(default)]
     pub parameters: IndexMap<Name, String>,
-    /// Unix time after which an answer is of no use.
+    /// Unix time after which the caller no longer needs an answer.
     #[serde(default)]
     pub deadline_unix_ms: Option<Millis>,
 }
 
-/// A request whose parts have been checked against its template.
+/// A request that was checked against its template.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// Customer that sent the request.
     pub customer: Name,
     /// Name of the template.
     pub template_name: Name,
-    /// The template in force when the request came.
+    /// The template at the time of the request.
     pub template: Arc<Template>,
     /// Prompt or call body for the target.
     pub prompt: String,
     /// The caller's idempotency key, if any.
     pub key: Option<Name>,
-    /// How long the request may wait for a target.
+    /// Maximum wait for a slot on a target.
     pub wait_ms: Millis,
 }
 
-/// Why a request was refused before anything was done for it.
+/// Error of a request that was refused before it was run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{detail}")]
-pub struct Invalid {
+pub struct ValidationError {
     /// Machine-readable reason.
     pub reason: Reason,
-    /// What is wrong, for people.
+    /// Human-readable description of the error.
     pub detail: String,
 }
 
-/// What a caller gets, in order.
+/// Item of a response, in the order sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Item {
-    /// The first token follows; the ticket resumes this generation.
+pub enum ResponseItem {
+    /// The generation has started.
     Start {
-        /// Id of the generation.
+        /// Identifier of the generation.
         generation: Name,
-        /// Signed ticket.
+        /// Signed ticket that resumes the generation.
         ticket: String,
     },
     /// One token.
@@ -82,21 +82,21 @@
         /// Text of the token.
         text: String,
     },
-    /// What was kept for a whole answer is void; another generation starts.
+    /// A new generation replaces the tokens so far; only for answers delivered whole.
     Restart,
-    /// Nothing follows.
+    /// The request has ended with this outcome.
     End(Outcome),
 }
 
-/// First answer to a request.
+/// First response to a request.
 #[derive(Debug)]
-pub enum Started {
-    /// The request was not run, or may have run and its result is unknown.
+pub enum FirstResponse {
+    /// The request ended without a result: it was not run, or it is not known whether it ran.
     Ended(Outcome),
-    /// The request was run before.
-    Replay(claims::Finished),
-    /// The request runs.
-    Running(mpsc::UnboundedReceiver<Item>),
+    /// The request ran before and had this result.
+    Replay(claims::RequestResult),
+    /// The request is running.
+    Running(mpsc::UnboundedReceiver<ResponseItem>),
 }
 
 impl Request {
@@ -104,14 +104,14 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Invalid`] with the first thing that is wrong.
+    /// Returns [`ValidationError`] for the first check that fails.
     pub fn check(
         customer: Name,
         template: Arc<Template>,
         body: Body,
         key: Option<&str>,
         now_unix_ms: Millis,
-    ) -> Result<Self, Invalid> {
+    ) -> Result<Self, ValidationError> {
         check_parameters(&template, &body.parameters)?;
         let key = check_key(&template, key)?;
         let wait_ms = check_deadline(&template, body.deadline_unix_ms, now_unix_ms)?;
@@ -126,18 +126,18 @@
         })
     }
 
-    /// Returns customer and template as one name.
+    /// Returns the key of the template, which contains its customer.
     pub fn template_key(&self) -> Name {
         format!("{}/{}", self.customer, self.template_name).into()
     }
 
-    /// Returns an estimate of the prompt's length.
+    /// Returns the estimated length of the prompt.
     pub fn prompt_tokens(&self) -> u32 {
         u32::try_from(self.prompt.len() / TOKEN_BYTES + 1).unwrap_or(u32::MAX)
     }
 
-    /// Returns the digest of the whole blocks that the template fixes, as the
-    /// targets' caches know it; zero if there are none.
+    /// Returns the digest that targets' prefix caches use for the complete blocks of the
+    /// template's prompt; zero if there are none.
     pub fn prefix(&self) -> u64 {
         digests(&self.template.prompt)
             .last()
@@ -145,18 +145,18 @@
             .unwrap_or_default()
     }
 
-    /// Returns an estimate of the length of the blocks that the template fixes.
+    /// Returns the estimated length of the complete blocks of the template's prompt.
     pub fn prefix_tokens(&self) -> u32 {
         let bytes = digests(&self.template.prompt).len() * BLOCK_BYTES;
         u32::try_from(bytes / TOKEN_BYTES).unwrap_or(u32::MAX)
     }
 
-    /// Returns a digest that is the same for a resend.
+    /// Returns a digest that is equal for a resent request.
     pub fn digest(&self) -> u64 {
         xxh3_64(self.identity().as_bytes())
     }
 
-    /// Returns a collision-resistant digest that is the same for a resend.
+    /// Returns a collision-resistant digest that is equal for a resent request.
     pub fn digest_hex(&self) -> Name {
         HEXLOWER
             .encode(&Sha256::digest(self.identity().as_bytes()))
@@ -171,7 +171,7 @@
 fn check_parameters(
     template: &Template,
     parameters: &IndexMap<Name, String>,
-) -> Result<(), Invalid> {
+) -> Result<(), ValidationError> {
     let missing = template
         .parameters
         .iter()
@@ -188,12 +188,12 @@
     Ok(())
 }
 
-fn check_key(template: &Template, key: Option<&str>) -> Result<Option<Name>, Invalid> {
+fn check_key(template: &Template, key: Option<&str>) -> Result<Option<Name>, ValidationError> {
     let Some(key) = key else {
         if template.idempotent {
             return Ok(None);
         }
-        return Err(Invalid {
+        return Err(ValidationError {
             reason: Reason::KeyRequired,
             detail: "the template is non-idempotent: send an Idempotency-Key".to_owned(),
         });
@@ -210,12 +210,12 @@
     template: &Template,
     deadline_unix_ms: Option<Millis>,
     now_unix_ms: Millis,
-) -> Result<Millis, Invalid> {
+) -> Result<Millis, ValidationError> {
     let Some(deadline) = deadline_unix_ms else {
         return Ok(template.max_wait_ms);
     };
     if deadline <= now_unix_ms {
-        return Err(Invalid {
+        return Err(ValidationError {
             reason: Reason::Deadline,
             detail: "the deadline has passed".to_owned(),
         });
@@ -232,8 +232,8 @@
     prompt
 }
 
-fn bad_request(detail: String) -> Invalid {
-    Invalid {
+fn bad_request(detail: String) -> ValidationError {
+    ValidationError {
         reason: Reason::BadRequest,
         detail,
     }
--- a/filbertpaddle/src/front.rs
+++ b/filbertpaddle/src/request_context.rs
@@ -1,28 +1,28 @@
-//! What every request on this node uses.
+//! Services and limits shared by all requests of a node.
 
 use std::sync::Arc;
 
 use filbertpaddle_target::client::Client;
 use slog::Logger;
 
+use crate::admission::Admission;
 use crate::claims::Claims;
-use crate::gate::Gate;
 use crate::metrics::Metrics;
 use crate::retries::Retries;
 use crate::settings::Limits;
 use crate::slots::Slots;
 use crate::templates::Templates;
 
-/// Parts and limits shared by all requests of a node.
+/// Services and limits shared by all requests of a node.
 #[derive(Debug)]
-pub struct Front {
-    /// Configuration in force.
+pub struct RequestContext {
+    /// Current configuration.
     pub templates: Templates,
-    /// Claims on idempotency keys.
+    /// Claims of idempotency keys.
     pub claims: Claims,
     /// Slots on targets.
     pub slots: Slots,
-    /// Budgets for sending a request to another target.
+    /// Retry budgets of the pools.
     pub retries: Retries,
     /// Client of targets.
     pub targets: Client,
@@ -34,6 +34,6 @@
     pub metrics: Arc<Metrics>,
     /// Log of requests.
     pub log: Logger,
-    /// Counts requests in and out.
-    pub gate: Gate,
+    /// Admission of requests.
+    pub admission: Admission,
 }
--- a/filbertpaddle/src/run.rs
+++ b/filbertpaddle/src/run.rs
@@ -1,4 +1,5 @@
-//! The life of one request: claim, slot, target, answer, release.
+//! Runs one request: claims its key, acquires a slot, sends it to a target, delivers the
+//! answer and releases the slot.
 
 use std::sync::Arc;
 
@@ -15,37 +16,45 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::sync::oneshot;
 
-use crate::attempt;
+use crate::attempt_id;
 use crate::claims;
-use crate::front::Front;
 use crate::generation::Attempt;
-use crate::generation::Step;
-use crate::generation::Used;
-use crate::generation::ticket;
+use crate::generation::AttemptResult;
+use crate::generation::SlotUse;
+use crate::generation::new_ticket;
 use crate::output::Output;
 use crate::pools;
+use crate::request::FirstResponse;
 use crate::request::Request;
-use crate::request::Started;
+use crate::request_context::RequestContext;
 
-/// Most targets that one request is sent to.
+/// Maximum number of attempts of one request, each on one target.
 const MAX_ATTEMPTS: u32 = 3;
-/// When a caller may come back after targets refused.
-const RETRY_AFTER_MS: Millis = Millis(1_000);
+/// Time until a caller may retry after its request failed at the targets.
+const TARGET_RETRY_AFTER_MS: Millis = Millis(1_000);
 
-/// Runs a request in a task of its own, which outlives the caller's connection.
-pub async fn start(front: Arc<Front>, request: Request, permit: OwnedSemaphorePermit) -> Started {
-    let (answer, started) = oneshot::channel();
+/// Runs a request in a task of its own, which continues if the caller disconnects.
+pub async fn start(
+    context: Arc<RequestContext>,
+    request: Request,
+    permit: OwnedSemaphorePermit,
+) -> FirstResponse {
+    let (first_response, receiver) = oneshot::channel();
     tokio::spawn(async move {
-        Run::new(front, request, Output::new(answer)).run().await;
+        Run::new(context, request, Output::new(first_response))
+            .run()
+            .await;
         drop(permit);
     });
-    started.await.unwrap_or(Started::Ended(Outcome::MayHaveRun {
-        reason: Reason::TargetFailed,
-    }))
+    receiver
+        .await
+        .unwrap_or(FirstResponse::Ended(Outcome::MayHaveRun {
+            reason: Reason::TargetFailed,
+        }))
 }
 
 struct Run {
-    front: Arc<Front>,
+    context: Arc<RequestContext>,
     request: Request,
     output: Output,
     delivery: Delivery,
@@ -54,14 +63,14 @@
 }
 
 impl Run {
-    fn new(front: Arc<Front>, request: Request, output: Output) -> Self {
-        let promise = RestartPolicy {
+    fn new(context: Arc<RequestContext>, request: Request, output: Output) -> Self {
+        let restart_policy = RestartPolicy {
             idempotent: request.template.idempotent,
             buffered: request.template.delivery == template::DeliveryMode::Whole,
         };
-        let delivery = Delivery::new(promise, front.gate.attempt());
+        let delivery = Delivery::new(restart_policy, context.admission.next_attempt_id());
         Self {
-            front,
+            context,
             request,
             output,
             delivery,
@@ -72,100 +81,103 @@
 
     async fn run(mut self) {
         if self.request.template.idempotent {
-            let outcome = self.work().await;
+            let outcome = self.run_attempts().await;
             self.close(outcome);
             return;
         }
         match self.claim().await {
-            claims::Answer::Granted(claim) => self.run_claimed(claim).await,
-            claims::Answer::Refused(outcome) => self.close(outcome),
-            claims::Answer::Replay(finished) => {
-                self.front.metrics.count("request.replayed");
-                self.output.replay(Started::Replay(finished));
+            claims::ClaimResult::Granted(claim) => self.run_claimed(claim).await,
+            claims::ClaimResult::Refused(outcome) => self.close(outcome),
+            claims::ClaimResult::Replay(result) => {
+                self.context.metrics.count("request.replayed");
+                self.output.respond(FirstResponse::Replay(result));
             }
         }
     }
 
     async fn run_claimed(mut self, claim: claims::Claim) {
-        let outcome = self.work().await;
+        let outcome = self.run_attempts().await;
         if matches!(outcome, Outcome::NotRun { .. }) {
-            self.front.claims.release(claim).await;
+            self.context.claims.release(claim).await;
         } else {
-            let finished = claims::Finished {
+            let result = claims::RequestResult {
                 outcome: outcome.clone(),
                 text: self.output.text().to_owned(),
             };
-            self.front.claims.finish(claim, finished).await;
+            self.context.claims.finish(claim, result).await;
         }
         self.close(outcome);
     }
 
-    async fn claim(&self) -> claims::Answer {
+    async fn claim(&self) -> claims::ClaimResult {
         let Some(key) = self.request.key.clone() else {
-            return claims::Answer::Refused(Outcome::NotRun {
+            return claims::ClaimResult::Refused(Outcome::NotRun {
                 reason: Reason::KeyRequired,
                 retry_after_ms: None,
             });
         };
-        let ask = claims::Ask {
+        let claim_request = claims::ClaimRequest {
             customer: self.request.customer.clone(),
             key,
             digest: self.request.digest_hex(),
             attempt: self.delivery.attempt().clone(),
         };
-        self.front.claims.claim(ask).await
+        self.context.claims.claim(claim_request).await
     }
 
-    // Every pass uses one target; the attempt limit bounds the passes.
-    async fn work(&mut self) -> Outcome {
+    // Each iteration makes one attempt on one target, up to `MAX_ATTEMPTS`.
+    async fn run_attempts(&mut self) -> Outcome {
         loop {
             let grant = match self.acquire().await {
                 Ok(grant) => grant,
                 Err(outcome) => return outcome,
             };
             self.attempts += 1;
-            let step = self.attempt(grant).await;
-            self.sent |= !matches!(step, Step::Unsent);
-            match step {
-                Step::Ended(outcome) => return self.ended(outcome),
-                Step::Restart | Step::Unsent if !self.may_retry() => {
-                    return self.not_granted(refusal());
+            let result = self.attempt(grant).await;
+            self.sent |= !matches!(result, AttemptResult::Unsent);
+            match result {
+                AttemptResult::Ended(outcome) => return self.record_outcome(outcome),
+                AttemptResult::Restart | AttemptResult::Unsent if !self.may_retry() => {
+                    return self.refused_outcome(target_failure());
                 }
-                Step::Restart => self.restart(),
-                Step::Unsent => {}
+                AttemptResult::Restart => self.restart(),
+                AttemptResult::Unsent => {}
             }
         }
     }
 
     fn may_retry(&self) -> bool {
-        let retries = &self.front.retries;
-        let allowed = self.attempts < MAX_ATTEMPTS && retries.take(&self.request.template.model);
+        let retries = &self.context.retries;
+        let allowed =
+            self.attempts < MAX_ATTEMPTS && retries.try_take(&self.request.template.model);
         if !allowed {
-            self.front.metrics.count("request.not_retried");
+            self.context.metrics.count("request.not_retried");
         }
         allowed
     }
 
-    fn ended(&self, outcome: Outcome) -> Outcome {
+    fn record_outcome(&self, outcome: Outcome) -> Outcome {
         if matches!(outcome, Outcome::Complete { .. }) {
-            self.front.retries.succeeded(&self.request.template.model);
+            self.context
+                .retries
+                .record_success(&self.request.template.model);
         }
         outcome
     }
 
     async fn acquire(&mut self) -> Result<pools::Grant, Outcome> {
-        let ask = self.ask();
+        let request = self.slot_request();
         let slot = tokio::select! {
-            slot = self.front.slots.acquire(ask) => slot,
-            () = self.output.abandoned() => Err(pools::Refusal {
+            slot = self.context.slots.acquire(request) => slot,
+            () = self.output.caller_gone() => Err(pools::Refusal {
                 reason: Reason::Cancelled,
                 retry_after_ms: None,
             }),
         };
-        slot.map_err(|refusal| self.not_granted(refusal))
+        slot.map_err(|refusal| self.refused_outcome(refusal))
     }
 
-    fn ask(&self) -> pools::Ask {
+    fn slot_request(&self) -> pools::Ask {
         let template = &self.request.template;
         pools::Ask {
             model: template.model.clone(),
@@ -183,9 +195,9 @@
         }
     }
 
-    async fn attempt(&mut self, grant: pools::Grant) -> Step {
+    async fn attempt(&mut self, grant: pools::Grant) -> AttemptResult {
         let template = Arc::clone(&self.request.template);
-        self.name_attempt(&grant);
+        self.add_slot_to_attempt_id(&grant);
         let submit = Submit {
             attempt: self.delivery.attempt().clone(),
             fence: grant.fence,
@@ -194,8 +206,8 @@
             max_tokens: template.max_tokens,
         };
         let attempt = Attempt {
-            front: &self.front,
-            ticket: ticket(
+            context: &self.context,
+            ticket: new_ticket(
                 &self.request.customer,
                 &self.delivery,
                 &grant,
@@ -205,19 +217,19 @@
             delivery: &mut self.delivery,
             output: &mut self.output,
         };
-        let Used { step, ending } = match template.work {
+        let SlotUse { result, ending } = match template.work {
             WorkKind::Generation => attempt.generate(&submit).await,
             WorkKind::Call => attempt.call(&submit, template.idempotent).await,
         };
         let tokens = self.delivery.delivered_tokens();
-        self.front.slots.release(grant, ending, tokens);
-        step
+        self.context.slots.release(grant, ending, tokens);
+        result
     }
 
-    // Reports of the target then show whose slot the attempt uses.
-    fn name_attempt(&mut self, grant: &pools::Grant) {
+    // The target's reports then show which slot the attempt uses.
+    fn add_slot_to_attempt_id(&mut self, grant: &pools::Grant) {
         if let Some(slot) = &grant.slot {
-            let attempt = attempt::with_slot(self.delivery.attempt(), &slot.key);
+            let attempt = attempt_id::with_slot(self.delivery.attempt(), &slot.key);
             self.delivery.restart(attempt);
         }
         if let Some(borrowed) = &grant.borrowed {
@@ -226,14 +238,14 @@
     }
 
     fn restart(&mut self) {
-        self.front.metrics.count("request.restarted");
-        let attempt = self.front.gate.attempt();
+        self.context.metrics.count("request.restarted");
+        let attempt = self.context.admission.next_attempt_id();
         self.delivery.restart(attempt);
         self.output.restart();
     }
 
-    // "Not run" is said only if no target was sent anything.
-    fn not_granted(&self, refusal: pools::Refusal) -> Outcome {
+    // The outcome is `NotRun` only if nothing was sent to any target.
+    fn refused_outcome(&self, refusal: pools::Refusal) -> Outcome {
         if self.sent {
             return Outcome::Incomplete {
                 tokens: 0,
@@ -247,20 +259,20 @@
     }
 
     fn close(self, outcome: Outcome) {
-        self.front.metrics.count(metric(&outcome));
-        debug!(self.front.log, "Request ended."; "outcome" => ?outcome);
+        self.context.metrics.count(outcome_metric(&outcome));
+        debug!(self.context.log, "Request ended."; "outcome" => ?outcome);
         self.output.close(outcome);
     }
 }
 
-fn refusal() -> pools::Refusal {
+fn target_failure() -> pools::Refusal {
     pools::Refusal {
         reason: Reason::TargetFailed,
-        retry_after_ms: Some(RETRY_AFTER_MS),
+        retry_after_ms: Some(TARGET_RETRY_AFTER_MS),
     }
 }
 
-fn metric(outcome: &Outcome) -> &'static str {
+fn outcome_metric(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Complete { .. } => "request.complete",
         Outcome::NotRun { .. } => "request.not_run",
--- a/filbertpaddle/src/body.rs
+++ b/filbertpaddle/src/slot_message.rs
@@ -1,4 +1,4 @@
-//! Bodies of slot messages, to and from the core's types.
+//! Conversions between the messages about slots and the core's types.
 
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::owner;
@@ -12,21 +12,21 @@
 
 use crate::pools::Refusal;
 
-pub(crate) fn refusal(denial: Denial) -> Refusal {
+pub(crate) fn to_refusal(denial: Denial) -> Refusal {
     Refusal {
         reason: denial.reason,
         retry_after_ms: denial.retry_after_ms,
     }
 }
 
-pub(crate) fn denial(refusal: &scheduler::Refusal) -> Denial {
+pub(crate) fn to_denial(refusal: &scheduler::Refusal) -> Denial {
     Denial {
         reason: refusal.reason,
         retry_after_ms: refusal.retry_after_ms,
     }
 }
 
-pub(crate) fn work(target: &Name, key: &WorkKey) -> grant::Work {
+pub(crate) fn to_work(target: &Name, key: &WorkKey) -> grant::Work {
     grant::Work {
         target: target.clone(),
         epoch: key.epoch,
@@ -35,7 +35,7 @@
     }
 }
 
-pub(crate) fn used(key: &WorkKey) -> grant::Used {
+pub(crate) fn to_used(key: &WorkKey) -> grant::Used {
     grant::Used {
         epoch: key.epoch,
         source: key.source,
@@ -43,7 +43,7 @@
     }
 }
 
-pub(crate) fn used_key(holder: &NodeId, used: grant::Used) -> WorkKey {
+pub(crate) fn key_of_used(holder: &NodeId, used: grant::Used) -> WorkKey {
     WorkKey {
         holder: holder.clone(),
         epoch: used.epoch,
@@ -52,7 +52,7 @@
     }
 }
 
-pub(crate) fn key(holder: &NodeId, work: &grant::Work) -> WorkKey {
+pub(crate) fn key_of_work(holder: &NodeId, work: &grant::Work) -> WorkKey {
     WorkKey {
         holder: holder.clone(),
         epoch: work.epoch,
@@ -61,10 +61,10 @@
     }
 }
 
-pub(crate) fn told(holder: &NodeId, holding: &grant::Holding) -> owner::CollectReply {
+pub(crate) fn to_holding(holder: &NodeId, holding: &grant::Holding) -> owner::CollectReply {
     let works = holding.works.iter();
     let held = |work: &grant::Work| HeldWork {
-        key: key(holder, work),
+        key: key_of_work(holder, work),
         target: work.target.clone(),
     };
     owner::CollectReply {
@@ -76,7 +76,7 @@
     }
 }
 
-pub(crate) fn grant_message(granted: slot::Grant) -> grant::Grant {
+pub(crate) fn to_grant(granted: slot::Grant) -> grant::Grant {
     grant::Grant {
         epoch: granted.key.epoch,
         number: granted.key.number,
