--- a/filbertpaddle-standins/src/direct.rs
+++ b/filbertpaddle-standins/src/direct.rs
@@ -6,10 +6,10 @@
 use filbertpaddle_core::scheduler as slot;
 use filbertpaddle_target::client::Client;
 use filbertpaddle_target::error::Error;
-use filbertpaddle_target::error::Unknown;
+use filbertpaddle_target::error::UnknownOutcome;
 use filbertpaddle_target::protocol::Submit;
 use filbertpaddle_target::stream::Received;
-use filbertpaddle_target::stream::Tokens;
+use filbertpaddle_target::stream::TokenStream;
 
 use crate::balancer::Balancer;
 use crate::observation::Ending;
@@ -189,7 +189,7 @@
                 // The submission was taken, whatever a failed resume proves of itself.
                 let mut stream = resumed.map_err(|error| {
                     let text = error.to_string();
-                    Error::Unknown(Unknown::Cut(text))
+                    Error::Unknown(UnknownOutcome::ConnectionLost(text))
                 })?;
                 relay(&mut stream, observer).await
             }
@@ -197,12 +197,12 @@
     }
 }
 
-async fn relay(stream: &mut Tokens, observer: &mut Observer) -> Result<(), Error> {
+async fn relay(stream: &mut TokenStream, observer: &mut Observer) -> Result<(), Error> {
     while let Some(received) = stream.next().await? {
         match received {
             Received::Token { index, text } => observer.token(index, &text),
             Received::End { tokens, .. } => observer.count(tokens),
-            Received::Foreign { .. } | Received::Repeated { .. } => {}
+            Received::OtherAttempt { .. } | Received::Duplicate { .. } => {}
         }
     }
     Ok(())
--- a/filbertpaddle-standins/tests/engine.rs
+++ b/filbertpaddle-standins/tests/engine.rs
@@ -17,7 +17,7 @@
 use filbertpaddle_target::client::Client;
 use filbertpaddle_target::error::Error;
 use filbertpaddle_target::error::NotStarted;
-use filbertpaddle_target::error::Unknown;
+use filbertpaddle_target::error::UnknownOutcome;
 use filbertpaddle_target::protocol::EndCause;
 use filbertpaddle_target::protocol::LoadedState;
 use filbertpaddle_target::protocol::Order;
@@ -25,7 +25,7 @@
 use filbertpaddle_target::protocol::Submit;
 use filbertpaddle_target::protocol::Warmth;
 use filbertpaddle_target::stream::Received;
-use filbertpaddle_target::stream::Tokens;
+use filbertpaddle_target::stream::TokenStream;
 
 fn client() -> Client {
     Client::new(client::Settings::default()).unwrap()
@@ -62,7 +62,7 @@
     }
 }
 
-async fn texts(stream: &mut Tokens) -> Result<Vec<String>, Error> {
+async fn texts(stream: &mut TokenStream) -> Result<Vec<String>, Error> {
     let mut texts = Vec::new();
     while let Some(received) = stream.next().await? {
         if let Received::Token { text, .. } = received {
@@ -124,7 +124,10 @@
     let mut reused = submit("a1", "another");
     reused.fence = 7;
     let reused = client.submit(engine.address, &reused).await;
-    assert_eq!(reused.unwrap_err(), Error::Unknown(Unknown::Duplicate));
+    assert_eq!(
+        reused.unwrap_err(),
+        Error::Unknown(UnknownOutcome::AttemptIdReused)
+    );
     let unknown = client.cancel(engine.address, &"a9".into()).await;
     assert_eq!(unknown.unwrap_err(), refused(RefusalCause::UnknownAttempt));
     let address = engine.address;
@@ -173,8 +176,8 @@
                 assert_eq!(index, tokens);
                 tokens += 1;
             }
-            Received::Foreign { .. } => foreign += 1,
-            Received::Repeated { .. } => repeated += 1,
+            Received::OtherAttempt { .. } => foreign += 1,
+            Received::Duplicate { .. } => repeated += 1,
             Received::End { tokens: total, .. } => assert_eq!(total, tokens),
         }
     }
--- a/filbertpaddle-target/src/client.rs
+++ b/filbertpaddle-target/src/client.rs
@@ -11,7 +11,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::error::Error;
-use crate::error::Unknown;
+use crate::error::UnknownOutcome;
 use crate::protocol::CacheEvents;
 use crate::protocol::CallAnswer;
 use crate::protocol::LoadReport;
@@ -20,7 +20,7 @@
 use crate::protocol::OrderAnswer;
 use crate::protocol::Refusal;
 use crate::protocol::Submit;
-use crate::stream::Tokens;
+use crate::stream::TokenStream;
 
 /// How long a client waits for targets.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -74,7 +74,7 @@
     /// # Errors
     ///
     /// Returns [`Error::NotStarted`] only if the target did nothing.
-    pub async fn submit(&self, address: SocketAddr, submit: &Submit) -> Result<Tokens, Error> {
+    pub async fn submit(&self, address: SocketAddr, submit: &Submit) -> Result<TokenStream, Error> {
         let request = self.http.post(url(address, "generations")).json(submit);
         self.stream(request, submit.attempt.clone(), 0).await
     }
@@ -89,7 +89,7 @@
         address: SocketAddr,
         attempt: &Name,
         from: u32,
-    ) -> Result<Tokens, Error> {
+    ) -> Result<TokenStream, Error> {
         let path = format!("generations/{attempt}?from={from}");
         let request = self.http.get(url(address, &path));
         self.stream(request, attempt.clone(), from).await
@@ -116,7 +116,7 @@
         let request = self.http.post(url(address, "calls")).json(submit);
         let answer: CallAnswer = self.json(request, self.settings.call_timeout_ms).await?;
         if answer.attempt != submit.attempt {
-            return Err(Error::Unknown(Unknown::Foreign(answer.attempt)));
+            return Err(Error::Unknown(UnknownOutcome::OtherAttempt(answer.attempt)));
         }
         Ok(answer)
     }
@@ -171,10 +171,10 @@
         request: RequestBuilder,
         attempt: Name,
         from: u32,
-    ) -> Result<Tokens, Error> {
+    ) -> Result<TokenStream, Error> {
         let response = self.send(request, self.settings.answer_timeout_ms).await?;
         let idle_timeout = duration(self.settings.idle_timeout_ms);
-        Ok(Tokens::new(response, attempt, from, idle_timeout))
+        Ok(TokenStream::new(response, attempt, from, idle_timeout))
     }
 
     async fn json<T>(&self, request: RequestBuilder, timeout_ms: Millis) -> Result<T, Error>
@@ -187,19 +187,19 @@
         };
         match tokio::time::timeout(duration(timeout_ms), answer).await {
             Ok(answer) => answer,
-            Err(_) => Err(Error::Unknown(Unknown::Timeout)),
+            Err(_) => Err(Error::Unknown(UnknownOutcome::Timeout)),
         }
     }
 
     async fn send(&self, request: RequestBuilder, timeout_ms: Millis) -> Result<Response, Error> {
         let sent = tokio::time::timeout(duration(timeout_ms), request.send()).await;
-        let response = sent.map_err(|_| Error::Unknown(Unknown::Timeout))??;
+        let response = sent.map_err(|_| Error::Unknown(UnknownOutcome::Timeout))??;
         match response.status() {
             status if status.is_success() => Ok(response),
             StatusCode::CONFLICT | StatusCode::SERVICE_UNAVAILABLE | StatusCode::NOT_FOUND => {
                 Err(self.refusal(response).await)
             }
-            status => Err(Error::Unknown(Unknown::Status(status.as_u16()))),
+            status => Err(Error::Unknown(UnknownOutcome::Status(status.as_u16()))),
         }
     }
 
@@ -209,8 +209,8 @@
         let timeout = duration(self.settings.answer_timeout_ms);
         match tokio::time::timeout(timeout, response.json::<Refusal>()).await {
             Ok(Ok(refusal)) => refusal.cause.into(),
-            Ok(Err(_)) => Error::Unknown(Unknown::Status(status)),
-            Err(_) => Error::Unknown(Unknown::Timeout),
+            Ok(Err(_)) => Error::Unknown(UnknownOutcome::Status(status)),
+            Err(_) => Error::Unknown(UnknownOutcome::Timeout),
         }
     }
 }
--- a/filbertpaddle-target/src/error.rs
+++ b/filbertpaddle-target/src/error.rs
@@ -13,7 +13,7 @@
     NotStarted(NotStarted),
     /// The target may have started the work.
     #[error("outcome unknown: {0}")]
-    Unknown(Unknown),
+    Unknown(UnknownOutcome),
 }
 
 /// Proof that a target has done nothing.
@@ -29,10 +29,10 @@
 
 /// Why nobody can tell what a target has done.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Unknown {
+pub enum UnknownOutcome {
     /// The connection failed after the request may have been sent.
     #[error("connection failed: {0}")]
-    Cut(String),
+    ConnectionLost(String),
     /// The target did not answer in time.
     #[error("no answer in time")]
     Timeout,
@@ -44,13 +44,13 @@
     Malformed(String),
     /// The answer belongs to another attempt and was dropped.
     #[error("answer of attempt {0}")]
-    Foreign(Name),
+    OtherAttempt(Name),
     /// The attempt id was used before with another body.
     #[error("the attempt is known with another body")]
-    Duplicate,
+    AttemptIdReused,
     /// Tokens are missing from the stream.
     #[error("expected token {expected}, got {got}")]
-    Gap {
+    MissingTokens {
         /// Index of the next token.
         expected: u32,
         /// Index that arrived.
@@ -68,7 +68,7 @@
 impl From<RefusalCause> for Error {
     fn from(cause: RefusalCause) -> Self {
         match cause {
-            RefusalCause::DuplicateAttempt => Self::Unknown(Unknown::Duplicate),
+            RefusalCause::DuplicateAttempt => Self::Unknown(UnknownOutcome::AttemptIdReused),
             cause => Self::NotStarted(NotStarted::Refused(cause)),
         }
     }
@@ -81,12 +81,12 @@
             return Self::NotStarted(NotStarted::Unreachable(describe(&error)));
         }
         if error.is_timeout() {
-            return Self::Unknown(Unknown::Timeout);
+            return Self::Unknown(UnknownOutcome::Timeout);
         }
         if error.is_decode() {
-            return Self::Unknown(Unknown::Malformed(describe(&error)));
+            return Self::Unknown(UnknownOutcome::Malformed(describe(&error)));
         }
-        Self::Unknown(Unknown::Cut(describe(&error)))
+        Self::Unknown(UnknownOutcome::ConnectionLost(describe(&error)))
     }
 }
 
--- a/filbertpaddle-target/src/stream.rs
+++ b/filbertpaddle-target/src/stream.rs
@@ -9,7 +9,7 @@
 use reqwest::Response;
 
 use crate::error::Error;
-use crate::error::Unknown;
+use crate::error::UnknownOutcome;
 use crate::protocol::Body;
 use crate::protocol::EndCause;
 use crate::protocol::Event;
@@ -35,19 +35,19 @@
         cause: EndCause,
     },
     /// A line of another attempt; to be counted, never passed on.
-    Foreign {
+    OtherAttempt {
         /// Attempt that the line belongs to.
         attempt: Name,
     },
     /// A token that came before; to be counted, never passed on.
-    Repeated {
+    Duplicate {
         /// Position of the token.
         index: u32,
     },
 }
 
 /// The tokens of one attempt, in order.
-pub struct Tokens {
+pub struct TokenStream {
     response: Response,
     attempt: Name,
     next_index: u32,
@@ -56,9 +56,9 @@
     ended: bool,
 }
 
-impl fmt::Debug for Tokens {
+impl fmt::Debug for TokenStream {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Tokens")
+        f.debug_struct("TokenStream")
             .field("attempt", &self.attempt)
             .field("next_index", &self.next_index)
             .field("ended", &self.ended)
@@ -66,7 +66,7 @@
     }
 }
 
-impl Tokens {
+impl TokenStream {
     pub(crate) fn new(
         response: Response,
         attempt: Name,
@@ -107,26 +107,26 @@
     fn accept(&mut self, event: Event) -> Result<Received, Error> {
         if event.attempt != self.attempt {
             let attempt = event.attempt;
-            return Ok(Received::Foreign { attempt });
+            return Ok(Received::OtherAttempt { attempt });
         }
         let index = event.index;
         if index > self.next_index {
             let expected = self.next_index;
-            let gap = Unknown::Gap {
+            let gap = UnknownOutcome::MissingTokens {
                 expected,
                 got: index,
             };
             return Err(Error::Unknown(gap));
         }
         match event.body {
-            Body::Token { .. } if index < self.next_index => Ok(Received::Repeated { index }),
+            Body::Token { .. } if index < self.next_index => Ok(Received::Duplicate { index }),
             Body::Token { text } => {
                 self.next_index += 1;
                 Ok(Received::Token { index, text })
             }
-            Body::End { .. } if index < self.next_index => {
-                Err(Error::Unknown(Unknown::Malformed("early end".to_owned())))
-            }
+            Body::End { .. } if index < self.next_index => Err(Error::Unknown(
+                UnknownOutcome::Malformed("early end".to_owned()),
+            )),
             Body::End { cause } => {
                 self.ended = true;
                 let tokens = index;
@@ -144,7 +144,7 @@
             }
             if self.buffer.len() > MAX_LINE_BYTES {
                 let text = "line too long".to_owned();
-                return Err(Error::Unknown(Unknown::Malformed(text)));
+                return Err(Error::Unknown(UnknownOutcome::Malformed(text)));
             }
             self.read().await?;
         }
@@ -152,15 +152,19 @@
 
     async fn read(&mut self) -> Result<(), Error> {
         let chunk = tokio::time::timeout(self.idle_timeout, self.response.chunk()).await;
-        let chunk = chunk.map_err(|_| Error::Unknown(Unknown::Timeout))??;
+        let chunk = chunk.map_err(|_| Error::Unknown(UnknownOutcome::Timeout))??;
         match chunk {
             Some(chunk) => self.buffer.extend_from_slice(&chunk),
-            None => return Err(Error::Unknown(Unknown::Cut("end of stream".to_owned()))),
+            None => {
+                return Err(Error::Unknown(UnknownOutcome::ConnectionLost(
+                    "end of stream".to_owned(),
+                )));
+            }
         }
         Ok(())
     }
 }
 
 fn malformed(error: &serde_json::Error) -> Error {
-    Error::Unknown(Unknown::Malformed(error.to_string()))
+    Error::Unknown(UnknownOutcome::Malformed(error.to_string()))
 }
