--- a/filbertpaddle-standins/src/engine_http.rs
+++ b/filbertpaddle-standins/src/engine_http.rs
@@ -7,9 +7,9 @@
 use bytes::Bytes;
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
-use filbertpaddle_target::protocol::Body;
 use filbertpaddle_target::protocol::EndCause;
 use filbertpaddle_target::protocol::Event;
+use filbertpaddle_target::protocol::EventBody;
 use filbertpaddle_target::protocol::Order;
 use filbertpaddle_target::protocol::OrderAnswer;
 use filbertpaddle_target::protocol::Refusal;
@@ -223,7 +223,7 @@
     let mut chunk = Vec::new();
     for index in from..to {
         let text = text(attempt, index);
-        let body = Body::Token { text };
+        let body = EventBody::Token { text };
         if hits(index, disturbance.cross_every) {
             let other = Name::new(format!("{attempt}-crossed"));
             push(&mut chunk, &other, index, body.clone());
@@ -234,12 +234,12 @@
         push(&mut chunk, attempt, index, body);
     }
     if let Some(cause) = ended {
-        push(&mut chunk, attempt, to, Body::End { cause });
+        push(&mut chunk, attempt, to, EventBody::End { cause });
     }
     chunk.into()
 }
 
-fn push(chunk: &mut Vec<u8>, attempt: &Name, index: u32, body: Body) {
+fn push(chunk: &mut Vec<u8>, attempt: &Name, index: u32, body: EventBody) {
     let event = Event {
         attempt: attempt.clone(),
         index,
--- a/filbertpaddle-target/src/protocol.rs
+++ b/filbertpaddle-target/src/protocol.rs
@@ -1,7 +1,7 @@
 //! The JSON bodies exchanged with targets.
 //!
 //! - `POST /v1/generations` with [`Submit`] answers a stream of [`Event`]
-//!   lines (newline-delimited JSON) that ends with [`Body::End`].
+//!   lines (newline-delimited JSON) that ends with [`EventBody::End`].
 //! - `GET /v1/generations/{attempt}?from={index}` resumes that stream.
 //! - `DELETE /v1/generations/{attempt}` cancels.
 //! - `POST /v1/calls` with [`Submit`] answers one [`CallAnswer`].
@@ -40,13 +40,13 @@
     pub index: u32,
     /// What the line carries.
     #[serde(flatten)]
-    pub body: Body,
+    pub body: EventBody,
 }
 
 /// What a line of a token stream carries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum Body {
+pub enum EventBody {
     /// One token.
     Token {
         /// Text of the token.
--- a/filbertpaddle-target/src/stream.rs
+++ b/filbertpaddle-target/src/stream.rs
@@ -10,9 +10,9 @@
 
 use crate::error::Error;
 use crate::error::UnknownOutcome;
-use crate::protocol::Body;
 use crate::protocol::EndCause;
 use crate::protocol::Event;
+use crate::protocol::EventBody;
 
 /// Longest line of a token stream, in bytes.
 const MAX_LINE_BYTES: usize = 64 * 1024;
@@ -119,15 +119,15 @@
             return Err(Error::Unknown(gap));
         }
         match event.body {
-            Body::Token { .. } if index < self.next_index => Ok(Received::Duplicate { index }),
-            Body::Token { text } => {
+            EventBody::Token { .. } if index < self.next_index => Ok(Received::Duplicate { index }),
+            EventBody::Token { text } => {
                 self.next_index += 1;
                 Ok(Received::Token { index, text })
             }
-            Body::End { .. } if index < self.next_index => Err(Error::Unknown(
+            EventBody::End { .. } if index < self.next_index => Err(Error::Unknown(
                 UnknownOutcome::Malformed("early end".to_owned()),
             )),
-            Body::End { cause } => {
+            EventBody::End { cause } => {
                 self.ended = true;
                 let tokens = index;
                 Ok(Received::End { tokens, cause })
