--- a/filbertpaddle-platform/src/client.rs
+++ b/filbertpaddle-platform/src/client.rs
@@ -15,8 +15,8 @@
 use crate::protocol::TransactAnswer;
 use crate::protocol::Transaction;
 use crate::protocol::VmList;
-use crate::protocol::WeightAnswer;
-use crate::protocol::WeightAsk;
+use crate::protocol::WeightLeaseAnswer;
+use crate::protocol::WeightLeaseRequest;
 
 /// Part of the whole timeout that may be spent on connecting.
 const CONNECT_SHARE: u32 = 2;
@@ -109,7 +109,10 @@
     /// # Errors
     ///
     /// After [`Error::Unknown`] the permission may have been used up.
-    pub async fn ask_weights(&self, ask: &WeightAsk) -> Result<WeightAnswer, Error> {
+    pub async fn request_weight_lease(
+        &self,
+        ask: &WeightLeaseRequest,
+    ) -> Result<WeightLeaseAnswer, Error> {
         self.post("weights/leases", ask).await
     }
 
@@ -142,7 +145,7 @@
     match response.status() {
         status if status.is_success() => Ok(response),
         StatusCode::TOO_MANY_REQUESTS => Err(Error::NotDone(NotDone::RateLimited)),
-        StatusCode::SERVICE_UNAVAILABLE => Err(Error::NotDone(NotDone::Down)),
+        StatusCode::SERVICE_UNAVAILABLE => Err(Error::NotDone(NotDone::Unavailable)),
         status => Err(Error::Unknown(format!("status {status}"))),
     }
 }
--- a/filbertpaddle-platform/src/error.rs
+++ b/filbertpaddle-platform/src/error.rs
@@ -19,7 +19,7 @@
     RateLimited,
     /// The service says that it is down.
     #[error("service down")]
-    Down,
+    Unavailable,
     /// No connection could be made.
     #[error("no connection: {0}")]
     Unreachable(String),
--- a/filbertpaddle-platform/src/protocol.rs
+++ b/filbertpaddle-platform/src/protocol.rs
@@ -4,7 +4,7 @@
 //! - `POST /table/read` with [`Read`] answers [`Rows`].
 //! - `POST /table/scan` with [`Scan`] answers [`Rows`].
 //! - `GET` and `PUT /object/{key}` carry bytes.
-//! - `POST /weights/leases` with [`WeightAsk`] answers [`WeightAnswer`].
+//! - `POST /weights/leases` with [`WeightLeaseRequest`] answers [`WeightLeaseAnswer`].
 //! - `GET /vms` answers [`VmList`], which may lag.
 //!
 //! Status 429 means that the rate limit was hit and nothing was done; 503
@@ -102,7 +102,7 @@
 
 /// Asks for permission to load weights.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WeightAsk {
+pub struct WeightLeaseRequest {
     /// Model to load.
     pub model: Name,
     /// Version to load.
@@ -111,7 +111,7 @@
 
 /// Permission of the weight store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WeightAnswer {
+pub struct WeightLeaseAnswer {
     /// Whether the load may start now.
     pub granted: bool,
     /// When to ask again if not granted.
--- a/filbertpaddle-standins/src/platform.rs
+++ b/filbertpaddle-standins/src/platform.rs
@@ -20,7 +20,7 @@
 use filbertpaddle_platform::protocol::TransactAnswer;
 use filbertpaddle_platform::protocol::Transaction;
 use filbertpaddle_platform::protocol::VmList;
-use filbertpaddle_platform::protocol::WeightAnswer;
+use filbertpaddle_platform::protocol::WeightLeaseAnswer;
 use serde::Deserialize;
 use serde::Serialize;
 use tokio::sync::watch;
@@ -253,13 +253,13 @@
         Ok(())
     }
 
-    pub(crate) async fn ask_weights(&self) -> Result<WeightAnswer, Refusal> {
+    pub(crate) async fn ask_weights(&self) -> Result<WeightLeaseAnswer, Refusal> {
         self.admit(Cost::Free).await?;
         let per_sec = self.faults().loads_per_sec;
         let granted = self.lock().loads.allow(per_sec, Instant::now());
         self.delay().await;
         let interval = per_sec.map_or(0, |per_sec| 1_000 / u64::from(per_sec.max(1)));
-        Ok(WeightAnswer {
+        Ok(WeightLeaseAnswer {
             granted,
             retry_after_ms: Millis(interval),
         })
--- a/filbertpaddle-standins/src/platform_http.rs
+++ b/filbertpaddle-standins/src/platform_http.rs
@@ -8,7 +8,7 @@
 use filbertpaddle_platform::protocol::Scan;
 use filbertpaddle_platform::protocol::Transaction;
 use filbertpaddle_platform::protocol::VmList;
-use filbertpaddle_platform::protocol::WeightAsk;
+use filbertpaddle_platform::protocol::WeightLeaseRequest;
 use serde::Serialize;
 use warp::Filter;
 use warp::Rejection;
@@ -45,7 +45,7 @@
         .and(warp::post())
         .and(with(state))
         .and(warp::body::json())
-        .then(async |state: State, _: WeightAsk| json(state.ask_weights().await).await);
+        .then(async |state: State, _: WeightLeaseRequest| json(state.ask_weights().await).await);
     let vms = warp::path!("vms")
         .and(warp::get())
         .and(with(state))
--- a/filbertpaddle-standins/tests/platform.rs
+++ b/filbertpaddle-standins/tests/platform.rs
@@ -14,7 +14,7 @@
 use filbertpaddle_platform::protocol::Scan;
 use filbertpaddle_platform::protocol::TransactAnswer;
 use filbertpaddle_platform::protocol::Transaction;
-use filbertpaddle_platform::protocol::WeightAsk;
+use filbertpaddle_platform::protocol::WeightLeaseRequest;
 use filbertpaddle_platform::protocol::Write;
 use filbertpaddle_standins::faults::Faults;
 use filbertpaddle_standins::faults::Loss;
@@ -110,7 +110,7 @@
         ..Faults::default()
     });
     let answer = client.transact(&insert("a", "1")).await;
-    assert_eq!(answer, Err(Error::NotDone(NotDone::Down)));
+    assert_eq!(answer, Err(Error::NotDone(NotDone::Unavailable)));
     platform.set_faults(Faults {
         writes_per_sec: Some(0),
         ..Faults::default()
@@ -168,11 +168,11 @@
         .await
         .unwrap();
     assert_eq!(platform.faults(), faults);
-    let ask = WeightAsk {
+    let ask = WeightLeaseRequest {
         model: "m".into(),
         version: "1".into(),
     };
-    let answer = client.ask_weights(&ask).await.unwrap();
+    let answer = client.request_weight_lease(&ask).await.unwrap();
     assert!(!answer.granted);
     assert_eq!(answer.retry_after_ms, Millis(1_000));
     platform.close().await;
