--- a/filbertpaddle/tests/gateway/main.rs
+++ b/filbertpaddle/tests/gateway/main.rs
@@ -34,7 +34,7 @@
     let written = world.send(&ask("w1", Method::POST, WRITE, None)).await;
     assert_eq!(written.body, b"answer to w1");
     let stream = world.send(&ask("s1", Method::POST, STREAM, Some(80))).await;
-    assert!(stream.is_whole && stream.is_sealed());
+    assert!(stream.is_complete && stream.is_sealed());
     assert_eq!(stream.body, whole_stream("s1", 20));
     let runs = world.ledger.runs_of("s1");
     assert_eq!(runs.len(), 1);
@@ -208,7 +208,7 @@
     })
     .await;
     let late = world.send(&ask("r", Method::POST, STREAM, Some(40))).await;
-    assert!(late.is_whole && late.code() == 200);
+    assert!(late.is_complete && late.code() == 200);
     // One that would be cut at the end of the grace is refused, unrun.
     let long = world
         .send(&ask("l", Method::POST, STREAM, Some(4_000)))
@@ -217,7 +217,7 @@
     assert!(long.retry_after_sec().is_some());
     assert!(world.ledger.runs_of("l").is_empty());
     let got = running.await.unwrap();
-    assert!(got.is_whole);
+    assert!(got.is_complete);
     assert_eq!(got.body, whole_stream("s", 200));
     assert!(world.nodes[0].process.wait().unwrap().success());
     world.close();
@@ -253,7 +253,7 @@
         if got.status.is_none() && TcpStream::connect(node).await.is_err() {
             break;
         }
-        if got.is_whole {
+        if got.is_complete {
             answered.push(ask.attempt);
         }
         sleep(Duration::from_millis(20 + 7 * u64::from(caller))).await;
@@ -290,7 +290,7 @@
         world.nodes[0].process.hang_up().unwrap();
     };
     let (got, ()) = tokio::join!(world.send(&stream), hang_up);
-    assert!(got.is_whole);
+    assert!(got.is_complete);
     assert_eq!(got.body, whole_stream("s", 100));
     // The new grace is in force: a stream that would take longer is refused.
     world.nodes[0].process.terminate().unwrap();
--- a/filbertpaddle/tests/gateway/streams.rs
+++ b/filbertpaddle/tests/gateway/streams.rs
@@ -27,7 +27,7 @@
         world.store.put_target(&target.options.id, &entry);
     };
     let (got, ()) = tokio::join!(world.send(&stream), leave);
-    assert!(got.is_whole);
+    assert!(got.is_complete);
     assert_eq!(got.body, whole_stream("s", 200));
     let runs = world.ledger.runs_of("s");
     assert_eq!(runs.len(), 2);
@@ -48,7 +48,7 @@
         world.target_of("s").drain();
     };
     let (got, ()) = tokio::join!(world.send(&stream), leave);
-    assert!(got.is_whole);
+    assert!(got.is_complete);
     assert_eq!(got.body, whole_stream("s", 400));
     assert!(world.ledger.runs_of("s")[1].is_moved);
     world.close();
@@ -74,7 +74,7 @@
     let target = world.ledger.runs_of("go").remove(0).target;
     world.take_target(&target).close();
     let got = going.await.unwrap();
-    assert!(got.is_whole);
+    assert!(got.is_complete);
     assert_eq!(got.body, whole_stream("go", 100));
     assert_eq!(world.ledger.runs_of("go").len(), 2);
     let other = world.ledger.runs_of("cut").remove(0).target;
@@ -82,7 +82,7 @@
         world.take_target(&other).close();
     }
     let got = cut.await.unwrap();
-    assert!(!got.is_whole);
+    assert!(!got.is_complete);
     assert!(whole_stream("cut", 600).starts_with(&got.body));
     assert_eq!(world.ledger.runs_of("cut").len(), 1);
     world.close();
@@ -94,7 +94,7 @@
     let mut stream = ask("s", Method::POST, STREAM, Some(40_000));
     stream.deadline_ms = 300;
     let got = world.send(&stream).await;
-    assert!(!got.is_whole);
+    assert!(!got.is_complete);
     until("nothing runs", async || {
         world.target("e1").running().is_empty() && world.target("e2").running().is_empty()
     })
--- a/filbertpaddle/tests/gateway/world.rs
+++ b/filbertpaddle/tests/gateway/world.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use filbertpaddle_adapter_standins::caller;
-use filbertpaddle_adapter_standins::caller::Ask;
-use filbertpaddle_adapter_standins::caller::Got;
+use filbertpaddle_adapter_standins::caller::CallerRequest;
+use filbertpaddle_adapter_standins::caller::CallerResponse;
 use filbertpaddle_adapter_standins::configuration::Configuration;
 pub(crate) use filbertpaddle_adapter_standins::configuration::READ;
 pub(crate) use filbertpaddle_adapter_standins::configuration::RESUMABLE;
@@ -133,7 +133,7 @@
     }
 
     /// Sends to the first node.
-    pub(crate) async fn send(&self, ask: &Ask) -> Got {
+    pub(crate) async fn send(&self, ask: &CallerRequest) -> CallerResponse {
         caller::send(self.nodes[0].addresses.callers, ask).await
     }
 
@@ -151,8 +151,13 @@
 }
 
 /// A request; generations state their output tokens.
-pub(crate) fn ask(attempt: &str, method: Method, path: &str, output_tokens: Option<u32>) -> Ask {
-    Ask {
+pub(crate) fn ask(
+    attempt: &str,
+    method: Method,
+    path: &str,
+    output_tokens: Option<u32>,
+) -> CallerRequest {
+    CallerRequest {
         attempt: attempt.to_owned(),
         method,
         path: path.to_owned(),
--- a/filbertpaddle/tests/soak/promises.rs
+++ b/filbertpaddle/tests/soak/promises.rs
@@ -58,7 +58,7 @@
     if is_success && !whole.starts_with(&got.body) {
         history.broken(format!("wrong bytes for {}", exchange.attempt));
     }
-    if is_success && got.is_whole && got.body != whole {
+    if is_success && got.is_complete && got.body != whole {
         history.broken(format!("short answer to {} looks whole", exchange.attempt));
     }
     if matches!(got.code(), 429 | 503) && got.retry_after_sec().is_none() {
@@ -170,7 +170,7 @@
         }
     });
     let has_left = took < timeout && took >= Duration::from_millis(exchange.patience_ms);
-    if is_all_calm && !has_left && !got.is_whole && !runs.is_empty() {
+    if is_all_calm && !has_left && !got.is_complete && !runs.is_empty() {
         let code = got.code();
         broken.push(format!(
             "{attempt} ran and its answer was lost ({code}, kept: {})",
@@ -317,7 +317,7 @@
     let count = |kind: Kind, is_good: bool| {
         let is_whole = |exchange: &&Exchange| {
             exchange.kind == kind
-                && (exchange.got.is_whole && exchange.got.code() == 200) == is_good
+                && (exchange.got.is_complete && exchange.got.code() == 200) == is_good
         };
         events.exchanges.iter().filter(is_whole).count()
     };
--- a/filbertpaddle/tests/soak/traffic.rs
+++ b/filbertpaddle/tests/soak/traffic.rs
@@ -7,9 +7,9 @@
 use std::time::Instant;
 
 use filbertpaddle_adapter_standins::caller;
-use filbertpaddle_adapter_standins::caller::Ask;
+use filbertpaddle_adapter_standins::caller::CallerRequest;
+use filbertpaddle_adapter_standins::caller::CallerResponse;
 use filbertpaddle_adapter_standins::caller::Connection;
-use filbertpaddle_adapter_standins::caller::Got;
 use filbertpaddle_adapter_standins::configuration::READ;
 use filbertpaddle_adapter_standins::configuration::RESUMABLE;
 use filbertpaddle_adapter_standins::configuration::STREAM;
@@ -88,7 +88,7 @@
             patience_ms: ask.deadline_ms,
             got,
         };
-        if !exchange.got.is_whole {
+        if !exchange.got.is_complete {
             kept = None;
         }
         promises::check_answer(&traffic.history, &exchange);
@@ -103,7 +103,7 @@
 }
 
 /// Sends one request on a new connection, which is not judged with the others.
-pub(crate) async fn probe(addresses: &Addresses, node: usize, number: usize) -> Got {
+pub(crate) async fn probe(addresses: &Addresses, node: usize, number: usize) -> CallerResponse {
     let attempt = format!("{PROBE}{node}-{number}");
     let ask = ask(Kind::Read, attempt, 0, addresses.key());
     caller::send(addresses.address(node), &ask).await
@@ -135,7 +135,7 @@
     }
 }
 
-fn draw(rng: &mut StdRng, attempt: String, key: u64) -> (Kind, u64, Ask) {
+fn draw(rng: &mut StdRng, attempt: String, key: u64) -> (Kind, u64, CallerRequest) {
     let kind = match rng.random_range(0..10) {
         0..3 => Kind::Read,
         3..6 => Kind::Write,
@@ -153,7 +153,7 @@
     (kind, events, ask)
 }
 
-fn ask(kind: Kind, attempt: String, events: u64, key: u64) -> Ask {
+fn ask(kind: Kind, attempt: String, events: u64, key: u64) -> CallerRequest {
     let (method, path) = match kind {
         Kind::Read => (Method::GET, READ),
         Kind::Write => (Method::POST, WRITE),
@@ -161,7 +161,7 @@
         Kind::Resumable => (Method::POST, RESUMABLE),
     };
     let output = u32::try_from(events * EVENT_TOKENS).unwrap();
-    Ask {
+    CallerRequest {
         attempt,
         method,
         path: path.to_owned(),
