--- a/filbertpaddle/tests/gateway/streams.rs
+++ b/filbertpaddle/tests/gateway/streams.rs
@@ -31,7 +31,7 @@
     assert_eq!(got.body, whole_stream("s", 200));
     let runs = world.ledger.runs_of("s");
     assert_eq!(runs.len(), 2);
-    assert!(runs[1].is_moved && runs[1].target != runs[0].target);
+    assert!(runs[1].is_migrated && runs[1].target != runs[0].target);
     world.close();
 }
 
@@ -50,7 +50,7 @@
     let (got, ()) = tokio::join!(world.send(&stream), leave);
     assert!(got.is_complete);
     assert_eq!(got.body, whole_stream("s", 400));
-    assert!(world.ledger.runs_of("s")[1].is_moved);
+    assert!(world.ledger.runs_of("s")[1].is_migrated);
     world.close();
 }
 
--- a/filbertpaddle/tests/gateway/world.rs
+++ b/filbertpaddle/tests/gateway/world.rs
@@ -12,9 +12,9 @@
 pub(crate) use filbertpaddle_adapter_standins::configuration::RESUMABLE;
 pub(crate) use filbertpaddle_adapter_standins::configuration::STREAM;
 pub(crate) use filbertpaddle_adapter_standins::configuration::WRITE;
-use filbertpaddle_adapter_standins::ledger::Ledger;
 use filbertpaddle_adapter_standins::node;
 use filbertpaddle_adapter_standins::node::Node;
+use filbertpaddle_adapter_standins::run_log::RunLog;
 use filbertpaddle_adapter_standins::store::Store;
 use filbertpaddle_adapter_standins::target;
 use filbertpaddle_adapter_standins::target::Copies;
@@ -32,7 +32,7 @@
 
 pub(crate) struct World {
     pub(crate) store: Store,
-    pub(crate) ledger: Ledger,
+    pub(crate) ledger: RunLog,
     pub(crate) targets: Vec<Target>,
     pub(crate) nodes: Vec<Node>,
     copies: Copies,
@@ -48,7 +48,7 @@
         store.put_configuration(&configuration(1, KEY));
         Self {
             store,
-            ledger: Ledger::new(),
+            ledger: RunLog::new(),
             targets: Vec::new(),
             nodes: Vec::new(),
             copies: Copies::default(),
--- a/filbertpaddle/tests/soak/cluster.rs
+++ b/filbertpaddle/tests/soak/cluster.rs
@@ -13,9 +13,9 @@
 use filbertpaddle_adapter_standins::configuration::APP;
 use filbertpaddle_adapter_standins::configuration::Configuration;
 use filbertpaddle_adapter_standins::configuration::ENGINE;
-use filbertpaddle_adapter_standins::ledger::Ledger;
 use filbertpaddle_adapter_standins::node;
 use filbertpaddle_adapter_standins::node::Node;
+use filbertpaddle_adapter_standins::run_log::RunLog;
 use filbertpaddle_adapter_standins::store::Store;
 use filbertpaddle_adapter_standins::target;
 use filbertpaddle_adapter_standins::target::Copies;
@@ -109,7 +109,7 @@
 #[derive(Debug)]
 pub(crate) struct Cluster {
     pub(crate) store: Store,
-    pub(crate) ledger: Ledger,
+    pub(crate) ledger: RunLog,
     pub(crate) history: History,
     pub(crate) addresses: Addresses,
     pub(crate) vms: Vec<Vm>,
@@ -131,7 +131,7 @@
         let addresses = (0..size.nodes).map(|_| Mutex::new(unset)).collect();
         let mut cluster = Self {
             store: Store::start().await.unwrap(),
-            ledger: Ledger::new(),
+            ledger: RunLog::new(),
             history: History::default(),
             addresses: Addresses {
                 addresses: Arc::new(addresses),
--- a/filbertpaddle/tests/soak/promises.rs
+++ b/filbertpaddle/tests/soak/promises.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use filbertpaddle_adapter_standins::configuration::CUSTOMER;
-use filbertpaddle_adapter_standins::ledger::Run;
+use filbertpaddle_adapter_standins::run_log::Run;
 use filbertpaddle_adapter_standins::target::POISON;
 use filbertpaddle_adapter_standins::target::event;
 
@@ -120,7 +120,7 @@
     {
         broken.push(format!("{attempt} ran for another customer"));
     }
-    let first_runs = runs.iter().filter(|run| !run.is_moved).count();
+    let first_runs = runs.iter().filter(|run| !run.is_migrated).count();
     let most = match exchange.kind.is_idempotent() {
         true => MAX_ATTEMPTS,
         false => 1,
@@ -264,7 +264,7 @@
         let repeats: Vec<_> = sent
             .iter()
             .filter_map(|exchange| runs.get(exchange.attempt.as_str()))
-            .flat_map(|runs| runs.iter().filter(|run| !run.is_moved).skip(1))
+            .flat_map(|runs| runs.iter().filter(|run| !run.is_migrated).skip(1))
             .map(|run| run.at)
             .collect();
         for end in &repeats {
