--- a/filbertpaddle/tests/gateway/limits.rs
+++ b/filbertpaddle/tests/gateway/limits.rs
@@ -9,8 +9,8 @@
 use http::Method;
 use tokio::time::sleep;
 
-use crate::world::READ;
-use crate::world::WRITE;
+use crate::world::READ_PATH;
+use crate::world::WRITE_PATH;
 use crate::world::World;
 use crate::world::ask;
 use crate::world::until;
@@ -24,10 +24,10 @@
     let world = World::with_nodes("retry", 1).await;
     world.target("p1").set_behaviour(Behaviour::Failing);
     world.target("p2").set_behaviour(Behaviour::Failing);
-    let got = world.send(&ask("r", Method::GET, READ, None)).await;
+    let got = world.send(&ask("r", Method::GET, READ_PATH, None)).await;
     assert_eq!((got.code(), got.is_sealed()), (500, true));
     assert_eq!(world.ledger.runs_of("r").len(), 2);
-    let got = world.send(&ask("w", Method::POST, WRITE, None)).await;
+    let got = world.send(&ask("w", Method::POST, WRITE_PATH, None)).await;
     assert_eq!((got.code(), got.is_sealed()), (500, true));
     assert_eq!(world.ledger.runs_of("w").len(), 1);
     world.close();
@@ -50,7 +50,7 @@
     let mut codes = Vec::new();
     for number in 0..8 {
         let node = world.nodes[number % 3].addresses.callers;
-        let mut poison = ask(&format!("poison-{number}"), Method::POST, WRITE, None);
+        let mut poison = ask(&format!("poison-{number}"), Method::POST, WRITE_PATH, None);
         poison.content = Some(POISON.to_owned());
         let got = caller::send(node, &poison).await;
         codes.push(got.code());
@@ -59,7 +59,7 @@
     }
     assert_eq!(codes, [502, 502, 502, 503, 503, 503, 503, 503]);
     assert_eq!(crashed(&world), 3);
-    let innocent = world.send(&ask("w", Method::POST, WRITE, None)).await;
+    let innocent = world.send(&ask("w", Method::POST, WRITE_PATH, None)).await;
     assert_eq!(innocent.code(), 200);
     world.close();
 }
@@ -72,7 +72,9 @@
     }
     until("the node knows them", async || {
         let attempt = format!("r{}", world.ledger.runs().len());
-        world.send(&ask(&attempt, Method::GET, READ, None)).await;
+        world
+            .send(&ask(&attempt, Method::GET, READ_PATH, None))
+            .await;
         world.ledger.runs().iter().any(|run| run.target == "q149")
     })
     .await;
@@ -83,7 +85,7 @@
     let requests = 40;
     for number in 0..requests {
         let got = world
-            .send(&ask(&format!("w{number}"), Method::POST, WRITE, None))
+            .send(&ask(&format!("w{number}"), Method::POST, WRITE_PATH, None))
             .await;
         assert_eq!(got.code(), 503);
     }
--- a/filbertpaddle/tests/gateway/streams.rs
+++ b/filbertpaddle/tests/gateway/streams.rs
@@ -4,8 +4,8 @@
 use filbertpaddle_adapter_standins::store::Fault;
 use http::Method;
 
-use crate::world::RESUMABLE;
-use crate::world::STREAM;
+use crate::world::RESUMABLE_PATH;
+use crate::world::STREAM_PATH;
 use crate::world::World;
 use crate::world::ask;
 use crate::world::until;
@@ -14,7 +14,7 @@
 #[tokio::test]
 async fn a_stream_moves_from_a_leaving_target_and_stays_whole() {
     let world = World::with_nodes("move", 1).await;
-    let stream = ask("s", Method::POST, STREAM, Some(800));
+    let stream = ask("s", Method::POST, STREAM_PATH, Some(800));
     let leave = async {
         until("the stream runs", async || {
             let runs = world.ledger.runs_of("s");
@@ -38,7 +38,7 @@
 #[tokio::test]
 async fn a_stream_moves_while_the_store_is_silent() {
     let world = World::with_nodes("blind", 1).await;
-    let stream = ask("s", Method::POST, STREAM, Some(1_600));
+    let stream = ask("s", Method::POST, STREAM_PATH, Some(1_600));
     let leave = async {
         until("the stream runs", async || {
             !world.ledger.runs_of("s").is_empty()
@@ -57,9 +57,9 @@
 #[tokio::test]
 async fn a_resumable_stream_goes_on_behind_its_last_event_and_another_is_cut() {
     let mut world = World::with_nodes("crash", 1).await;
-    let resumable = ask("go", Method::POST, RESUMABLE, Some(400));
+    let resumable = ask("go", Method::POST, RESUMABLE_PATH, Some(400));
     // Long enough to run until its target is closed.
-    let single = ask("cut", Method::POST, STREAM, Some(2_400));
+    let single = ask("cut", Method::POST, STREAM_PATH, Some(2_400));
     let node = world.nodes[0].addresses.callers;
     let going = tokio::spawn(async move { caller::send(node, &resumable).await });
     let cut = tokio::spawn(async move { caller::send(node, &single).await });
@@ -91,7 +91,7 @@
 #[tokio::test]
 async fn a_caller_that_leaves_ends_the_work_at_its_target() {
     let world = World::with_nodes("gone", 1).await;
-    let mut stream = ask("s", Method::POST, STREAM, Some(40_000));
+    let mut stream = ask("s", Method::POST, STREAM_PATH, Some(40_000));
     stream.deadline_ms = 300;
     let got = world.send(&stream).await;
     assert!(!got.is_complete);
--- a/filbertpaddle/tests/soak/cluster.rs
+++ b/filbertpaddle/tests/soak/cluster.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use filbertpaddle_adapter_standins::configuration::APP;
+use filbertpaddle_adapter_standins::configuration::APP_SERVICE;
 use filbertpaddle_adapter_standins::configuration::Configuration;
-use filbertpaddle_adapter_standins::configuration::ENGINE;
+use filbertpaddle_adapter_standins::configuration::ENGINE_SERVICE;
 use filbertpaddle_adapter_standins::node;
 use filbertpaddle_adapter_standins::node::Node;
 use filbertpaddle_adapter_standins::run_log::RunLog;
@@ -177,9 +177,9 @@
 
     async fn add_target_slot(&mut self, number: usize) {
         let service = if number.is_multiple_of(2) {
-            ENGINE
+            ENGINE_SERVICE
         } else {
-            APP
+            APP_SERVICE
         };
         let options = target::Options {
             id: format!("target-{number}"),
--- a/filbertpaddle/tests/soak/traffic.rs
+++ b/filbertpaddle/tests/soak/traffic.rs
@@ -10,10 +10,10 @@
 use filbertpaddle_adapter_standins::caller::CallerRequest;
 use filbertpaddle_adapter_standins::caller::CallerResponse;
 use filbertpaddle_adapter_standins::caller::Connection;
-use filbertpaddle_adapter_standins::configuration::READ;
-use filbertpaddle_adapter_standins::configuration::RESUMABLE;
-use filbertpaddle_adapter_standins::configuration::STREAM;
-use filbertpaddle_adapter_standins::configuration::WRITE;
+use filbertpaddle_adapter_standins::configuration::READ_PATH;
+use filbertpaddle_adapter_standins::configuration::RESUMABLE_PATH;
+use filbertpaddle_adapter_standins::configuration::STREAM_PATH;
+use filbertpaddle_adapter_standins::configuration::WRITE_PATH;
 use filbertpaddle_adapter_standins::target::EVENT_TOKENS;
 use filbertpaddle_adapter_standins::target::POISON;
 use http::Method;
@@ -155,10 +155,10 @@
 
 fn ask(kind: Kind, attempt: String, events: u64, key: u64) -> CallerRequest {
     let (method, path) = match kind {
-        Kind::Read => (Method::GET, READ),
-        Kind::Write => (Method::POST, WRITE),
-        Kind::Stream => (Method::POST, STREAM),
-        Kind::Resumable => (Method::POST, RESUMABLE),
+        Kind::Read => (Method::GET, READ_PATH),
+        Kind::Write => (Method::POST, WRITE_PATH),
+        Kind::Stream => (Method::POST, STREAM_PATH),
+        Kind::Resumable => (Method::POST, RESUMABLE_PATH),
     };
     let output = u32::try_from(events * EVENT_TOKENS).unwrap();
     CallerRequest {
