--- a/filbertpaddle-platform/src/client.rs
+++ b/filbertpaddle-platform/src/client.rs
@@ -19,7 +19,7 @@
 use crate::protocol::WeightLeaseRequest;
 
 /// Part of the whole timeout that may be spent on connecting.
-const CONNECT_SHARE: u32 = 2;
+const CONNECT_TIMEOUT_DIVISOR: u32 = 2;
 
 /// Client of one platform; clones share their connections.
 ///
@@ -42,7 +42,7 @@
         let http = reqwest::Client::builder()
             .timeout(timeout)
             // Shorter than the whole, so that a connect that hangs is known as such.
-            .connect_timeout(timeout / CONNECT_SHARE)
+            .connect_timeout(timeout / CONNECT_TIMEOUT_DIVISOR)
             .no_proxy()
             .build()?;
         Ok(Self {
@@ -88,7 +88,7 @@
         if response.status() == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        let bytes = check(response)?.bytes().await?;
+        let bytes = check_status(response)?.bytes().await?;
         Ok(Some(bytes.to_vec()))
     }
 
@@ -100,7 +100,7 @@
     pub async fn put_object(&self, key: &str, bytes: Vec<u8>) -> Result<(), Error> {
         let url = self.url(&["object/", key]);
         let response = self.http.put(url).body(bytes).send().await?;
-        check(response)?;
+        check_status(response)?;
         Ok(())
     }
 
@@ -111,9 +111,9 @@
     /// After [`Error::Unknown`] the permission may have been used up.
     pub async fn request_weight_lease(
         &self,
-        ask: &WeightLeaseRequest,
+        request: &WeightLeaseRequest,
     ) -> Result<WeightLeaseAnswer, Error> {
-        self.post("weights/leases", ask).await
+        self.post("weights/leases", request).await
     }
 
     /// Reads the list of VMs, which may lag.
@@ -123,7 +123,7 @@
     /// Returns an error if the list could not be read.
     pub async fn vms(&self) -> Result<VmList, Error> {
         let response = self.http.get(self.url(&["vms"])).send().await?;
-        Ok(check(response)?.json().await?)
+        Ok(check_status(response)?.json().await?)
     }
 
     async fn post<B, A>(&self, path: &str, body: &B) -> Result<A, Error>
@@ -133,7 +133,7 @@
     {
         let url = self.url(&[path]);
         let response = self.http.post(url).json(body).send().await?;
-        Ok(check(response)?.json().await?)
+        Ok(check_status(response)?.json().await?)
     }
 
     fn url(&self, path: &[&str]) -> String {
@@ -141,7 +141,7 @@
     }
 }
 
-fn check(response: Response) -> Result<Response, Error> {
+fn check_status(response: Response) -> Result<Response, Error> {
     match response.status() {
         status if status.is_success() => Ok(response),
         StatusCode::TOO_MANY_REQUESTS => Err(Error::NotDone(NotDone::RateLimited)),
--- a/filbertpaddle-target/src/client.rs
+++ b/filbertpaddle-target/src/client.rs
@@ -114,7 +114,9 @@
     /// Returns [`Error::NotStarted`] only if the target did nothing.
     pub async fn call(&self, address: SocketAddr, submit: &Submit) -> Result<CallAnswer, Error> {
         let request = self.http.post(url(address, "calls")).json(submit);
-        let answer: CallAnswer = self.json(request, self.settings.call_timeout_ms).await?;
+        let answer: CallAnswer = self
+            .request_json(request, self.settings.call_timeout_ms)
+            .await?;
         if answer.attempt != submit.attempt {
             return Err(Error::Unknown(UnknownOutcome::OtherAttempt(answer.attempt)));
         }
@@ -127,7 +129,7 @@
     ///
     /// Returns an error if the target cannot be reached or fails.
     pub async fn load(&self, address: SocketAddr) -> Result<LoadReport, Error> {
-        self.get(address, "load").await
+        self.get_json(address, "load").await
     }
 
     /// Reads what a target serves.
@@ -136,7 +138,7 @@
     ///
     /// Returns an error if the target cannot be reached or fails.
     pub async fn state(&self, address: SocketAddr) -> Result<LoadedState, Error> {
-        self.get(address, "state").await
+        self.get_json(address, "state").await
     }
 
     /// Reads the changes of a target's prefix cache after a sequence number.
@@ -145,7 +147,8 @@
     ///
     /// Returns an error if the target cannot be reached or fails.
     pub async fn cache(&self, address: SocketAddr, after: u64) -> Result<CacheEvents, Error> {
-        self.get(address, &format!("cache?after={after}")).await
+        self.get_json(address, &format!("cache?after={after}"))
+            .await
     }
 
     /// Gives a target an order.
@@ -155,15 +158,17 @@
     /// Returns [`Error::NotStarted`] only if the target did nothing.
     pub async fn order(&self, address: SocketAddr, order: &Order) -> Result<OrderAnswer, Error> {
         let request = self.http.post(url(address, "orders")).json(order);
-        self.json(request, self.settings.answer_timeout_ms).await
+        self.request_json(request, self.settings.answer_timeout_ms)
+            .await
     }
 
-    async fn get<T>(&self, address: SocketAddr, path: &str) -> Result<T, Error>
+    async fn get_json<T>(&self, address: SocketAddr, path: &str) -> Result<T, Error>
     where
         T: DeserializeOwned,
     {
         let request = self.http.get(url(address, path));
-        self.json(request, self.settings.answer_timeout_ms).await
+        self.request_json(request, self.settings.answer_timeout_ms)
+            .await
     }
 
     async fn stream(
@@ -177,7 +182,7 @@
         Ok(TokenStream::new(response, attempt, from, idle_timeout))
     }
 
-    async fn json<T>(&self, request: RequestBuilder, timeout_ms: Millis) -> Result<T, Error>
+    async fn request_json<T>(&self, request: RequestBuilder, timeout_ms: Millis) -> Result<T, Error>
     where
         T: DeserializeOwned,
     {
@@ -197,14 +202,14 @@
         match response.status() {
             status if status.is_success() => Ok(response),
             StatusCode::CONFLICT | StatusCode::SERVICE_UNAVAILABLE | StatusCode::NOT_FOUND => {
-                Err(self.refusal(response).await)
+                Err(self.read_refusal(response).await)
             }
             status => Err(Error::Unknown(UnknownOutcome::Status(status.as_u16()))),
         }
     }
 
     /// Reads a refusal; only a well-formed one proves that nothing ran.
-    async fn refusal(&self, response: Response) -> Error {
+    async fn read_refusal(&self, response: Response) -> Error {
         let status = response.status().as_u16();
         let timeout = duration(self.settings.answer_timeout_ms);
         match tokio::time::timeout(timeout, response.json::<Refusal>()).await {
--- a/filbertpaddle-target/src/stream.rs
+++ b/filbertpaddle-target/src/stream.rs
@@ -100,7 +100,7 @@
         if self.ended {
             return Ok(None);
         }
-        let event = self.event().await?;
+        let event = self.read_event().await?;
         self.accept(event).map(Some)
     }
 
@@ -135,7 +135,7 @@
         }
     }
 
-    async fn event(&mut self) -> Result<Event, Error> {
+    async fn read_event(&mut self) -> Result<Event, Error> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
                 let line = self.buffer.split_to(end);
@@ -146,11 +146,11 @@
                 let text = "line too long".to_owned();
                 return Err(Error::Unknown(UnknownOutcome::Malformed(text)));
             }
-            self.read().await?;
+            self.read_chunk().await?;
         }
     }
 
-    async fn read(&mut self) -> Result<(), Error> {
+    async fn read_chunk(&mut self) -> Result<(), Error> {
         let chunk = tokio::time::timeout(self.idle_timeout, self.response.chunk()).await;
         let chunk = chunk.map_err(|_| Error::Unknown(UnknownOutcome::Timeout))??;
         match chunk {
