--- a/filbertpaddle-target/src/client.rs
+++ b/filbertpaddle-target/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests to targets over kept connections.
+//! HTTP client of targets, which reuses its connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,16 +22,16 @@
 use crate::protocol::Submit;
 use crate::stream::TokenStream;
 
-/// How long a client waits for targets.
+/// Time limits of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Longest wait for a connection.
+    /// Time limit for connecting.
     pub connect_timeout_ms: Millis,
-    /// Longest wait for the head of an answer, and for a whole short answer.
+    /// Time limit for the headers of an answer, and for a whole short answer.
     pub answer_timeout_ms: Millis,
-    /// Longest wait for the answer of a plain call.
+    /// Time limit for the answer of a plain service.
     pub call_timeout_ms: Millis,
-    /// Longest silence within a token stream.
+    /// Maximum time between two chunks of a token stream.
     pub idle_timeout_ms: Millis,
 }
 
@@ -46,7 +46,9 @@
     }
 }
 
-/// A client of any number of targets; clones share their connections.
+/// Client of any number of targets; clones share their connections.
+///
+/// The client never repeats a request by itself.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: reqwest::Client,
@@ -69,21 +71,21 @@
         Ok(Self { http, settings })
     }
 
-    /// Starts a generation.
+    /// Starts a generation and returns its token stream.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::NotStarted`] only if the target did nothing.
+    /// Returns [`Error::NotStarted`] only if the request provably had no effect.
     pub async fn submit(&self, address: SocketAddr, submit: &Submit) -> Result<TokenStream, Error> {
         let request = self.http.post(url(address, "generations")).json(submit);
         self.stream(request, submit.attempt.clone(), 0).await
     }
 
-    /// Continues the stream of an attempt with the token at index `from`.
+    /// Resumes the token stream of an attempt with the token at index `from`.
     ///
     /// # Errors
     ///
-    /// Returns an error if the target does not know the attempt or fails.
+    /// Returns an error if the attempt is unknown to the target or the request fails.
     pub async fn resume(
         &self,
         address: SocketAddr,
@@ -95,11 +97,11 @@
         self.stream(request, attempt.clone(), from).await
     }
 
-    /// Cancels an attempt; cancelling one that has ended does nothing.
+    /// Cancels an attempt; has no effect if it has ended.
     ///
     /// # Errors
     ///
-    /// Returns an error if the target does not know the attempt or fails.
+    /// Returns an error if the attempt is unknown to the target or the request fails.
     pub async fn cancel(&self, address: SocketAddr, attempt: &Name) -> Result<(), Error> {
         let path = format!("generations/{attempt}");
         let request = self.http.delete(url(address, &path));
@@ -107,11 +109,11 @@
         Ok(())
     }
 
-    /// Runs a call of a plain service.
+    /// Sends a call to a plain service and returns its answer.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::NotStarted`] only if the target did nothing.
+    /// Returns [`Error::NotStarted`] only if the request provably had no effect.
     pub async fn call(&self, address: SocketAddr, submit: &Submit) -> Result<CallAnswer, Error> {
         let request = self.http.post(url(address, "calls")).json(submit);
         let answer: CallAnswer = self
@@ -123,39 +125,39 @@
         Ok(answer)
     }
 
-    /// Reads the load of a target.
+    /// Reads the load report of a target.
     ///
     /// # Errors
     ///
-    /// Returns an error if the target cannot be reached or fails.
+    /// Returns an error if the request fails.
     pub async fn load(&self, address: SocketAddr) -> Result<LoadReport, Error> {
         self.get_json(address, "load").await
     }
 
-    /// Reads what a target serves.
+    /// Reads the model, version and adapters that a target has loaded.
     ///
     /// # Errors
     ///
-    /// Returns an error if the target cannot be reached or fails.
+    /// Returns an error if the request fails.
     pub async fn state(&self, address: SocketAddr) -> Result<LoadedState, Error> {
         self.get_json(address, "state").await
     }
 
-    /// Reads the changes of a target's prefix cache after a sequence number.
+    /// Reads the changes of a target's prefix cache after the sequence number `after`.
     ///
     /// # Errors
     ///
-    /// Returns an error if the target cannot be reached or fails.
+    /// Returns an error if the request fails.
     pub async fn cache(&self, address: SocketAddr, after: u64) -> Result<CacheEvents, Error> {
         self.get_json(address, &format!("cache?after={after}"))
             .await
     }
 
-    /// Gives a target an order.
+    /// Orders a target to load a model, version and adapters.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::NotStarted`] only if the target did nothing.
+    /// Returns [`Error::NotStarted`] only if the request provably had no effect.
     pub async fn order(&self, address: SocketAddr, order: &Order) -> Result<OrderAnswer, Error> {
         let request = self.http.post(url(address, "orders")).json(order);
         self.request_json(request, self.settings.answer_timeout_ms)
@@ -208,7 +210,7 @@
         }
     }
 
-    /// Reads a refusal; only a well-formed one proves that nothing ran.
+    /// Reads the body of a refusal. Only a well-formed one proves that the request did not run.
     async fn read_refusal(&self, response: Response) -> Error {
         let status = response.status().as_u16();
         let timeout = duration(self.settings.answer_timeout_ms);
--- a/filbertpaddle-target/src/error.rs
+++ b/filbertpaddle-target/src/error.rs
@@ -1,65 +1,65 @@
-//! What can go wrong between a node and a target.
+//! Errors of requests to targets, by whether the request may have run.
 
 use filbertpaddle_core::name::Name;
 use thiserror::Error;
 
 use crate::protocol::RefusalCause;
 
-/// Why a target did not do as asked.
+/// Failure of a request to a target.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Error {
-    /// The target has done nothing for this request.
-    #[error("not started: {0}")]
+    /// The request provably had no effect.
+    #[error("request not run by the target: {0}")]
     NotStarted(NotStarted),
-    /// The target may have started the work.
-    #[error("outcome unknown: {0}")]
+    /// The target may have run the request.
+    #[error("request may have run at the target: {0}")]
     Unknown(UnknownOutcome),
 }
 
-/// Proof that a target has done nothing.
+/// Reason why a request provably had no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum NotStarted {
-    /// No connection came about, so nothing was sent.
-    #[error("no connection: {0}")]
+    /// Connecting failed, so the request was not sent.
+    #[error("cannot connect: {0}")]
     Unreachable(String),
-    /// The target said that it refused the work.
+    /// The target refused the request.
     #[error("refused: {0:?}")]
     Refused(RefusalCause),
 }
 
-/// Why nobody can tell what a target has done.
+/// Reason why it is unknown whether a request ran.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum UnknownOutcome {
-    /// The connection failed after the request may have been sent.
-    #[error("connection failed: {0}")]
+    /// The connection was lost after the request may have been sent.
+    #[error("connection lost: {0}")]
     ConnectionLost(String),
-    /// The target did not answer in time.
-    #[error("no answer in time")]
+    /// The target did not answer, or sent no part of a stream, within the time limit.
+    #[error("timed out waiting for the target")]
     Timeout,
     /// The target answered with an unexpected status.
-    #[error("status {0}")]
+    #[error("unexpected status {0}")]
     Status(u16),
     /// The answer could not be decoded.
-    #[error("malformed answer: {0}")]
+    #[error("cannot decode the answer: {0}")]
     Malformed(String),
-    /// The answer belongs to another attempt and was dropped.
-    #[error("answer of attempt {0}")]
+    /// The answer belongs to another attempt and was discarded.
+    #[error("answer belongs to another attempt, {0}")]
     OtherAttempt(Name),
-    /// The attempt id was used before with another body.
-    #[error("the attempt is known with another body")]
+    /// The attempt ID was used before with another body.
+    #[error("attempt ID already used with another body")]
     AttemptIdReused,
     /// Tokens are missing from the stream.
-    #[error("expected token {expected}, got {got}")]
+    #[error("tokens missing from the stream: expected index {expected}, got {got}")]
     MissingTokens {
-        /// Index of the next token.
+        /// Expected index of the next token.
         expected: u32,
-        /// Index that arrived.
+        /// Index of the token that arrived.
         got: u32,
     },
 }
 
 impl Error {
-    /// Returns whether the target provably did nothing.
+    /// Returns whether the request provably had no effect.
     pub const fn is_not_started(&self) -> bool {
         matches!(self, Self::NotStarted(_))
     }
@@ -76,7 +76,7 @@
 
 impl From<reqwest::Error> for Error {
     fn from(error: reqwest::Error) -> Self {
-        // A request is written only once its connection stands.
+        // A request is sent only after its connection is established.
         if error.is_connect() {
             return Self::NotStarted(NotStarted::Unreachable(describe(&error)));
         }
@@ -90,7 +90,7 @@
     }
 }
 
-/// Describes an error with its causes; the outermost text alone says little.
+/// Formats an error with its sources, since its own message omits the cause.
 fn describe(error: &reqwest::Error) -> String {
     let mut text = error.to_string();
     let mut source = std::error::Error::source(error);
--- a/filbertpaddle-target/src/lib.rs
+++ b/filbertpaddle-target/src/lib.rs
@@ -1,4 +1,5 @@
-//! Client for model engines and plain services.
+//! Client for targets, which are model engines and plain services: its HTTP requests, the
+//! token streams and the JSON protocol.
 
 pub mod client;
 pub mod error;
--- a/filbertpaddle-target/src/prefix.rs
+++ b/filbertpaddle-target/src/prefix.rs
@@ -1,14 +1,14 @@
-//! Digests of prompt prefixes, as targets name them in cache events.
+//! Digests of prompt prefixes, which identify the prefixes in a target's cache events.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Prefixes are cached in whole blocks of this many bytes of the prompt.
+/// Size of a block of the prompt. Only prefixes of whole blocks are cached.
 pub const BLOCK_BYTES: usize = 1_024;
 
-/// Most blocks of one prompt that are cached.
+/// Maximum number of blocks of one prompt that are cached.
 pub const MAX_BLOCKS: usize = 32;
 
-/// Returns the digests of the prompt's whole-block prefixes, shortest first.
+/// Returns the digests of the prompt's cacheable prefixes, shortest first.
 ///
 /// # Examples
 ///
--- a/filbertpaddle-target/src/protocol.rs
+++ b/filbertpaddle-target/src/protocol.rs
@@ -1,14 +1,14 @@
-//! The JSON bodies exchanged with targets.
+//! JSON bodies exchanged with targets.
 //!
-//! - `POST /v1/generations` with [`Submit`] answers a stream of [`Event`]
+//! - `POST /v1/generations` with [`Submit`] returns a stream of [`Event`]
 //!   lines (newline-delimited JSON) that ends with [`EventBody::End`].
 //! - `GET /v1/generations/{attempt}?from={index}` resumes that stream.
 //! - `DELETE /v1/generations/{attempt}` cancels.
-//! - `POST /v1/calls` with [`Submit`] answers one [`CallAnswer`].
-//! - `GET /v1/load` answers a [`LoadReport`].
-//! - `GET /v1/cache?after={sequence}` answers a [`CacheEvents`].
-//! - `POST /v1/orders` with [`Order`] answers an [`OrderAnswer`].
-//! - `GET /v1/state` answers a [`LoadedState`].
+//! - `POST /v1/calls` with [`Submit`] returns a [`CallAnswer`].
+//! - `GET /v1/load` returns a [`LoadReport`].
+//! - `GET /v1/cache?after={sequence}` returns [`CacheEvents`].
+//! - `POST /v1/orders` with [`Order`] returns an [`OrderAnswer`].
+//! - `GET /v1/state` returns a [`LoadedState`].
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
@@ -16,18 +16,18 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Asks a target to start work.
+/// Request to start a generation, or a call of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submit {
-    /// Unique among all attempts of all nodes.
+    /// Attempt ID, unique among all attempts of all nodes.
     pub attempt: Name,
-    /// Fencing number of the pool owner that granted the slot.
+    /// Fencing token of the pool owner that granted the slot.
     pub fence: u64,
     /// Scheduling priority.
     pub priority: Priority,
-    /// Whole prompt, or the body of a plain call.
+    /// Prompt, or the body of a call of a plain service.
     pub prompt: String,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
 }
 
@@ -36,14 +36,14 @@
 pub struct Event {
     /// Attempt that the line belongs to.
     pub attempt: Name,
-    /// Position of the token, from zero; at the end, the number of tokens.
+    /// Position of the token, from zero; for [`EventBody::End`], the number of tokens.
     pub index: u32,
-    /// What the line carries.
+    /// Content of the line.
     #[serde(flatten)]
     pub body: EventBody,
 }
 
-/// What a line of a token stream carries.
+/// Content of a line of a token stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum EventBody {
@@ -54,18 +54,18 @@
     },
     /// The generation has ended.
     End {
-        /// Why it ended.
+        /// Cause of the end.
         cause: EndCause,
     },
 }
 
-/// Why a generation ended at the target.
+/// Cause of the end of a generation at the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndCause {
     /// The model produced its stop token.
     Stop,
-    /// `max_tokens` was reached.
+    /// The generation reached `max_tokens`.
     Length,
     /// The attempt was cancelled.
     Cancelled,
@@ -80,116 +80,117 @@
     pub body: String,
 }
 
-/// Answer of a target that refused work before starting it, with status 409 or 503.
+/// Answer of a target that refused a request or an order without running it, with status
+/// 404, 409 or 503.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why the work was refused.
+    /// Cause of the refusal.
     pub cause: RefusalCause,
 }
 
-/// Why a target refused work or an order.
+/// Cause of the refusal of a request or an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalCause {
-    /// The fencing number is older than one already seen.
+    /// The fencing token is older than one that the target has seen.
     StaleFence,
-    /// The attempt id is already known with another body.
+    /// The attempt ID was used before with another body.
     DuplicateAttempt,
-    /// The target is leaving.
+    /// The target is about to stop.
     Leaving,
     /// The model or version is not loaded.
     NotLoaded,
-    /// The attempt is not known.
+    /// The attempt is unknown to the target.
     UnknownAttempt,
 }
 
-/// Whether a target has warmed up.
+/// Whether a target has warmed up since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Warmth {
-    /// Bears only a little load.
+    /// Overloaded by more than `cold_limit` concurrent attempts.
     #[default]
     Cold,
-    /// Bears its full load.
+    /// Can run `warm_limit` attempts concurrently.
     Warm,
 }
 
-/// Load of a target as of some time ago.
+/// Load of a target, as it was `age_ms` ago.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Distinguishes two lives of the target.
+    /// Distinguishes the target from its earlier instances.
     pub incarnation: u64,
-    /// How long ago the numbers were taken.
+    /// Age of the report.
     pub age_ms: Millis,
-    /// Attempts in the batch.
+    /// Number of attempts in the running batch.
     pub running: u32,
-    /// Attempts waiting for the batch.
+    /// Number of attempts that wait to join the batch.
     pub waiting: u32,
-    /// Memory pages in use.
+    /// Number of KV cache pages in use.
     pub used_pages: u32,
-    /// Memory pages in all.
+    /// Total number of KV cache pages.
     pub total_pages: u32,
-    /// Tokens that a page holds.
+    /// Number of tokens per page.
     pub page_tokens: u32,
-    /// Preemptions since the target started.
+    /// Number of preemptions since the target started.
     pub preemptions: u64,
     /// Whether the target has warmed up.
     pub warmth: Warmth,
-    /// Attempts a cold target bears at once.
+    /// Number of concurrent attempts that the target can sustain while cold.
     pub cold_limit: u32,
-    /// Attempts a warm target may run at once.
+    /// Maximum number of concurrent attempts once the target is warm.
     pub warm_limit: u32,
-    /// Whether the target will be reclaimed soon.
+    /// Whether the target's VM is about to be reclaimed.
     pub leaving: bool,
-    /// Ids of the attempts that run or wait.
+    /// IDs of the attempts that run or wait.
     pub attempts: Vec<Name>,
 }
 
 /// Changes of a target's prefix cache.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// Changes in order; a gap in the sequence means some were lost.
+    /// Changes in order; a gap in their sequence numbers means that some were lost.
     pub events: Vec<CacheEvent>,
 }
 
 /// One change of a prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event, from one.
+    /// Sequence number of the event, from one.
     pub sequence: u64,
     /// Digest of the prefix.
     pub prefix: u64,
-    /// Whether the prefix is held now.
+    /// Whether the prefix was added to the cache; otherwise it was evicted.
     pub held: bool,
 }
 
-/// Asks a target to change what it serves.
+/// Order to a target to load a model, version and adapters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Unique among all orders.
+    /// Order ID, unique among all orders.
     pub id: Name,
-    /// Fencing number of the owner that gives the order.
+    /// Fencing token of the owner that gives the order.
     pub fence: u64,
-    /// What the target is to serve.
+    /// State that the target must reach.
     pub state: LoadedState,
 }
 
-/// What a target serves.
+/// Model, version and adapters that a target has loaded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadedState {
     /// Model that is loaded.
     pub model: Name,
     /// Version that is loaded.
     pub version: Name,
-    /// Adapters that are loaded, sorted.
+    /// Adapters that are loaded, sorted by name.
     pub adapters: Vec<Name>,
-    /// Highest fencing number obeyed.
+    /// Highest fencing token that the target has accepted.
     pub fence: u64,
 }
 
 /// Answer to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderAnswer {
-    /// What the target serves now.
+    /// State of the target after the order.
     pub state: LoadedState,
 }
--- a/filbertpaddle-target/src/stream.rs
+++ b/filbertpaddle-target/src/stream.rs
@@ -1,4 +1,4 @@
-//! Token streams.
+//! Token streams of generations.
 
 use std::fmt;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use crate::protocol::Event;
 use crate::protocol::EventBody;
 
-/// Longest line of a token stream, in bytes.
+/// Maximum length of a line, which limits the memory that a faulty target can use.
 const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// What arrived on a token stream.
+/// Item of a token stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Received {
     /// The next token.
@@ -29,24 +29,24 @@
     },
     /// The generation has ended; nothing follows.
     End {
-        /// Number of tokens in all.
+        /// Total number of tokens.
         tokens: u32,
         /// Why it ended.
         cause: EndCause,
     },
-    /// A line of another attempt; to be counted, never passed on.
+    /// A line of another attempt, which the receiver must discard.
     OtherAttempt {
         /// Attempt that the line belongs to.
         attempt: Name,
     },
-    /// A token that came before; to be counted, never passed on.
+    /// A token that was received before, which the receiver must discard.
     Duplicate {
         /// Position of the token.
         index: u32,
     },
 }
 
-/// The tokens of one attempt, in order.
+/// Token stream of one attempt, in the order of the tokens.
 pub struct TokenStream {
     response: Response,
     attempt: Name,
@@ -88,14 +88,14 @@
         self.next_index
     }
 
-    /// Waits for the next arrival; `None` once the generation has ended.
+    /// Waits for the next item; returns `None` once the generation has ended.
     ///
-    /// Cancel safe: dropping the future loses nothing.
+    /// Cancel safe: dropping the future loses no data.
     ///
     /// # Errors
     ///
-    /// Returns an error if the stream breaks off, is silent for too long,
-    /// leaves out a token or is malformed. The attempt may then be resumed.
+    /// Returns an error if the connection is lost, nothing arrives within the time limit, a
+    /// token is missing or a line is malformed. The attempt can then be resumed.
     pub async fn next(&mut self) -> Result<Option<Received>, Error> {
         if self.ended {
             return Ok(None);
@@ -125,7 +125,7 @@
                 Ok(Received::Token { index, text })
             }
             EventBody::End { .. } if index < self.next_index => Err(Error::Unknown(
-                UnknownOutcome::Malformed("early end".to_owned()),
+                UnknownOutcome::Malformed("end before the last token".to_owned()),
             )),
             EventBody::End { cause } => {
                 self.ended = true;
@@ -143,7 +143,7 @@
                 return serde_json::from_slice(&line).map_err(|error| malformed(&error));
             }
             if self.buffer.len() > MAX_LINE_BYTES {
-                let text = "line too long".to_owned();
+                let text = format!("line longer than {MAX_LINE_BYTES} bytes");
                 return Err(Error::Unknown(UnknownOutcome::Malformed(text)));
             }
             self.read_chunk().await?;
@@ -157,7 +157,7 @@
             Some(chunk) => self.buffer.extend_from_slice(&chunk),
             None => {
                 return Err(Error::Unknown(UnknownOutcome::ConnectionLost(
-                    "end of stream".to_owned(),
+                    "stream closed before the generation ended".to_owned(),
                 )));
             }
         }
