--- a/filbertpaddle-platform/src/client.rs
+++ b/filbertpaddle-platform/src/client.rs
@@ -18,10 +18,10 @@
 use crate::protocol::WeightLeaseAnswer;
 use crate::protocol::WeightLeaseRequest;
 
-/// Part of the whole timeout that may be spent on connecting.
+/// Connecting may take at most the whole timeout divided by this.
 const CONNECT_TIMEOUT_DIVISOR: u32 = 2;
 
-/// Client of one platform; clones share their connections.
+/// Client of the platform; clones share their connections.
 ///
 /// The client never repeats a request by itself.
 #[derive(Clone, Debug)]
@@ -31,17 +31,18 @@
 }
 
 impl Client {
-    /// Makes a client of the platform at `base`, such as `http://127.0.0.1:80`.
-    ///
-    /// `timeout` bounds each request as a whole.
+    /// Creates a client of the platform at the base URL `base`, such as
+    /// `http://127.0.0.1:80`. `timeout` is the time limit of each request, including
+    /// connecting.
     ///
     /// # Errors
     ///
-    /// Returns [`NotDone::Invalid`] if the HTTP library cannot be set up.
+    /// Returns [`NotDone::Invalid`] if the HTTP client cannot be set up.
     pub fn new(base: impl Into<String>, timeout: Duration) -> Result<Self, Error> {
         let http = reqwest::Client::builder()
             .timeout(timeout)
-            // Shorter than the whole, so that a connect that hangs is known as such.
+            // Shorter than the whole timeout, so that a hanging connect is reported as
+            // such: it proves that the request was not sent.
             .connect_timeout(timeout / CONNECT_TIMEOUT_DIVISOR)
             .no_proxy()
             .build()?;
@@ -51,11 +52,11 @@
         })
     }
 
-    /// Performs a transaction.
+    /// Applies a transaction to the table.
     ///
     /// # Errors
     ///
-    /// After [`Error::Unknown`] the transaction may have taken effect.
+    /// Returns [`Error::Unknown`] if the transaction may have taken effect.
     pub async fn transact(&self, transaction: &Transaction) -> Result<TransactAnswer, Error> {
         self.post("table/transact", transaction).await
     }
@@ -69,7 +70,7 @@
         self.post("table/read", &Read { keys }).await
     }
 
-    /// Reads rows in key order.
+    /// Reads the rows with a key prefix, in key order.
     ///
     /// # Errors
     ///
@@ -78,7 +79,7 @@
         self.post("table/scan", scan).await
     }
 
-    /// Reads an object; `None` means that there is none.
+    /// Reads an object; returns `None` if it does not exist.
     ///
     /// # Errors
     ///
@@ -96,7 +97,7 @@
     ///
     /// # Errors
     ///
-    /// After [`Error::Unknown`] the object may have been written.
+    /// Returns [`Error::Unknown`] if the object may have been written.
     pub async fn put_object(&self, key: &str, bytes: Vec<u8>) -> Result<(), Error> {
         let url = self.url(&["object/", key]);
         let response = self.http.put(url).body(bytes).send().await?;
@@ -104,11 +105,11 @@
         Ok(())
     }
 
-    /// Asks the weight store for permission to load a model.
+    /// Requests a lease from the weight store, which permits loading a model's weights.
     ///
     /// # Errors
     ///
-    /// After [`Error::Unknown`] the permission may have been used up.
+    /// Returns [`Error::Unknown`] if the lease may have been granted.
     pub async fn request_weight_lease(
         &self,
         request: &WeightLeaseRequest,
@@ -116,7 +117,7 @@
         self.post("weights/leases", request).await
     }
 
-    /// Reads the list of VMs, which may lag.
+    /// Reads the list of VMs, which may be outdated.
     ///
     /// # Errors
     ///
--- a/filbertpaddle-platform/src/error.rs
+++ b/filbertpaddle-platform/src/error.rs
@@ -1,29 +1,29 @@
-//! What is known after a failed request to the platform.
+//! Errors of requests to the platform, by whether the request may have taken effect.
 
-/// Why a request to the platform failed.
+/// Failure of a request to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// Nothing was done: the platform refused the request or never received it.
-    #[error("platform did nothing: {0}")]
+    /// The request had no effect: the platform refused it or never received it.
+    #[error("request had no effect at the platform: {0}")]
     NotDone(NotDone),
     /// The request may have taken effect.
-    #[error("effect at the platform is unknown: {0}")]
+    #[error("request may have taken effect at the platform: {0}")]
     Unknown(String),
 }
 
-/// Why a request to the platform had no effect.
+/// Reason why a request to the platform had no effect.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotDone {
-    /// The rate limit was hit.
-    #[error("rate limit")]
+    /// The platform's rate limit was exceeded.
+    #[error("rate limit exceeded")]
     RateLimited,
-    /// The service says that it is down.
-    #[error("service down")]
+    /// The service reports that it is unavailable.
+    #[error("service unavailable")]
     Unavailable,
-    /// No connection could be made.
-    #[error("no connection: {0}")]
+    /// Connecting failed.
+    #[error("cannot connect: {0}")]
     Unreachable(String),
-    /// The client is misconfigured or the body could not be encoded.
+    /// The HTTP client is misconfigured or the body cannot be encoded.
     #[error("cannot build request: {0}")]
     Invalid(String),
 }
@@ -40,8 +40,8 @@
         if error.is_builder() {
             return Self::NotDone(NotDone::Invalid(error.to_string()));
         }
-        // A failed connect proves that no byte of the request was sent. A
-        // request over an existing connection may have arrived.
+        // If connecting failed, no byte of the request was sent. A request over an
+        // existing connection may have arrived.
         if error.is_connect() {
             return Self::NotDone(NotDone::Unreachable(error.to_string()));
         }
--- a/filbertpaddle-platform/src/protocol.rs
+++ b/filbertpaddle-platform/src/protocol.rs
@@ -1,40 +1,41 @@
-//! The JSON bodies exchanged with the platform.
+//! JSON bodies exchanged with the platform.
 //!
-//! - `POST /table/transact` with [`Transaction`] answers [`TransactAnswer`].
-//! - `POST /table/read` with [`Read`] answers [`Rows`].
-//! - `POST /table/scan` with [`Scan`] answers [`Rows`].
-//! - `GET` and `PUT /object/{key}` carry bytes.
-//! - `POST /weights/leases` with [`WeightLeaseRequest`] answers [`WeightLeaseAnswer`].
-//! - `GET /vms` answers [`VmList`], which may lag.
+//! - `POST /table/transact` with [`Transaction`] returns a [`TransactAnswer`].
+//! - `POST /table/read` with [`Read`] returns [`Rows`].
+//! - `POST /table/scan` with [`Scan`] returns [`Rows`].
+//! - `GET` and `PUT /object/{key}` read and write the bytes of an object.
+//! - `POST /weights/leases` with [`WeightLeaseRequest`] returns a
+//!   [`WeightLeaseAnswer`].
+//! - `GET /vms` returns a [`VmList`], which may be outdated.
 //!
-//! Status 429 means that the rate limit was hit and nothing was done; 503
-//! that the service is down and nothing was done. Any other failure leaves
-//! the effect of a transaction unknown.
+//! Status 429 means that the rate limit was exceeded, and 503 that the service is
+//! unavailable; in both cases the request had no effect. After any other failure it is
+//! unknown whether a transaction took effect.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Conditions and writes that take effect together or not at all.
+/// Atomic transaction: all writes take effect if all conditions hold, otherwise none does.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold for the writes to take effect.
+    /// Conditions that must hold for the writes to take effect.
     pub conditions: Vec<Condition>,
     /// The writes.
     pub writes: Vec<Write>,
 }
 
-/// The row must be at the revision, or absent.
+/// Condition that a row has a given revision or is absent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
     /// Key of the row.
     pub key: String,
-    /// Table revision of the row's last write; `None` means absent.
+    /// Required table revision of the row's last write; `None` if the row must be absent.
     pub revision: Option<u64>,
 }
 
-/// Sets or deletes a row.
+/// Write or deletion of a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
     /// Key of the row.
@@ -52,44 +53,44 @@
         /// Table revision of the writes.
         revision: u64,
     },
-    /// Nothing took effect.
+    /// A condition failed, and no write took effect.
     Conflict {
-        /// The rows whose condition failed, as they are; absent rows are left out.
+        /// Current rows whose condition failed; absent rows are left out.
         rows: Vec<Row>,
-        /// Keys whose condition failed.
+        /// Keys of all rows whose condition failed.
         keys: Vec<String>,
     },
 }
 
-/// Asks for rows by key.
+/// Request to read rows by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Read {
     /// Keys of the rows.
     pub keys: Vec<String>,
 }
 
-/// Asks for rows in key order.
+/// Request to read the rows with a key prefix, in key order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Scan {
-    /// Start of the keys.
+    /// Prefix of the keys.
     pub prefix: String,
-    /// Only keys greater than this one.
+    /// Key after which to start; `None` to start with the first.
     #[serde(default)]
     pub after: Option<String>,
-    /// Most rows to answer.
+    /// Maximum number of rows to return.
     pub limit: u32,
 }
 
-/// Rows found, in key order, all as of one table revision.
+/// Rows in key order, all as of one table revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rows {
     /// The rows; absent ones are left out.
     pub rows: Vec<Row>,
-    /// Table revision as of which they were read.
+    /// Table revision at which they were read.
     pub revision: u64,
 }
 
-/// One row.
+/// Row of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// Key of the row.
@@ -100,7 +101,7 @@
     pub revision: u64,
 }
 
-/// Asks for permission to load weights.
+/// Request for a lease, which permits loading a model's weights.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightLeaseRequest {
     /// Model to load.
@@ -109,40 +110,40 @@
     pub version: Name,
 }
 
-/// Permission of the weight store.
+/// Answer of the weight store to a request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightLeaseAnswer {
     /// Whether the load may start now.
     pub granted: bool,
-    /// When to ask again if not granted.
+    /// Time after which to retry if not granted.
     pub retry_after_ms: Millis,
 }
 
-/// The platform's view of the VMs.
+/// List of VMs, as known to the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmList {
-    /// The VMs, by name.
+    /// VMs, sorted by name.
     pub vms: Vec<Vm>,
 }
 
-/// One VM of the platform's list.
+/// VM in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
     /// Name of the VM.
     pub name: Name,
     /// Data centre of the VM.
     pub data_centre: Name,
-    /// What the VM is for.
+    /// Role of the VM.
     pub role: VmRole,
-    /// Address of its service, `ip:port`.
+    /// Address of its service, as `IP:PORT`.
     pub address: Name,
-    /// Model or plain service of a target; empty for entry VMs.
+    /// Name of the model or plain service of a target; empty for entry VMs.
     pub model: Name,
-    /// Whether the VM is about to leave.
+    /// Whether the VM is about to be reclaimed.
     pub leaving: bool,
 }
 
-/// What a VM is for.
+/// Role of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmRole {
