--- a/filbertpaddle-standins/src/direct.rs
+++ b/filbertpaddle-standins/src/direct.rs
@@ -9,7 +9,7 @@
 use filbertpaddle_target::error::UnknownOutcome;
 use filbertpaddle_target::protocol::Submit;
 use filbertpaddle_target::stream::Received;
-use filbertpaddle_target::stream::TokenStream;
+use filbertpaddle_target::stream::Tokens;
 
 use crate::balancer::Balancer;
 use crate::observation::Ending;
@@ -197,7 +197,7 @@
     }
 }
 
-async fn relay(stream: &mut TokenStream, observer: &mut Observer) -> Result<(), Error> {
+async fn relay(stream: &mut Tokens, observer: &mut Observer) -> Result<(), Error> {
     while let Some(received) = stream.next().await? {
         match received {
             Received::Token { index, text } => observer.token(index, &text),
--- a/filbertpaddle-standins/tests/engine.rs
+++ b/filbertpaddle-standins/tests/engine.rs
@@ -25,7 +25,7 @@
 use filbertpaddle_target::protocol::Submit;
 use filbertpaddle_target::protocol::Warmth;
 use filbertpaddle_target::stream::Received;
-use filbertpaddle_target::stream::TokenStream;
+use filbertpaddle_target::stream::Tokens;
 
 fn client() -> Client {
     Client::new(client::Settings::default()).unwrap()
@@ -62,7 +62,7 @@
     }
 }
 
-async fn texts(stream: &mut TokenStream) -> Result<Vec<String>, Error> {
+async fn texts(stream: &mut Tokens) -> Result<Vec<String>, Error> {
     let mut texts = Vec::new();
     while let Some(received) = stream.next().await? {
         if let Received::Token { text, .. } = received {
--- a/filbertpaddle-target/src/client.rs
+++ b/filbertpaddle-target/src/client.rs
@@ -20,7 +20,7 @@
 use crate::protocol::OrderAnswer;
 use crate::protocol::Refusal;
 use crate::protocol::Submit;
-use crate::stream::TokenStream;
+use crate::stream::Tokens;
 
 /// Time limits of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
     /// # Errors
     ///
     /// Returns [`Error::NotStarted`] only if the request provably had no effect.
-    pub async fn submit(&self, address: SocketAddr, submit: &Submit) -> Result<TokenStream, Error> {
+    pub async fn submit(&self, address: SocketAddr, submit: &Submit) -> Result<Tokens, Error> {
         let request = self.http.post(url(address, "generations")).json(submit);
         self.stream(request, submit.attempt.clone(), 0).await
     }
@@ -91,7 +91,7 @@
         address: SocketAddr,
         attempt: &Name,
         from: u32,
-    ) -> Result<TokenStream, Error> {
+    ) -> Result<Tokens, Error> {
         let path = format!("generations/{attempt}?from={from}");
         let request = self.http.get(url(address, &path));
         self.stream(request, attempt.clone(), from).await
@@ -178,10 +178,10 @@
         request: RequestBuilder,
         attempt: Name,
         from: u32,
-    ) -> Result<TokenStream, Error> {
+    ) -> Result<Tokens, Error> {
         let response = self.send(request, self.settings.answer_timeout_ms).await?;
         let idle_timeout = duration(self.settings.idle_timeout_ms);
-        Ok(TokenStream::new(response, attempt, from, idle_timeout))
+        Ok(Tokens::new(response, attempt, from, idle_timeout))
     }
 
     async fn request_json<T>(&self, request: RequestBuilder, timeout_ms: Millis) -> Result<T, Error>
--- a/filbertpaddle-target/src/stream.rs
+++ b/filbertpaddle-target/src/stream.rs
@@ -47,7 +47,7 @@
 }
 
 /// Token stream of one attempt, in the order of the tokens.
-pub struct TokenStream {
+pub struct Tokens {
     response: Response,
     attempt: Name,
     next_index: u32,
@@ -56,9 +56,9 @@
     ended: bool,
 }
 
-impl fmt::Debug for TokenStream {
+impl fmt::Debug for Tokens {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("TokenStream")
+        f.debug_struct("Tokens")
             .field("attempt", &self.attempt)
             .field("next_index", &self.next_index)
             .field("ended", &self.ended)
@@ -66,7 +66,7 @@
     }
 }
 
-impl TokenStream {
+impl Tokens {
     pub(crate) fn new(
         response: Response,
         attempt: Name,
--- a/filbertpaddle/src/generation.rs
+++ b/filbertpaddle/src/generation.rs
@@ -14,7 +14,7 @@
 use filbertpaddle_target::protocol::RefusalCause;
 use filbertpaddle_target::protocol::Submit;
 use filbertpaddle_target::stream::Received;
-use filbertpaddle_target::stream::TokenStream;
+use filbertpaddle_target::stream::Tokens;
 use slog::debug;
 
 use crate::clock;
@@ -112,7 +112,7 @@
         }
     }
 
-    async fn relay(&mut self, mut stream: TokenStream) -> Used {
+    async fn relay(&mut self, mut stream: Tokens) -> Used {
         loop {
             let (event, text) = match stream.next().await {
                 Ok(Some(received)) => match self.event(received) {
@@ -153,7 +153,7 @@
     }
 
     // Resumes until there is a stream again or the attempt is over.
-    async fn follow(&mut self, mut action: Action) -> Result<TokenStream, Used> {
+    async fn follow(&mut self, mut action: Action) -> Result<Tokens, Used> {
         loop {
             let from = match action {
                 Action::Resume { from } => from,
