--- a/filbertpaddle/tests/gateway/world.rs
+++ b/filbertpaddle/tests/gateway/world.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use filbertpaddle_adapter_standins::caller;
-use filbertpaddle_adapter_standins::caller::CallerRequest;
-use filbertpaddle_adapter_standins::caller::CallerResponse;
+use filbertpaddle_adapter_standins::caller::ReceivedAnswer;
+use filbertpaddle_adapter_standins::caller::SentRequest;
 use filbertpaddle_adapter_standins::configuration::Configuration;
 pub(crate) use filbertpaddle_adapter_standins::configuration::READ_PATH;
 pub(crate) use filbertpaddle_adapter_standins::configuration::RESUMABLE_PATH;
@@ -133,7 +133,7 @@
     }
 
     /// Sends to the first node.
-    pub(crate) async fn send(&self, ask: &CallerRequest) -> CallerResponse {
+    pub(crate) async fn send(&self, ask: &SentRequest) -> ReceivedAnswer {
         caller::send(self.nodes[0].addresses.callers, ask).await
     }
 
@@ -156,8 +156,8 @@
     method: Method,
     path: &str,
     output_tokens: Option<u32>,
-) -> CallerRequest {
-    CallerRequest {
+) -> SentRequest {
+    SentRequest {
         attempt: attempt.to_owned(),
         method,
         path: path.to_owned(),
--- a/filbertpaddle/tests/soak/history.rs
+++ b/filbertpaddle/tests/soak/history.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use filbertpaddle_adapter_standins::caller::CallerResponse;
+use filbertpaddle_adapter_standins::caller::ReceivedAnswer;
 
 /// How often it is looked whether this process gets processor time, and how long
 /// it may have got none: half of what an answer may be late.
@@ -55,7 +55,7 @@
     pub(crate) is_kept: bool,
     /// How long its caller waited.
     pub(crate) patience_ms: u64,
-    pub(crate) got: CallerResponse,
+    pub(crate) got: ReceivedAnswer,
 }
 
 /// Where something was wrong.
--- a/filbertpaddle/tests/soak/traffic.rs
+++ b/filbertpaddle/tests/soak/traffic.rs
@@ -7,9 +7,9 @@
 use std::time::Instant;
 
 use filbertpaddle_adapter_standins::caller;
-use filbertpaddle_adapter_standins::caller::CallerRequest;
-use filbertpaddle_adapter_standins::caller::CallerResponse;
 use filbertpaddle_adapter_standins::caller::Connection;
+use filbertpaddle_adapter_standins::caller::ReceivedAnswer;
+use filbertpaddle_adapter_standins::caller::SentRequest;
 use filbertpaddle_adapter_standins::configuration::READ_PATH;
 use filbertpaddle_adapter_standins::configuration::RESUMABLE_PATH;
 use filbertpaddle_adapter_standins::configuration::STREAM_PATH;
@@ -103,7 +103,7 @@
 }
 
 /// Sends one request on a new connection, which is not judged with the others.
-pub(crate) async fn probe(addresses: &Addresses, node: usize, number: usize) -> CallerResponse {
+pub(crate) async fn probe(addresses: &Addresses, node: usize, number: usize) -> ReceivedAnswer {
     let attempt = format!("{PROBE}{node}-{number}");
     let ask = ask(Kind::Read, attempt, 0, addresses.key());
     caller::send(addresses.address(node), &ask).await
@@ -135,7 +135,7 @@
     }
 }
 
-fn draw(rng: &mut StdRng, attempt: String, key: u64) -> (Kind, u64, CallerRequest) {
+fn draw(rng: &mut StdRng, attempt: String, key: u64) -> (Kind, u64, SentRequest) {
     let kind = match rng.random_range(0..10) {
         0..3 => Kind::Read,
         3..6 => Kind::Write,
@@ -153,7 +153,7 @@
     (kind, events, ask)
 }
 
-fn ask(kind: Kind, attempt: String, events: u64, key: u64) -> CallerRequest {
+fn ask(kind: Kind, attempt: String, events: u64, key: u64) -> SentRequest {
     let (method, path) = match kind {
         Kind::Read => (Method::GET, READ_PATH),
         Kind::Write => (Method::POST, WRITE_PATH),
@@ -161,7 +161,7 @@
         Kind::Resumable => (Method::POST, RESUMABLE_PATH),
     };
     let output = u32::try_from(events * EVENT_TOKENS).unwrap();
-    CallerRequest {
+    SentRequest {
         attempt,
         method,
         path: path.to_owned(),
