--- a/filbertpaddle-standins/src/direct.rs
+++ b/filbertpaddle-standins/src/direct.rs
@@ -202,7 +202,7 @@
         match received {
             Received::Token { index, text } => observer.token(index, &text),
             Received::End { tokens, .. } => observer.count(tokens),
-            Received::OtherAttempt { .. } | Received::Duplicate { .. } => {}
+            Received::OtherAttempt { .. } | Received::Repeated { .. } => {}
         }
     }
     Ok(())
--- a/filbertpaddle-standins/tests/engine.rs
+++ b/filbertpaddle-standins/tests/engine.rs
@@ -177,7 +177,7 @@
                 tokens += 1;
             }
             Received::OtherAttempt { .. } => foreign += 1,
-            Received::Duplicate { .. } => repeated += 1,
+            Received::Repeated { .. } => repeated += 1,
             Received::End { tokens: total, .. } => assert_eq!(total, tokens),
         }
     }
--- a/filbertpaddle-target/src/stream.rs
+++ b/filbertpaddle-target/src/stream.rs
@@ -40,7 +40,7 @@
         attempt: Name,
     },
     /// A token that was received before, which the receiver must discard.
-    Duplicate {
+    Repeated {
         /// Position of the token.
         index: u32,
     },
@@ -119,7 +119,7 @@
             return Err(Error::Unknown(gap));
         }
         match event.body {
-            EventBody::Token { .. } if index < self.next_index => Ok(Received::Duplicate { index }),
+            EventBody::Token { .. } if index < self.next_index => Ok(Received::Repeated { index }),
             EventBody::Token { text } => {
                 self.next_index += 1;
                 Ok(Received::Token { index, text })
--- a/filbertpaddle/src/generation.rs
+++ b/filbertpaddle/src/generation.rs
@@ -145,7 +145,7 @@
                 ..
             } => Some((Event::Cancelled { attempt }, String::new())),
             Received::End { tokens, .. } => Some((Event::End { attempt, tokens }, String::new())),
-            Received::OtherAttempt { .. } | Received::Duplicate { .. } => {
+            Received::OtherAttempt { .. } | Received::Repeated { .. } => {
                 self.dropped();
                 None
             }
