--- a/filbertpaddle-platform/src/client.rs
+++ b/filbertpaddle-platform/src/client.rs
@@ -15,13 +15,13 @@
 use crate::protocol::TransactAnswer;
 use crate::protocol::Transaction;
 use crate::protocol::VmList;
-use crate::protocol::WeightAnswer;
-use crate::protocol::WeightAsk;
+use crate::protocol::WeightLeaseAnswer;
+use crate::protocol::WeightLeaseRequest;
 
-/// Part of the whole timeout that may be spent on connecting.
-const CONNECT_SHARE: u32 = 2;
+/// Connecting may take at most the whole timeout divided by this.
+const CONNECT_TIMEOUT_DIVISOR: u32 = 2;
 
-/// Client of one platform; clones share their connections.
+/// Client of the platform; clones share their connections.
 ///
 /// The client never repeats a request by itself.
 #[derive(Clone, Debug)]
@@ -31,18 +31,19 @@
 }
 
 impl Client {
-    /// Makes a client of the platform at `base`, such as `http://127.0.0.1:80`.
-    ///
-    /// `timeout` bounds each request as a whole.
+    /// Creates a client of the platform at the base URL `base`, such as
+    /// `http://127.0.0.1:80`. `timeout` is the time limit of each request, including
+    /// connecting.
     ///
     /// # Errors
     ///
-    /// Returns [`NotDone::Invalid`] if the HTTP library cannot be set up.
+    /// Returns [`NotDone::Invalid`] if the HTTP client cannot be set up.
     pub fn new(base: impl Into<String>, timeout: Duration) -> Result<Self, Error> {
         let http = reqwest::Client::builder()
             .timeout(timeout)
-            // Shorter than the whole, so that a connect that hangs is known as such.
-            .connect_timeout(timeout / CONNECT_SHARE)
+            // Shorter than the whole timeout, so that a hanging connect is reported as
+            // such: it proves that the request was not sent.
+            .connect_timeout(timeout / CONNECT_TIMEOUT_DIVISOR)
             .no_proxy()
             .build()?;
         Ok(Self {
@@ -51,11 +52,11 @@
         })
     }
 
-    /// Performs a transaction.
+    /// Applies a transaction to the table.
     ///
     /// # Errors
     ///
-    /// After [`Error::Unknown`] the transaction may have taken effect.
+    /// Returns [`Error::Unknown`] if the transaction may have taken effect.
     pub async fn transact(&self, transaction: &Transaction) -> Result<TransactAnswer, Error> {
         self.post("table/transact", transaction).await
     }
@@ -69,7 +70,7 @@
         self.post("table/read", &Read { keys }).await
     }
 
-    /// Reads rows in key order.
+    /// Reads the rows with a key prefix, in key order.
     ///
     /// # Errors
     ///
@@ -78,7 +79,7 @@
         self.post("table/scan", scan).await
     }
 
-    /// Reads an object; `None` means that there is none.
+    /// Reads an object; returns `None` if it does not exist.
     ///
     /// # Errors
     ///
@@ -88,7 +89,7 @@
         if response.status() == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        let bytes = check(response)?.bytes().await?;
+        let bytes = check_status(response)?.bytes().await?;
         Ok(Some(bytes.to_vec()))
     }
 
@@ -96,31 +97,34 @@
     ///
     /// # Errors
     ///
-    /// After [`Error::Unknown`] the object may have been written.
+    /// Returns [`Error::Unknown`] if the object may have been written.
     pub async fn put_object(&self, key: &str, bytes: Vec<u8>) -> Result<(), Error> {
         let url = self.url(&["object/", key]);
         let response = self.http.put(url).body(bytes).send().await?;
-        check(response)?;
+        check_status(response)?;
         Ok(())
     }
 
-    /// Asks the weight store for permission to load a model.
+    /// Requests a lease from the weight store, which permits loading a model's weights.
     ///
     /// # Errors
     ///
-    /// After [`Error::Unknown`] the permission may have been used up.
-    pub async fn ask_weights(&self, ask: &WeightAsk) -> Result<WeightAnswer, Error> {
-        self.post("weights/leases", ask).await
+    /// Returns [`Error::Unknown`] if the lease may have been granted.
+    pub async fn request_weight_lease(
+        &self,
+        request: &WeightLeaseRequest,
+    ) -> Result<WeightLeaseAnswer, Error> {
+        self.post("weights/leases", request).await
     }
 
-    /// Reads the list of VMs, which may lag.
+    /// Reads the list of VMs, which may be outdated.
     ///
     /// # Errors
     ///
     /// Returns an error if the list could not be read.
     pub async fn vms(&self) -> Result<VmList, Error> {
         let response = self.http.get(self.url(&["vms"])).send().await?;
-        Ok(check(response)?.json().await?)
+        Ok(check_status(response)?.json().await?)
     }
 
     async fn post<B, A>(&self, path: &str, body: &B) -> Result<A, Error>
@@ -130,7 +134,7 @@
     {
         let url = self.url(&[path]);
         let response = self.http.post(url).json(body).send().await?;
-        Ok(check(response)?.json().await?)
+        Ok(check_status(response)?.json().await?)
     }
 
     fn url(&self, path: &[&str]) -> String {
@@ -138,11 +142,11 @@
     }
 }
 
-fn check(response: Response) -> Result<Response, Error> {
+fn check_status(response: Response) -> Result<Response, Error> {
     match response.status() {
         status if status.is_success() => Ok(response),
         StatusCode::TOO_MANY_REQUESTS => Err(Error::NotDone(NotDone::RateLimited)),
-        StatusCode::SERVICE_UNAVAILABLE => Err(Error::NotDone(NotDone::Down)),
+        StatusCode::SERVICE_UNAVAILABLE => Err(Error::NotDone(NotDone::Unavailable)),
         status => Err(Error::Unknown(format!("status {status}"))),
     }
 }
--- a/filbertpaddle-standins/tests/engine.rs
+++ b/filbertpaddle-standins/tests/engine.rs
@@ -17,7 +17,7 @@
 use filbertpaddle_target::client::Client;
 use filbertpaddle_target::error::Error;
 use filbertpaddle_target::error::NotStarted;
-use filbertpaddle_target::error::Unknown;
+use filbertpaddle_target::error::UnknownOutcome;
 use filbertpaddle_target::protocol::EndCause;
 use filbertpaddle_target::protocol::LoadedState;
 use filbertpaddle_target::protocol::Order;
@@ -124,7 +124,10 @@
     let mut reused = submit("a1", "another");
     reused.fence = 7;
     let reused = client.submit(engine.address, &reused).await;
-    assert_eq!(reused.unwrap_err(), Error::Unknown(Unknown::Duplicate));
+    assert_eq!(
+        reused.unwrap_err(),
+        Error::Unknown(UnknownOutcome::AttemptIdReused)
+    );
     let unknown = client.cancel(engine.address, &"a9".into()).await;
     assert_eq!(unknown.unwrap_err(), refused(RefusalCause::UnknownAttempt));
     let address = engine.address;
@@ -173,7 +176,7 @@
                 assert_eq!(index, tokens);
                 tokens += 1;
             }
-            Received::Foreign { .. } => foreign += 1,
+            Received::OtherAttempt { .. } => foreign += 1,
             Received::Repeated { .. } => repeated += 1,
             Received::End { tokens: total, .. } => assert_eq!(total, tokens),
         }
--- a/filbertpaddle-target/src/stream.rs
+++ b/filbertpaddle-target/src/stream.rs
@@ -1,4 +1,4 @@
-//! Token streams.
+//! Token streams of generations.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 use reqwest::Response;
 
 use crate::error::Error;
-use crate::error::Unknown;
-use crate::protocol::Body;
+use crate::error::UnknownOutcome;
 use crate::protocol::EndCause;
 use crate::protocol::Event;
+use crate::protocol::EventBody;
 
-/// Longest line of a token stream, in bytes.
+/// Maximum length of a line, which limits the memory that a faulty target can use.
 const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// What arrived on a token stream.
+/// Item of a token stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Received {
     /// The next token.
@@ -29,24 +29,24 @@
     },
     /// The generation has ended; nothing follows.
     End {
-        /// Number of tokens in all.
+        /// Total number of tokens.
         tokens: u32,
         /// Why it ended.
         cause: EndCause,
     },
-    /// A line of another attempt; to be counted, never passed on.
-    Foreign {
+    /// A line of another attempt, which the receiver must discard.
+    OtherAttempt {
         /// Attempt that the line belongs to.
         attempt: Name,
     },
-    /// A token that came before; to be counted, never passed on.
+    /// A token that was received before, which the receiver must discard.
     Repeated {
         /// Position of the token.
         index: u32,
     },
 }
 
-/// The tokens of one attempt, in order.
+/// Token stream of one attempt, in the order of the tokens.
 pub struct Tokens {
     response: Response,
     attempt: Name,
@@ -88,46 +88,46 @@
         self.next_index
     }
 
-    /// Waits for the next arrival; `None` once the generation has ended.
+    /// Waits for the next item; returns `None` once the generation has ended.
     ///
-    /// Cancel safe: dropping the future loses nothing.
+    /// Cancel safe: dropping the future loses no data.
     ///
     /// # Errors
     ///
-    /// Returns an error if the stream breaks off, is silent for too long,
-    /// leaves out a token or is malformed. The attempt may then be resumed.
+    /// Returns an error if the connection is lost, nothing arrives within the time limit, a
+    /// token is missing or a line is malformed. The attempt can then be resumed.
     pub async fn next(&mut self) -> Result<Option<Received>, Error> {
         if self.ended {
             return Ok(None);
         }
-        let event = self.event().await?;
+        let event = self.read_event().await?;
         self.accept(event).map(Some)
     }
 
     fn accept(&mut self, event: Event) -> Result<Received, Error> {
         if event.attempt != self.attempt {
             let attempt = event.attempt;
-            return Ok(Received::Foreign { attempt });
+            return Ok(Received::OtherAttempt { attempt });
         }
         let index = event.index;
         if index > self.next_index {
             let expected = self.next_index;
-            let gap = Unknown::Gap {
+            let gap = UnknownOutcome::MissingTokens {
                 expected,
                 got: index,
             };
             return Err(Error::Unknown(gap));
         }
         match event.body {
-            Body::Token { .. } if index < self.next_index => Ok(Received::Repeated { index }),
-            Body::Token { text } => {
+            EventBody::Token { .. } if index < self.next_index => Ok(Received::Repeated { index }),
+            EventBody::Token { text } => {
                 self.next_index += 1;
                 Ok(Received::Token { index, text })
             }
-            Body::End { .. } if index < self.next_index => {
-                Err(Error::Unknown(Unknown::Malformed("early end".to_owned())))
-            }
-            Body::End { cause } => {
+            EventBody::End { .. } if index < self.next_index => Err(Error::Unknown(
+                UnknownOutcome::Malformed("end before the last token".to_owned()),
+            )),
+            EventBody::End { cause } => {
                 self.ended = true;
                 let tokens = index;
                 Ok(Received::End { tokens, cause })
@@ -135,7 +135,7 @@
         }
     }
 
-    async fn event(&mut self) -> Result<Event, Error> {
+    async fn read_event(&mut self) -> Result<Event, Error> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
                 let line = self.buffer.split_to(end);
@@ -143,24 +143,28 @@
                 return serde_json::from_slice(&line).map_err(|error| malformed(&error));
             }
             if self.buffer.len() > MAX_LINE_BYTES {
-                let text = "line too long".to_owned();
-                return Err(Error::Unknown(Unknown::Malformed(text)));
+                let text = format!("line longer than {MAX_LINE_BYTES} bytes");
+                return Err(Error::Unknown(UnknownOutcome::Malformed(text)));
             }
-            self.read().await?;
+            self.read_chunk().await?;
         }
     }
 
-    async fn read(&mut self) -> Result<(), Error> {
+    async fn read_chunk(&mut self) -> Result<(), Error> {
         let chunk = tokio::time::timeout(self.idle_timeout, self.response.chunk()).await;
-        let chunk = chunk.map_err(|_| Error::Unknown(Unknown::Timeout))??;
+        let chunk = chunk.map_err(|_| Error::Unknown(UnknownOutcome::Timeout))??;
         match chunk {
             Some(chunk) => self.buffer.extend_from_slice(&chunk),
-            None => return Err(Error::Unknown(Unknown::Cut("end of stream".to_owned()))),
+            None => {
+                return Err(Error::Unknown(UnknownOutcome::ConnectionLost(
+                    "stream closed before the generation ended".to_owned(),
+                )));
+            }
         }
         Ok(())
     }
 }
 
 fn malformed(error: &serde_json::Error) -> Error {
-    Error::Unknown(Unknown::Malformed(error.to_string()))
+    Error::Unknown(UnknownOutcome::Malformed(error.to_string()))
 }
--- a/filbertpaddle/src/generation.rs
+++ b/filbertpaddle/src/generation.rs
@@ -149,7 +149,7 @@
                 ..
             } => Some((Event::Cancelled { attempt }, String::new())),
             Received::End { tokens, .. } => Some((Event::End { attempt, tokens }, String::new())),
-            Received::Foreign { .. } | Received::Repeated { .. } => {
+            Received::OtherAttempt { .. } | Received::Repeated { .. } => {
                 self.count_dropped();
                 None
             }
--- a/filbertpaddle/tests/gateway/cluster.rs
+++ b/filbertpaddle/tests/gateway/cluster.rs
@@ -5,16 +5,16 @@
 use std::time::Duration;
 
 use filbertpaddle_adapter_standins::caller;
-use filbertpaddle_adapter_standins::caller::Ask;
-use filbertpaddle_adapter_standins::caller::Got;
+use filbertpaddle_adapter_standins::caller::ReceivedAnswer;
+use filbertpaddle_adapter_standins::caller::SentRequest;
 use filbertpaddle_adapter_standins::configuration::Configuration;
-pub(crate) use filbertpaddle_adapter_standins::configuration::READ;
-pub(crate) use filbertpaddle_adapter_standins::configuration::RESUMABLE;
-pub(crate) use filbertpaddle_adapter_standins::configuration::STREAM;
-pub(crate) use filbertpaddle_adapter_standins::configuration::WRITE;
-use filbertpaddle_adapter_standins::ledger::Ledger;
+pub(crate) use filbertpaddle_adapter_standins::configuration::READ_PATH;
+pub(crate) use filbertpaddle_adapter_standins::configuration::RESUMABLE_PATH;
+pub(crate) use filbertpaddle_adapter_standins::configuration::STREAM_PATH;
+pub(crate) use filbertpaddle_adapter_standins::configuration::WRITE_PATH;
 use filbertpaddle_adapter_standins::node;
 use filbertpaddle_adapter_standins::node::Node;
+use filbertpaddle_adapter_standins::run_log::RunLog;
 use filbertpaddle_adapter_standins::store::Store;
 use filbertpaddle_adapter_standins::target;
 use filbertpaddle_adapter_standins::target::Copies;
@@ -32,7 +32,7 @@
 
 pub(crate) struct Cluster {
     pub(crate) store: Store,
-    pub(crate) ledger: Ledger,
+    pub(crate) ledger: RunLog,
     pub(crate) targets: Vec<Target>,
     pub(crate) nodes: Vec<Node>,
     copies: Copies,
@@ -48,7 +48,7 @@
         store.put_configuration(&configuration(1, KEY));
         Self {
             store,
-            ledger: Ledger::new(),
+            ledger: RunLog::new(),
             targets: Vec::new(),
             nodes: Vec::new(),
             copies: Copies::default(),
@@ -82,7 +82,7 @@
             event_ms: 20,
             work_ms: 5,
             cold_ms: 0,
-            life: 1,
+            incarnation: 1,
         };
         let started = Target::start(options, self.ledger.clone(), self.copies.clone());
         let target = started.await.unwrap();
@@ -133,7 +133,7 @@
     }
 
     /// Sends a request to the first node.
-    pub(crate) async fn send(&self, request: &Ask) -> Got {
+    pub(crate) async fn send(&self, request: &SentRequest) -> ReceivedAnswer {
         caller::send(self.nodes[0].addresses.callers, request).await
     }
 
@@ -156,8 +156,8 @@
     method: Method,
     path: &str,
     output_tokens: Option<u32>,
-) -> Ask {
-    Ask {
+) -> SentRequest {
+    SentRequest {
         attempt: attempt.to_owned(),
         method,
         path: path.to_owned(),
--- a/filbertpaddle/tests/gateway/limits.rs
+++ b/filbertpaddle/tests/gateway/limits.rs
@@ -10,8 +10,8 @@
 use tokio::time::sleep;
 
 use crate::cluster::Cluster;
-use crate::cluster::READ;
-use crate::cluster::WRITE;
+use crate::cluster::READ_PATH;
+use crate::cluster::WRITE_PATH;
 use crate::cluster::request;
 use crate::cluster::wait_until;
 
@@ -24,10 +24,14 @@
     let cluster = Cluster::with_nodes("retry", 1).await;
     cluster.target("p1").set_behaviour(Behaviour::Failing);
     cluster.target("p2").set_behaviour(Behaviour::Failing);
-    let response = cluster.send(&request("r", Method::GET, READ, None)).await;
+    let response = cluster
+        .send(&request("r", Method::GET, READ_PATH, None))
+        .await;
     assert_eq!((response.code(), response.is_sealed()), (500, true));
     assert_eq!(cluster.ledger.runs_of("r").len(), 2);
-    let response = cluster.send(&request("w", Method::POST, WRITE, None)).await;
+    let response = cluster
+        .send(&request("w", Method::POST, WRITE_PATH, None))
+        .await;
     assert_eq!((response.code(), response.is_sealed()), (500, true));
     assert_eq!(cluster.ledger.runs_of("w").len(), 1);
     cluster.close();
@@ -52,7 +56,7 @@
     let mut codes = Vec::new();
     for number in 0..8 {
         let node = cluster.nodes[number % 3].addresses.callers;
-        let mut poison = request(&format!("poison-{number}"), Method::POST, WRITE, None);
+        let mut poison = request(&format!("poison-{number}"), Method::POST, WRITE_PATH, None);
         poison.content = Some(POISON.to_owned());
         let response = caller::send(node, &poison).await;
         codes.push(response.code());
@@ -61,7 +65,9 @@
     }
     assert_eq!(codes, [502, 502, 502, 503, 503, 503, 503, 503]);
     assert_eq!(crashed(&cluster), 3);
-    let other = cluster.send(&request("w", Method::POST, WRITE, None)).await;
+    let other = cluster
+        .send(&request("w", Method::POST, WRITE_PATH, None))
+        .await;
     assert_eq!(other.code(), 200);
     cluster.close();
 }
@@ -77,19 +83,24 @@
     wait_until("the node sends to the new targets", async || {
         let attempt = format!("r{}", cluster.ledger.runs().len());
         cluster
-            .send(&request(&attempt, Method::GET, READ, None))
+            .send(&request(&attempt, Method::GET, READ_PATH, None))
             .await;
         cluster.ledger.runs().iter().any(|run| run.target == "q149")
     })
     .await;
     let before: u64 = cluster.targets.iter().map(Target::arrivals).sum();
     for target in &cluster.targets {
-        target.set_behaviour(Behaviour::Another);
+        target.set_behaviour(Behaviour::Replaced);
     }
     let requests = 40;
     for number in 0..requests {
         let response = cluster
-            .send(&request(&format!("w{number}"), Method::POST, WRITE, None))
+            .send(&request(
+                &format!("w{number}"),
+                Method::POST,
+                WRITE_PATH,
+                None,
+            ))
             .await;
         assert_eq!(response.code(), 503);
     }
--- a/filbertpaddle/tests/gateway/main.rs
+++ b/filbertpaddle/tests/gateway/main.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 use cluster::Cluster;
-use cluster::READ;
-use cluster::STREAM;
-use cluster::WRITE;
+use cluster::READ_PATH;
+use cluster::STREAM_PATH;
+use cluster::WRITE_PATH;
 use cluster::complete_stream;
 use cluster::configuration;
 use cluster::readiness;
@@ -28,17 +28,19 @@
 #[tokio::test]
 async fn responses_and_streams_arrive_unchanged() {
     let cluster = Cluster::with_nodes("whole", 1).await;
-    let read = cluster.send(&request("r1", Method::GET, READ, None)).await;
+    let read = cluster
+        .send(&request("r1", Method::GET, READ_PATH, None))
+        .await;
     assert_eq!((read.code(), read.is_sealed()), (200, true));
     assert_eq!(read.body, b"answer to r1");
     let written = cluster
-        .send(&request("w1", Method::POST, WRITE, None))
+        .send(&request("w1", Method::POST, WRITE_PATH, None))
         .await;
     assert_eq!(written.body, b"answer to w1");
     let stream = cluster
-        .send(&request("s1", Method::POST, STREAM, Some(80)))
+        .send(&request("s1", Method::POST, STREAM_PATH, Some(80)))
         .await;
-    assert!(stream.is_whole && stream.is_sealed());
+    assert!(stream.is_complete && stream.is_sealed());
     assert_eq!(stream.body, complete_stream("s1", 20));
     let runs = cluster.ledger.runs_of("s1");
     assert_eq!(runs.len(), 1);
@@ -53,13 +55,13 @@
         .send(&request("a", Method::GET, "/nowhere/", None))
         .await;
     assert_eq!(unknown_path.code(), 404);
-    let mut without_key = request("b", Method::GET, READ, None);
+    let mut without_key = request("b", Method::GET, READ_PATH, None);
     without_key.key = None;
     assert_eq!(cluster.send(&without_key).await.code(), 401);
-    let mut unknown_key = request("c", Method::GET, READ, None);
+    let mut unknown_key = request("c", Method::GET, READ_PATH, None);
     unknown_key.key = Some("nobody's".to_owned());
     assert_eq!(cluster.send(&unknown_key).await.code(), 401);
-    let mut large = request("d", Method::POST, WRITE, None);
+    let mut large = request("d", Method::POST, WRITE_PATH, None);
     large.attempt = "d".repeat(2_000);
     assert_eq!(cluster.send(&large).await.code(), 413);
     assert!(cluster.ledger.runs().is_empty());
@@ -69,9 +71,11 @@
 #[tokio::test]
 async fn a_node_without_a_configuration_is_not_ready_and_refuses_with_a_retry_time() {
     let mut cluster = Cluster::new("unconfigured").await;
-    cluster.store.set_fault(Fault::Busy);
+    cluster.store.set_fault(Fault::Unavailable);
     cluster.add_node("node-0", "dc-a");
-    let response = cluster.send(&request("a", Method::GET, READ, None)).await;
+    let response = cluster
+        .send(&request("a", Method::GET, READ_PATH, None))
+        .await;
     assert_eq!(response.code(), 503);
     assert!(response.retry_after_sec().is_some());
     assert_eq!(readiness(&cluster.nodes[0]).await, 503);
@@ -89,20 +93,20 @@
     };
     set_all(Behaviour::Full);
     let full = cluster
-        .send(&request("full", Method::POST, WRITE, None))
+        .send(&request("full", Method::POST, WRITE_PATH, None))
         .await;
     assert_eq!(full.code(), 503);
     assert!(full.retry_after_sec().is_some());
     assert!(cluster.ledger.runs_of("full").is_empty());
     for (attempt, behaviour) in [
         ("lost", Behaviour::LosesAnswers),
-        ("crossed", Behaviour::Crossed),
+        ("crossed", Behaviour::WrongAttempt),
         ("unsealed", Behaviour::Unsealed),
     ] {
         set_all(behaviour);
         // A target that failed is excluded for a while, which gives a 503.
         wait_until("a request arrives", async || {
-            let request = request(attempt, Method::POST, WRITE, None);
+            let request = request(attempt, Method::POST, WRITE_PATH, None);
             let response = cluster.send(&request).await;
             assert!(
                 matches!(response.code(), 502 | 503),
@@ -123,12 +127,12 @@
     cluster.store.put_configuration(&configuration(2, "new"));
     for node in &cluster.nodes {
         wait_until("the new key is in force", async || {
-            let mut with_new = request("n", Method::GET, READ, None);
+            let mut with_new = request("n", Method::GET, READ_PATH, None);
             with_new.key = Some("new".to_owned());
             caller::send(node.addresses.callers, &with_new).await.code() == 200
         })
         .await;
-        let with_old = request("o", Method::GET, READ, None);
+        let with_old = request("o", Method::GET, READ_PATH, None);
         let response = caller::send(node.addresses.callers, &with_old).await;
         assert_eq!(response.code(), 401);
     }
@@ -137,7 +141,7 @@
         .store
         .put_configuration(&configuration(1, cluster::KEY));
     cluster.store.set_data_centre("dc-z", true);
-    let with_old = request("p", Method::GET, READ, None);
+    let with_old = request("p", Method::GET, READ_PATH, None);
     assert_eq!(cluster.send(&with_old).await.code(), 401);
     cluster.close();
 }
@@ -150,7 +154,7 @@
     wait_until("only the other data centre gets requests", async || {
         let attempt = format!("a{}", cluster.ledger.runs().len());
         cluster
-            .send(&request(&attempt, Method::GET, READ, None))
+            .send(&request(&attempt, Method::GET, READ_PATH, None))
             .await;
         let runs = cluster.ledger.runs_of(&attempt);
         runs.iter().all(|run| run.target == "p3") && !runs.is_empty()
@@ -160,7 +164,7 @@
     wait_until("the data centre is used again", async || {
         let attempt = format!("b{}", cluster.ledger.runs().len());
         cluster
-            .send(&request(&attempt, Method::GET, READ, None))
+            .send(&request(&attempt, Method::GET, READ_PATH, None))
             .await;
         let runs = cluster.ledger.runs_of(&attempt);
         runs.iter().any(|run| run.target != "p3")
@@ -179,7 +183,7 @@
     wait_until("only the new target is used", async || {
         let attempt = format!("a{}", cluster.ledger.runs().len());
         cluster
-            .send(&request(&attempt, Method::GET, READ, None))
+            .send(&request(&attempt, Method::GET, READ_PATH, None))
             .await;
         let runs = cluster.ledger.runs_of(&attempt);
         runs.iter().all(|run| run.target == "p3") && !runs.is_empty()
@@ -191,7 +195,7 @@
 #[tokio::test]
 async fn targets_removed_during_a_store_outage_stay_in_use_for_a_while() {
     let cluster = Cluster::with_nodes("lapsed", 1).await;
-    cluster.store.set_fault(Fault::Busy);
+    cluster.store.set_fault(Fault::Unavailable);
     let calls = cluster.store.calls();
     wait_until("the node has noticed the outage", async || {
         cluster.store.calls() > calls + 4
@@ -206,11 +210,13 @@
         cluster.store.calls() > calls + 4
     })
     .await;
-    let response = cluster.send(&request("a", Method::GET, READ, None)).await;
+    let response = cluster
+        .send(&request("a", Method::GET, READ_PATH, None))
+        .await;
     assert_eq!(response.code(), 200);
     wait_until("the targets are removed", async || {
         cluster
-            .send(&request("b", Method::GET, READ, None))
+            .send(&request("b", Method::GET, READ_PATH, None))
             .await
             .code()
             == 503
@@ -223,7 +229,7 @@
 async fn a_stopping_node_finishes_running_requests_and_exits() {
     let mut cluster = Cluster::with_nodes("stop", 1).await;
     let node = cluster.nodes[0].addresses.callers;
-    let stream = request("s", Method::POST, STREAM, Some(800));
+    let stream = request("s", Method::POST, STREAM_PATH, Some(800));
     let running = tokio::spawn(async move { caller::send(node, &stream).await });
     wait_until("it runs", async || !cluster.ledger.runs_of("s").is_empty()).await;
     cluster.nodes[0].process.terminate().unwrap();
@@ -232,18 +238,18 @@
     })
     .await;
     let late = cluster
-        .send(&request("r", Method::POST, STREAM, Some(40)))
+        .send(&request("r", Method::POST, STREAM_PATH, Some(40)))
         .await;
-    assert!(late.is_whole && late.code() == 200);
+    assert!(late.is_complete && late.code() == 200);
     // A stream that would be cut at the end of the grace period is refused unsent.
     let long = cluster
-        .send(&request("l", Method::POST, STREAM, Some(4_000)))
+        .send(&request("l", Method::POST, STREAM_PATH, Some(4_000)))
         .await;
     assert_eq!(long.code(), 503);
     assert!(long.retry_after_sec().is_some());
     assert!(cluster.ledger.runs_of("l").is_empty());
     let response = running.await.unwrap();
-    assert!(response.is_whole);
+    assert!(response.is_complete);
     assert_eq!(response.body, complete_stream("s", 200));
     assert!(cluster.nodes[0].process.wait().unwrap().success());
     cluster.close();
@@ -275,12 +281,17 @@
 async fn send_until_refused(node: SocketAddr, caller: u32) -> Vec<String> {
     let mut answered = Vec::new();
     for number in 0.. {
-        let request = request(&format!("{caller}-{number}"), Method::POST, STREAM, Some(4));
+        let request = request(
+            &format!("{caller}-{number}"),
+            Method::POST,
+            STREAM_PATH,
+            Some(4),
+        );
         let response = caller::send(node, &request).await;
         if response.status.is_none() && TcpStream::connect(node).await.is_err() {
             break;
         }
-        if response.is_whole {
+        if response.is_complete {
             answered.push(request.attempt);
         }
         sleep(Duration::from_millis(20 + 7 * u64::from(caller))).await;
@@ -300,7 +311,7 @@
     cluster.store.put_configuration(&configuration(2, "new"));
     for node in &cluster.nodes {
         wait_until("the new key is in force", async || {
-            let mut with_new = request("n", Method::GET, READ, None);
+            let mut with_new = request("n", Method::GET, READ_PATH, None);
             with_new.key = Some("new".to_owned());
             caller::send(node.addresses.callers, &with_new).await.code() == 200
         })
@@ -312,7 +323,7 @@
 #[tokio::test]
 async fn a_node_reloads_its_settings_without_cutting_a_stream() {
     let mut cluster = Cluster::with_nodes("reload", 1).await;
-    let stream = request("s", Method::POST, STREAM, Some(400));
+    let stream = request("s", Method::POST, STREAM_PATH, Some(400));
     let hang_up = async {
         wait_until("it runs", async || !cluster.ledger.runs_of("s").is_empty()).await;
         let mut options = cluster.node_options("node-0", "dc-a");
@@ -321,7 +332,7 @@
         cluster.nodes[0].process.hang_up().unwrap();
     };
     let (response, ()) = tokio::join!(cluster.send(&stream), hang_up);
-    assert!(response.is_whole);
+    assert!(response.is_complete);
     assert_eq!(response.body, complete_stream("s", 100));
     // The new grace period applies: a stream that would take longer is refused.
     cluster.nodes[0].process.terminate().unwrap();
@@ -330,7 +341,7 @@
     })
     .await;
     let long = cluster
-        .send(&request("l", Method::POST, STREAM, Some(40)))
+        .send(&request("l", Method::POST, STREAM_PATH, Some(40)))
         .await;
     assert_ne!(long.code(), 200);
     assert!(cluster.ledger.runs_of("l").is_empty());
--- a/filbertpaddle/tests/gateway/streams.rs
+++ b/filbertpaddle/tests/gateway/streams.rs
@@ -5,8 +5,8 @@
 use http::Method;
 
 use crate::cluster::Cluster;
-use crate::cluster::RESUMABLE;
-use crate::cluster::STREAM;
+use crate::cluster::RESUMABLE_PATH;
+use crate::cluster::STREAM_PATH;
 use crate::cluster::complete_stream;
 use crate::cluster::request;
 use crate::cluster::wait_until;
@@ -14,7 +14,7 @@
 #[tokio::test]
 async fn a_stream_migrates_from_a_draining_target_and_stays_complete() {
     let cluster = Cluster::with_nodes("move", 1).await;
-    let stream = request("s", Method::POST, STREAM, Some(800));
+    let stream = request("s", Method::POST, STREAM_PATH, Some(800));
     let leave = async {
         wait_until("the stream runs", async || {
             let runs = cluster.ledger.runs_of("s");
@@ -27,39 +27,39 @@
         cluster.store.put_target(&target.options.id, &entry);
     };
     let (response, ()) = tokio::join!(cluster.send(&stream), leave);
-    assert!(response.is_whole);
+    assert!(response.is_complete);
     assert_eq!(response.body, complete_stream("s", 200));
     let runs = cluster.ledger.runs_of("s");
     assert_eq!(runs.len(), 2);
-    assert!(runs[1].is_moved && runs[1].target != runs[0].target);
+    assert!(runs[1].is_migrated && runs[1].target != runs[0].target);
     cluster.close();
 }
 
 #[tokio::test]
 async fn a_stream_migrates_while_the_store_does_not_respond() {
     let cluster = Cluster::with_nodes("blind", 1).await;
-    let stream = request("s", Method::POST, STREAM, Some(1_600));
+    let stream = request("s", Method::POST, STREAM_PATH, Some(1_600));
     let leave = async {
         wait_until("the stream runs", async || {
             !cluster.ledger.runs_of("s").is_empty()
         })
         .await;
-        cluster.store.set_fault(Fault::Silent);
+        cluster.store.set_fault(Fault::Unresponsive);
         cluster.first_target_of("s").drain();
     };
     let (response, ()) = tokio::join!(cluster.send(&stream), leave);
-    assert!(response.is_whole);
+    assert!(response.is_complete);
     assert_eq!(response.body, complete_stream("s", 400));
-    assert!(cluster.ledger.runs_of("s")[1].is_moved);
+    assert!(cluster.ledger.runs_of("s")[1].is_migrated);
     cluster.close();
 }
 
 #[tokio::test]
 async fn a_resumable_stream_resumes_after_a_crash_and_any_other_is_cut() {
     let mut cluster = Cluster::with_nodes("crash", 1).await;
-    let resumable = request("go", Method::POST, RESUMABLE, Some(400));
+    let resumable = request("go", Method::POST, RESUMABLE_PATH, Some(400));
     // Long enough to run until its target is closed.
-    let single = request("cut", Method::POST, STREAM, Some(2_400));
+    let single = request("cut", Method::POST, STREAM_PATH, Some(2_400));
     let node = cluster.nodes[0].addresses.callers;
     let resumed = tokio::spawn(async move { caller::send(node, &resumable).await });
     let cut = tokio::spawn(async move { caller::send(node, &single).await });
@@ -74,7 +74,7 @@
     let target = cluster.ledger.runs_of("go").remove(0).target;
     cluster.take_target(&target).close();
     let response = resumed.await.unwrap();
-    assert!(response.is_whole);
+    assert!(response.is_complete);
     assert_eq!(response.body, complete_stream("go", 100));
     assert_eq!(cluster.ledger.runs_of("go").len(), 2);
     let other = cluster.ledger.runs_of("cut").remove(0).target;
@@ -82,7 +82,7 @@
         cluster.take_target(&other).close();
     }
     let response = cut.await.unwrap();
-    assert!(!response.is_whole);
+    assert!(!response.is_complete);
     assert!(complete_stream("cut", 600).starts_with(&response.body));
     assert_eq!(cluster.ledger.runs_of("cut").len(), 1);
     cluster.close();
@@ -91,10 +91,10 @@
 #[tokio::test]
 async fn a_generation_is_stopped_at_its_target_after_its_deadline() {
     let cluster = Cluster::with_nodes("gone", 1).await;
-    let mut stream = request("s", Method::POST, STREAM, Some(40_000));
+    let mut stream = request("s", Method::POST, STREAM_PATH, Some(40_000));
     stream.deadline_ms = 300;
     let response = cluster.send(&stream).await;
-    assert!(!response.is_whole);
+    assert!(!response.is_complete);
     wait_until("no generation runs", async || {
         cluster.target("e1").running().is_empty() && cluster.target("e2").running().is_empty()
     })
--- a/filbertpaddle/tests/soak/cluster.rs
+++ b/filbertpaddle/tests/soak/cluster.rs
@@ -10,12 +10,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use filbertpaddle_adapter_standins::configuration::APP;
+use filbertpaddle_adapter_standins::configuration::APP_SERVICE;
 use filbertpaddle_adapter_standins::configuration::Configuration;
-use filbertpaddle_adapter_standins::configuration::ENGINE;
-use filbertpaddle_adapter_standins::ledger::Ledger;
+use filbertpaddle_adapter_standins::configuration::ENGINE_SERVICE;
 use filbertpaddle_adapter_standins::node;
 use filbertpaddle_adapter_standins::node::Node;
+use filbertpaddle_adapter_standins::run_log::RunLog;
 use filbertpaddle_adapter_standins::store::Store;
 use filbertpaddle_adapter_standins::target;
 use filbertpaddle_adapter_standins::target::Copies;
@@ -109,7 +109,7 @@
 #[derive(Debug)]
 pub(crate) struct Cluster {
     pub(crate) store: Store,
-    pub(crate) ledger: Ledger,
+    pub(crate) ledger: RunLog,
     pub(crate) history: History,
     pub(crate) addresses: Addresses,
     pub(crate) vms: Vec<Vm>,
@@ -131,7 +131,7 @@
         let addresses = (0..size.nodes).map(|_| Mutex::new(unset)).collect();
         let mut cluster = Self {
             store: Store::start().await.unwrap(),
-            ledger: Ledger::new(),
+            ledger: RunLog::new(),
             history: History::default(),
             addresses: Addresses {
                 addresses: Arc::new(addresses),
@@ -177,9 +177,9 @@
 
     async fn add_target_slot(&mut self, number: usize) {
         let service = if number.is_multiple_of(2) {
-            ENGINE
+            ENGINE_SERVICE
         } else {
-            APP
+            APP_SERVICE
         };
         let options = target::Options {
             id: format!("target-{number}"),
@@ -188,7 +188,7 @@
             event_ms: EVENT_MS,
             work_ms: WORK_MS,
             cold_ms: 0,
-            life: 1,
+            incarnation: 1,
         };
         let slot = self.start_target(options).await;
         self.target_slots.push(slot);
@@ -203,7 +203,7 @@
         self.history.events().lives.push(Life {
             id: options.id.clone(),
             data_centre: options.data_centre.clone(),
-            number: options.life,
+            number: options.incarnation,
             from: Instant::now(),
             cold: Duration::from_millis(options.cold_ms),
         });
@@ -240,7 +240,7 @@
             return;
         }
         let mut options = self.target_slots[number].options.clone();
-        options.life += 1;
+        options.incarnation += 1;
         options.cold_ms = u64::try_from(COLD.as_millis()).unwrap();
         self.target_slots[number] = self.start_target(options).await;
     }
@@ -278,7 +278,8 @@
         let node = node.unwrap();
         let callers = Proxy::start(node.addresses.callers).await.unwrap();
         let peers = Proxy::start(node.addresses.peers).await.unwrap();
-        self.store.readdress(node.addresses.peers, peers.address);
+        self.store
+            .replace_address(node.addresses.peers, peers.address);
         *self.addresses.addresses[number].lock().unwrap() = callers.address;
         self.vms[number].running = Some(Running {
             node,
--- a/filbertpaddle/tests/soak/traffic.rs
+++ b/filbertpaddle/tests/soak/traffic.rs
@@ -7,13 +7,13 @@
 use std::time::Instant;
 
 use filbertpaddle_adapter_standins::caller;
-use filbertpaddle_adapter_standins::caller::Ask;
 use filbertpaddle_adapter_standins::caller::Connection;
-use filbertpaddle_adapter_standins::caller::Got;
-use filbertpaddle_adapter_standins::configuration::READ;
-use filbertpaddle_adapter_standins::configuration::RESUMABLE;
-use filbertpaddle_adapter_standins::configuration::STREAM;
-use filbertpaddle_adapter_standins::configuration::WRITE;
+use filbertpaddle_adapter_standins::caller::ReceivedAnswer;
+use filbertpaddle_adapter_standins::caller::SentRequest;
+use filbertpaddle_adapter_standins::configuration::READ_PATH;
+use filbertpaddle_adapter_standins::configuration::RESUMABLE_PATH;
+use filbertpaddle_adapter_standins::configuration::STREAM_PATH;
+use filbertpaddle_adapter_standins::configuration::WRITE_PATH;
 use filbertpaddle_adapter_standins::target::EVENT_TOKENS;
 use filbertpaddle_adapter_standins::target::POISON;
 use http::Method;
@@ -88,7 +88,7 @@
             patience_ms: ask.deadline_ms,
             got,
         };
-        if !exchange.got.is_whole {
+        if !exchange.got.is_complete {
             kept = None;
         }
         promises::check_answer(&traffic.history, &exchange);
@@ -103,7 +103,7 @@
 }
 
 /// Sends one request on a new connection, which is not judged with the others.
-pub(crate) async fn probe(addresses: &Addresses, node: usize, number: usize) -> Got {
+pub(crate) async fn probe(addresses: &Addresses, node: usize, number: usize) -> ReceivedAnswer {
     let attempt = format!("{PROBE}{node}-{number}");
     let ask = ask(Kind::Read, attempt, 0, addresses.key());
     caller::send(addresses.address(node), &ask).await
@@ -135,7 +135,7 @@
     }
 }
 
-fn draw(rng: &mut StdRng, attempt: String, key: u64) -> (Kind, u64, Ask) {
+fn draw(rng: &mut StdRng, attempt: String, key: u64) -> (Kind, u64, SentRequest) {
     let kind = match rng.random_range(0..10) {
         0..3 => Kind::Read,
         3..6 => Kind::Write,
@@ -153,15 +153,15 @@
     (kind, events, ask)
 }
 
-fn ask(kind: Kind, attempt: String, events: u64, key: u64) -> Ask {
+fn ask(kind: Kind, attempt: String, events: u64, key: u64) -> SentRequest {
     let (method, path) = match kind {
-        Kind::Read => (Method::GET, READ),
-        Kind::Write => (Method::POST, WRITE),
-        Kind::Stream => (Method::POST, STREAM),
-        Kind::Resumable => (Method::POST, RESUMABLE),
+        Kind::Read => (Method::GET, READ_PATH),
+        Kind::Write => (Method::POST, WRITE_PATH),
+        Kind::Stream => (Method::POST, STREAM_PATH),
+        Kind::Resumable => (Method::POST, RESUMABLE_PATH),
     };
     let output = u32::try_from(events * EVENT_TOKENS).unwrap();
-    Ask {
+    SentRequest {
         attempt,
         method,
         path: path.to_owned(),
