--- a/filbertpaddle/src/service.rs
+++ b/filbertpaddle/src/availability.rs
@@ -19,7 +19,7 @@
 
 /// What may get new work; clones share one view.
 #[derive(Clone, Debug)]
-pub struct Service {
+pub struct SharedAvailability {
     shared: Arc<Shared>,
 }
 
@@ -30,7 +30,7 @@
     log: Logger,
 }
 
-impl Service {
+impl SharedAvailability {
     /// Starts with nothing known.
     pub fn new(clock: Clock, log: Logger) -> Self {
         Self {
--- a/filbertpaddle/src/config.rs
+++ b/filbertpaddle/src/config.rs
@@ -26,13 +26,13 @@
 use xtra::Mailbox;
 use xtra::WeakAddress;
 
+use crate::availability::SharedAvailability;
 use crate::clock;
 use crate::clock::Clock;
 use crate::inbox::Incoming;
 use crate::metrics::Metrics;
 use crate::peers::Peer;
 use crate::peers::Peers;
-use crate::service::Service;
 use crate::status::Known;
 use crate::status::Report;
 use crate::table;
@@ -51,7 +51,7 @@
     /// The platform.
     pub platform: Client,
     /// Told of what is out.
-    pub service: Service,
+    pub availability: SharedAvailability,
     /// The node's clock.
     pub clock: Clock,
     /// Metrics of changes.
@@ -81,7 +81,7 @@
             own: parts.own,
             peers: parts.peers,
             platform: parts.platform,
-            service: parts.service,
+            availability: parts.availability,
             clock: parts.clock,
             metrics: parts.metrics,
             log: parts.log,
@@ -144,7 +144,7 @@
     own: Peer,
     peers: Peers,
     platform: Client,
-    service: Service,
+    availability: SharedAvailability,
     clock: Clock,
     metrics: Arc<Metrics>,
     log: Logger,
@@ -190,7 +190,7 @@
             None => Snapshot::of(replica),
         };
         self.publish.send_replace(Some(Arc::new(next)));
-        self.service.on_config(replica);
+        self.availability.on_config(replica);
     }
 
     fn note(&self, key: &Key) {
--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -25,6 +25,7 @@
 use xtra::Mailbox;
 use xtra::WeakAddress;
 
+use crate::availability::SharedAvailability;
 use crate::clock::Clock;
 use crate::coordinator_inputs::Polled;
 use crate::coordinator_inputs::Written;
@@ -42,7 +43,6 @@
 use crate::record;
 use crate::record::Record;
 use crate::registrar;
-use crate::service::Service;
 
 /// Time between two reports of one target.
 const POLL_INTERVAL_MS: Millis = Millis(250);
@@ -65,7 +65,7 @@
     /// Targets, for their reports.
     pub targets: target::Client,
     /// What may get new work.
-    pub service: Service,
+    pub service: SharedAvailability,
     /// The node's clock.
     pub clock: Clock,
     /// How queued work is ordered and placed.
@@ -122,7 +122,7 @@
     pub(crate) peers: Peers,
     pub(crate) platform: Client,
     pub(crate) targets: target::Client,
-    pub(crate) service: Service,
+    pub(crate) service: SharedAvailability,
     pub(crate) clock: Clock,
     pub(crate) log: Logger,
     pub(crate) terms: Terms,
--- a/filbertpaddle/src/lib.rs
+++ b/filbertpaddle/src/lib.rs
@@ -2,6 +2,7 @@
 
 pub mod arguments;
 pub mod attempt;
+pub mod availability;
 mod body;
 mod bounds;
 pub mod caller;
@@ -45,7 +46,6 @@
 pub mod request;
 pub mod retries;
 pub mod run;
-pub mod service;
 pub mod settings;
 pub mod show;
 pub mod slots;
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -21,6 +21,7 @@
 use warp::Filter;
 
 use crate::attempt;
+use crate::availability::SharedAvailability;
 use crate::caller;
 use crate::claims;
 use crate::claims::Claims;
@@ -45,7 +46,6 @@
 use crate::refusals::Keeper;
 use crate::remote::Remote;
 use crate::retries::Retries;
-use crate::service::Service;
 use crate::settings::Settings;
 use crate::slots::Slots;
 use crate::templates::Templates;
@@ -108,7 +108,7 @@
             log: log.clone(),
         };
         let (peers, inboxes) = start_peers(&settings, identity, peers, &common);
-        let service = Service::new(common.clock, log::part(&log, "service"));
+        let service = SharedAvailability::new(common.clock, log::part(&log, "service"));
         let pools = Pools::start(pools::Parts {
             own: common.own.clone(),
             peers: peers.clone(),
@@ -248,14 +248,14 @@
     common: &Common,
     peers: Peers,
     inbox: mpsc::Receiver<inbox::Incoming<wire_config::Message>>,
-    service: &Service,
+    service: &SharedAvailability,
 ) -> (Config, Templates) {
     Config::start(config::Parts {
         own: common.own.clone(),
         peers,
         inbox,
         platform: common.platform.clone(),
-        service: service.clone(),
+        availability: service.clone(),
         clock: common.clock,
         metrics: Arc::clone(&common.metrics),
         log: log::part(&common.log, "config"),
