--- a/filbertpaddle/examples/demo.rs
+++ b/filbertpaddle/examples/demo.rs
@@ -8,10 +8,10 @@
 
 use data_encoding::HEXLOWER;
 use eyre::OptionExt;
+use filbertpaddle::config_table;
 use filbertpaddle::log;
 use filbertpaddle::node::Node;
 use filbertpaddle::settings;
-use filbertpaddle::table;
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::config::Change;
 use filbertpaddle_core::config::ChangeId;
@@ -105,7 +105,7 @@
     for (revision, setting) in (1..).zip([customer, template]) {
         transaction
             .writes
-            .extend(table::writes(&record(revision, setting))?);
+            .extend(config_table::record_writes(&record(revision, setting))?);
     }
     Ok(transaction)
 }
--- a/filbertpaddle/src/config.rs
+++ b/filbertpaddle/src/config.rs
@@ -29,13 +29,13 @@
 use crate::availability::SharedAvailability;
 use crate::clock;
 use crate::clock::Clock;
+use crate::config_table;
 use crate::inbox::Incoming;
 use crate::metrics::Metrics;
 use crate::peers::Peer;
 use crate::peers::Peers;
 use crate::status::Known;
 use crate::status::Report;
-use crate::table;
 use crate::templates::Snapshot;
 use crate::templates::Templates;
 
@@ -320,11 +320,17 @@
 
 async fn run_read(actor: WeakAddress<Follower>, platform: Client, read: Action, log: Logger) {
     let event = match read {
-        Action::ReadHead => table::read_head(&platform).await.map(Event::TableHead),
-        Action::ReadLog { after } => table::read_log(&platform, after).await.map(Event::TableLog),
-        Action::ReadPage { head, after } => table::read_page(&platform, head, after.as_ref())
+        Action::ReadHead => config_table::read_head(&platform)
             .await
-            .map(Event::TablePage),
+            .map(Event::TableHead),
+        Action::ReadLog { after } => config_table::read_log(&platform, after)
+            .await
+            .map(Event::TableLog),
+        Action::ReadPage { head, after } => {
+            config_table::read_page(&platform, head, after.as_ref())
+                .await
+                .map(Event::TablePage)
+        }
         Action::Send { .. } | Action::Applied(_) => return,
     };
     let event = event.unwrap_or_else(|error| {
--- a/filbertpaddle/src/table.rs
+++ b/filbertpaddle/src/config_table.rs
@@ -143,7 +143,7 @@
 /// # Errors
 ///
 /// Returns [`Error`] if a row cannot be read.
-pub async fn read_seen(
+pub async fn read_snapshot(
     platform: &Client,
     key: &Key,
     audit: Option<Revision>,
@@ -156,9 +156,9 @@
     let mut seen = Snapshot::default();
     for row in &rows {
         if row.key == HEAD_KEY {
-            seen.head = Some(versioned(row)?);
+            seen.head = Some(decode_versioned(row)?);
         } else if row.key == entry_key {
-            seen.entry = Some(versioned(row)?);
+            seen.entry = Some(decode_versioned(row)?);
         } else if Some(&row.key) == audit_key.as_ref() {
             seen.audit = Some(decode::<Record>(row)?.change.id);
         }
@@ -184,7 +184,7 @@
 /// # Errors
 ///
 /// Returns an error if a value has no JSON form.
-pub fn writes(record: &Record) -> Result<Vec<Write>, serde_json::Error> {
+pub fn record_writes(record: &Record) -> Result<Vec<Write>, serde_json::Error> {
     let change = &record.change;
     Ok(vec![
         write(HEAD_KEY.to_owned(), &change.revision)?,
@@ -202,7 +202,7 @@
             condition(entry_key(&change.setting.key()), commit.entry),
             condition(audit_key(change.revision), None),
         ],
-        writes: writes(&commit.record)?,
+        writes: record_writes(&commit.record)?,
     })
 }
 
@@ -214,7 +214,7 @@
     Ok(Write { key, value })
 }
 
-fn versioned<T>(row: &protocol::Row) -> Result<Row<T>, Error>
+fn decode_versioned<T>(row: &protocol::Row) -> Result<Row<T>, Error>
 where
     T: DeserializeOwned,
 {
--- a/filbertpaddle/src/edit.rs
+++ b/filbertpaddle/src/edit_runner.rs
@@ -12,7 +12,7 @@
 use slog::Logger;
 use slog::warn;
 
-use crate::table;
+use crate::config_table;
 
 /// Longest time an operator waits for an answer.
 const LIMIT: Duration = Duration::from_secs(10);
@@ -29,14 +29,16 @@
             // What was not sent yet provably changes nothing.
             Action::Commit(_) if start.elapsed() >= LIMIT => Event::Refused,
             _ if start.elapsed() >= LIMIT => Event::Expired,
-            Action::Read { key, audit } => match table::read_seen(platform, &key, audit).await {
-                Ok(seen) => Event::RowsRead(seen),
-                Err(error) => {
-                    warn!(log, "Entry not read."; "error" => %error);
-                    Event::Refused
+            Action::Read { key, audit } => {
+                match config_table::read_snapshot(platform, &key, audit).await {
+                    Ok(seen) => Event::RowsRead(seen),
+                    Err(error) => {
+                        warn!(log, "Entry not read."; "error" => %error);
+                        Event::Refused
+                    }
                 }
-            },
-            Action::Commit(commit) => table::commit(platform, &commit).await,
+            }
+            Action::Commit(commit) => config_table::commit(platform, &commit).await,
         };
         if matches!(event, Event::Refused | Event::NoAnswer) {
             tokio::time::sleep(RETRY_INTERVAL).await;
--- a/filbertpaddle/src/operator.rs
+++ b/filbertpaddle/src/operator.rs
@@ -31,7 +31,8 @@
 
 use crate::clock;
 use crate::config::Config;
-use crate::edit as run;
+use crate::config_table;
+use crate::edit_runner;
 use crate::operator_api::Answer;
 use crate::operator_api::Audit;
 use crate::operator_api::Entries;
@@ -40,7 +41,6 @@
 use crate::refusals;
 use crate::refusals::Keeper;
 use crate::settings;
-use crate::table;
 
 /// Largest body of an operator's request.
 const MAX_BODY_BYTES: u64 = 64 * 1024;
@@ -219,7 +219,7 @@
 
     async fn audit(&self, query: &AuditQuery) -> Response {
         let limit = query.limit.min(MAX_AUDIT_ROWS);
-        let records = table::read_audit(&self.platform, Revision(query.after), limit).await;
+        let records = config_table::read_audit(&self.platform, Revision(query.after), limit).await;
         read(records.map(|records| Audit { records }))
     }
 
@@ -257,13 +257,13 @@
             expected: wish.expected,
             setting: wish.value,
         };
-        let mut answer = run::run(&self.platform, edit.clone(), &self.log).await;
+        let mut answer = edit_runner::run(&self.platform, edit.clone(), &self.log).await;
         if is_resend
             && let edit::Answer::Conflict {
                 current: Some(current),
             } = &answer
         {
-            answer = match table::find_change(&self.platform, id, current.revision).await {
+            answer = match config_table::find_change(&self.platform, id, current.revision).await {
                 Ok(Some(revision)) => edit::Answer::Accepted(revision),
                 Ok(None) => answer,
                 Err(_) => edit::Answer::Unavailable,
@@ -332,7 +332,7 @@
     })
 }
 
-fn read<T>(result: Result<T, table::Error>) -> Response
+fn read<T>(result: Result<T, config_table::Error>) -> Response
 where
     T: Serialize,
 {
--- a/filbertpaddle/src/record.rs
+++ b/filbertpaddle/src/record.rs
@@ -8,7 +8,7 @@
 use filbertpaddle_platform::protocol::Transaction;
 use filbertpaddle_platform::protocol::Write;
 
-use crate::table;
+use crate::config_table;
 
 /// Tries of a leaving node, against changes by others.
 const LEAVE_TRIES: usize = 4;
@@ -30,14 +30,14 @@
 ///
 /// # Errors
 ///
-/// Returns [`table::Error`] if the row cannot be read.
-pub async fn read(platform: &Client, data_centre: &str) -> Result<Record, table::Error> {
+/// Returns [`config_table::Error`] if the row cannot be read.
+pub async fn read(platform: &Client, data_centre: &str) -> Result<Record, config_table::Error> {
     let rows = platform.read(vec![key(data_centre)]).await?.rows;
     let Some(row) = rows.first() else {
         return Ok(Record::default());
     };
     Ok(Record {
-        roster: table::decode(row)?,
+        roster: config_table::decode(row)?,
         revision: Some(row.revision),
     })
 }
--- a/filbertpaddle/src/refusals.rs
+++ b/filbertpaddle/src/refusals.rs
@@ -19,9 +19,9 @@
 use slog::warn;
 use tokio::sync::mpsc;
 
+use crate::config_table;
 use crate::operator_api::Refusal;
 use crate::operator_api::Refusals;
-use crate::table;
 
 const PREFIX: &str = "refusal/";
 /// Rows that each node writes in turn.
@@ -126,8 +126,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`table::Error`] if a row cannot be read.
-pub async fn read(platform: &Client) -> Result<Refusals, table::Error> {
+/// Returns [`config_table::Error`] if a row cannot be read.
+pub async fn read(platform: &Client) -> Result<Refusals, config_table::Error> {
     let scan = Scan {
         prefix: PREFIX.to_owned(),
         after: None,
@@ -139,7 +139,7 @@
         dropped: 0,
     };
     for row in &rows {
-        let more: Refusals = table::decode(row)?;
+        let more: Refusals = config_table::decode(row)?;
         all.refusals.extend(more.refusals);
         all.dropped = all.dropped.max(more.dropped);
     }
--- a/filbertpaddle/tests/common/fleet.rs
+++ b/filbertpaddle/tests/common/fleet.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use data_encoding::HEXLOWER;
+use filbertpaddle::config_table;
 use filbertpaddle::node::Addresses;
-use filbertpaddle::table;
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::config::Change;
 use filbertpaddle_core::config::ChangeId;
@@ -207,7 +207,9 @@
         }));
         let writes = (1..)
             .zip(settings)
-            .flat_map(|(revision, setting)| table::writes(&record(revision, setting)).unwrap())
+            .flat_map(|(revision, setting)| {
+                config_table::record_writes(&record(revision, setting)).unwrap()
+            })
             .collect();
         let transaction = Transaction {
             conditions: Vec::new(),
