--- a/filbertpaddle/src/arguments.rs
+++ b/filbertpaddle/src/arguments.rs
@@ -21,7 +21,7 @@
     /// Check a settings file.
     Check(PathBuf),
     /// Act as an operator at a node.
-    Operate(Operation),
+    Operator(OperatorCommand),
     /// Show the usage.
     Help,
     /// Show the version.
@@ -30,16 +30,16 @@
 
 /// An operator's action and where it goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Operation {
+pub struct OperatorCommand {
     /// The action.
-    pub call: Call,
+    pub action: OperatorAction,
     /// Options that every action takes.
     pub options: Options,
 }
 
 /// An operator's action.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum OperatorAction {
     /// List all templates.
     TemplateList,
     /// Show one template.
@@ -136,8 +136,8 @@
         ["serve" | "gateway" | "check", _] => {
             Err("serve, gateway and check take no options".into())
         }
-        _ => Ok(Command::Operate(Operation {
-            call: call(&words)?,
+        _ => Ok(Command::Operator(OperatorCommand {
+            action: operator_action(&words)?,
             options,
         })),
     }
@@ -164,24 +164,24 @@
     Ok(Expect::At(Revision(revision)))
 }
 
-fn call(words: &[&str]) -> Result<Call, lexopt::Error> {
-    let call = match *words {
+fn operator_action(words: &[&str]) -> Result<OperatorAction, lexopt::Error> {
+    let action = match *words {
         [] => return Err("a command is missing".into()),
-        ["template", "list"] => Call::TemplateList,
-        ["template", "get", customer, name] => Call::TemplateGet {
+        ["template", "list"] => OperatorAction::TemplateList,
+        ["template", "get", customer, name] => OperatorAction::TemplateGet {
             customer: customer.into(),
             name: name.into(),
         },
-        ["template", "set", customer, name, file] => Call::TemplateSet {
+        ["template", "set", customer, name, file] => OperatorAction::TemplateSet {
             customer: customer.into(),
             name: name.into(),
             file: file.into(),
         },
-        ["data-centre", word, name] => Call::DataCentre(name.into(), service(word)?),
-        ["vm", word, name] => Call::Vm(name.into(), service(word)?),
-        ["status"] => Call::Status,
-        ["audit"] => Call::Audit,
-        ["refusals"] => Call::Refusals,
+        ["data-centre", word, name] => OperatorAction::DataCentre(name.into(), service(word)?),
+        ["vm", word, name] => OperatorAction::Vm(name.into(), service(word)?),
+        ["status"] => OperatorAction::Status,
+        ["audit"] => OperatorAction::Audit,
+        ["refusals"] => OperatorAction::Refusals,
         [
             "serve" | "gateway" | "check" | "template" | "data-centre" | "vm" | "status" | "audit"
             | "refusals",
@@ -189,7 +189,7 @@
         ] => return Err(format!("wrong arguments of {}", words[0]).into()),
         [other, ..] => return Err(format!("unknown command {other}").into()),
     };
-    Ok(call)
+    Ok(action)
 }
 
 fn service(word: &str) -> Result<ServiceState, lexopt::Error> {
--- a/filbertpaddle/src/cli.rs
+++ b/filbertpaddle/src/cli.rs
@@ -10,11 +10,11 @@
 
 use crate::arguments;
 use crate::arguments::Command;
-use crate::arguments::Operation;
+use crate::arguments::OperatorCommand;
 use crate::log;
 use crate::node::Node;
-use crate::operate;
 use crate::operator_api::Answer;
+use crate::operator_client;
 use crate::settings;
 use crate::settings::Settings;
 
@@ -75,12 +75,12 @@
         Command::Check(path) => return check(&path),
         Command::Serve(path) => return serve(&path),
         Command::Gateway => return gateway(),
-        Command::Operate(operation) => return operate(&operation),
+        Command::Operator(command) => return run_operator_command(&command),
     }
     ExitCode::SUCCESS
 }
 
-fn operate(operation: &Operation) -> ExitCode {
+fn run_operator_command(command: &OperatorCommand) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -91,7 +91,7 @@
             return ExitCode::FAILURE;
         }
     };
-    match runtime.block_on(operate::run(operation)) {
+    match runtime.block_on(operator_client::run(command)) {
         Ok(output) => {
             print!("{}", output.text);
             output.answer.as_ref().map_or(ExitCode::SUCCESS, exit_code)
@@ -99,9 +99,9 @@
         Err(error) => {
             eprintln!("filbertpaddle: {error}");
             match error {
-                operate::Error::Usage(_) => ExitCode::from(EXIT_USAGE),
-                operate::Error::Unauthorized => ExitCode::from(EXIT_UNAUTHORIZED),
-                operate::Error::Unanswered { .. } => ExitCode::from(EXIT_UNKNOWN),
+                operator_client::Error::Usage(_) => ExitCode::from(EXIT_USAGE),
+                operator_client::Error::Unauthorized => ExitCode::from(EXIT_UNAUTHORIZED),
+                operator_client::Error::Unanswered { .. } => ExitCode::from(EXIT_UNKNOWN),
                 _ => ExitCode::FAILURE,
             }
         }
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -36,14 +36,14 @@
 use crate::inbox::Inboxes;
 use crate::log;
 use crate::metrics::Metrics;
-use crate::operator;
-use crate::operator::Desk;
+use crate::operator_routes;
+use crate::operator_routes::OperatorHandler;
 use crate::peers::Identity;
 use crate::peers::Peer;
 use crate::peers::Peers;
 use crate::pools;
 use crate::pools::Pools;
-use crate::refusals::Keeper;
+use crate::refusals::RefusalLog;
 use crate::remote::Remote;
 use crate::retries::Retries;
 use crate::settings::Settings;
@@ -139,7 +139,7 @@
             ),
             serve(
                 operators,
-                operator::routes(desk).or(health::routes(Arc::clone(&front))),
+                operator_routes::routes(desk).or(health::routes(Arc::clone(&front))),
             ),
         ];
         let log = log::part(&log, "node");
@@ -262,11 +262,11 @@
     })
 }
 
-fn desk(settings: &Settings, common: &Common, config: Config) -> Desk {
+fn desk(settings: &Settings, common: &Common, config: Config) -> OperatorHandler {
     let log = log::part(&common.log, "operator");
     let node = common.own.name.clone();
-    Desk {
-        keeper: Keeper::start(node.clone(), common.platform.clone(), log.clone()),
+    OperatorHandler {
+        refusal_log: RefusalLog::start(node.clone(), common.platform.clone(), log.clone()),
         node,
         operators: settings.operators.clone(),
         config,
--- a/filbertpaddle/src/operator_api.rs
+++ b/filbertpaddle/src/operator_api.rs
@@ -13,7 +13,7 @@
 /// Body of a request to change one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Set<T> {
+pub struct ChangeRequest<T> {
     /// Revision of the entry that is replaced; absent if it is new.
     #[serde(default)]
     pub expected: Option<Revision>,
@@ -63,7 +63,7 @@
 
 impl Answer {
     /// Turns an edit's answer into the interface's.
-    pub fn of(answer: edit::Answer, change_id: ChangeId) -> Self {
+    pub fn from_edit(answer: edit::Answer, change_id: ChangeId) -> Self {
         match answer {
             edit::Answer::Accepted(revision) => Self::Accepted { revision },
             edit::Answer::Unchanged { revision } => Self::Unchanged { revision },
--- a/filbertpaddle/src/operate.rs
+++ b/filbertpaddle/src/operator_client.rs
@@ -16,14 +16,14 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::arguments::Call;
-use crate::arguments::Operation;
+use crate::arguments::OperatorAction;
+use crate::arguments::OperatorCommand;
 use crate::arguments::Options;
 use crate::operator_api::Answer;
 use crate::operator_api::Audit;
+use crate::operator_api::ChangeRequest;
 use crate::operator_api::Refusals;
-use crate::operator_api::Set;
-use crate::show;
+use crate::operator_text;
 use crate::status::Report;
 
 /// Environment variable with a node's operators' address.
@@ -31,9 +31,9 @@
 /// Environment variable with the operator's token.
 const TOKEN_VARIABLE: &str = "FILBERTPADDLE_TOKEN";
 /// Longest wait for a node's answer, beyond what a node takes for a change.
-const TIMEOUT: Duration = Duration::from_secs(20);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// How often a change is sent whose answer was lost.
-const SENDS: u32 = 3;
+const MAX_SENDS: u32 = 3;
 
 /// Why an operator's command failed.
 #[derive(Debug, thiserror::Error)]
@@ -82,16 +82,16 @@
 /// # Errors
 ///
 /// Returns [`Error`] if no answer can be shown.
-pub async fn run(operation: &Operation) -> Result<Output, Error> {
-    let node = Node::open(&operation.options)?;
-    let options = &operation.options;
-    match &operation.call {
-        Call::TemplateList => node.show("templates", show::templates).await,
-        Call::TemplateGet { customer, name } => {
+pub async fn run(command: &OperatorCommand) -> Result<Output, Error> {
+    let node = Node::open(&command.options)?;
+    let options = &command.options;
+    match &command.action {
+        OperatorAction::TemplateList => node.show("templates", operator_text::templates).await,
+        OperatorAction::TemplateGet { customer, name } => {
             let path = format!("templates/{customer}/{name}");
-            node.show(&path, show::change).await
+            node.show(&path, operator_text::change).await
         }
-        Call::TemplateSet {
+        OperatorAction::TemplateSet {
             customer,
             name,
             file,
@@ -99,20 +99,26 @@
             let path = format!("templates/{customer}/{name}");
             node.set(&path, &read_template(file)?, options).await
         }
-        Call::DataCentre(name, service) => {
+        OperatorAction::DataCentre(name, service) => {
             let path = format!("data-centres/{name}");
             node.set::<ServiceState>(&path, service, options).await
         }
-        Call::Vm(name, service) => {
+        OperatorAction::Vm(name, service) => {
             let path = format!("vms/{name}");
             node.set::<ServiceState>(&path, service, options).await
         }
-        Call::Status => node.show::<Report, _>("status", show::report).await,
-        Call::Audit => {
+        OperatorAction::Status => {
+            node.show::<Report, _>("status", operator_text::report)
+                .await
+        }
+        OperatorAction::Audit => {
             let path = format!("audit?after={}", options.after);
-            node.show::<Audit, _>(&path, show::audit).await
+            node.show::<Audit, _>(&path, operator_text::audit).await
+        }
+        OperatorAction::Refusals => {
+            node.show::<Refusals, _>("refusals", operator_text::refusals)
+                .await
         }
-        Call::Refusals => node.show::<Refusals, _>("refusals", show::refusals).await,
     }
 }
 
@@ -137,7 +143,7 @@
                 .ok_or_else(|| usage(format!("give --token-file FILE or set {TOKEN_VARIABLE}")))?,
         };
         let http = Client::builder()
-            .timeout(TIMEOUT)
+            .timeout(REQUEST_TIMEOUT)
             .no_proxy()
             .build()
             .map_err(|error| usage(error.to_string()))?;
@@ -170,27 +176,27 @@
     {
         let expected = match options.expect {
             Some(expect) => expect.revision(),
-            None => self.present(path).await?,
+            None => self.current_revision(path).await?,
         };
         let change_id = options
             .change_id
             .unwrap_or_else(|| ChangeId(rand::random()));
-        let set = Set {
+        let change = ChangeRequest {
             expected,
             change_id: Some(change_id),
             value: value.clone(),
         };
-        let answer = self.put(path, &set, change_id).await?;
+        let answer = self.put(path, &change, change_id).await?;
         let text = if self.json {
             json(&answer)
         } else {
-            show::answer(&answer)
+            operator_text::answer(&answer)
         };
         let answer = Some(answer);
         Ok(Output { text, answer })
     }
 
-    async fn present(&self, path: &str) -> Result<Option<Revision>, Error> {
+    async fn current_revision(&self, path: &str) -> Result<Option<Revision>, Error> {
         let change: Option<Change> = self.get(path).await?;
         Ok(change.map(|change| change.revision))
     }
@@ -212,12 +218,17 @@
     }
 
     /// Sends a change; its id makes sending it again harmless.
-    async fn put<T>(&self, path: &str, set: &Set<T>, id: ChangeId) -> Result<Answer, Error>
+    async fn put<T>(
+        &self,
+        path: &str,
+        change: &ChangeRequest<T>,
+        id: ChangeId,
+    ) -> Result<Answer, Error>
     where
         T: Serialize,
     {
-        for _ in 0..SENDS {
-            match self.request(Method::PUT, path).json(set).send().await {
+        for _ in 0..MAX_SENDS {
+            match self.request(Method::PUT, path).json(change).send().await {
                 Ok(response) => {
                     if let Ok(answer) = response.json().await {
                         return Ok(answer);
--- a/filbertpaddle/src/operator.rs
+++ b/filbertpaddle/src/operator_routes.rs
@@ -35,11 +35,11 @@
 use crate::edit_runner;
 use crate::operator_api::Answer;
 use crate::operator_api::Audit;
+use crate::operator_api::ChangeRequest;
 use crate::operator_api::Entries;
 use crate::operator_api::Refusal;
-use crate::operator_api::Set;
 use crate::refusals;
-use crate::refusals::Keeper;
+use crate::refusals::RefusalLog;
 use crate::settings;
 
 /// Largest body of an operator's request.
@@ -53,7 +53,7 @@
 
 /// What operators act on.
 #[derive(Debug)]
-pub struct Desk {
+pub struct OperatorHandler {
     /// Name of this node.
     pub node: Name,
     /// Operators and the digests of their tokens.
@@ -63,7 +63,7 @@
     /// The platform, which accepts changes.
     pub platform: Client,
     /// Keeps refused actions.
-    pub keeper: Keeper,
+    pub refusal_log: RefusalLog,
     /// Log of accepted changes.
     pub log: Logger,
 }
@@ -89,58 +89,61 @@
 
 /// Returns the operators' routes.
 pub fn routes(
-    desk: Arc<Desk>,
+    handler: Arc<OperatorHandler>,
 ) -> impl Filter<Extract = (Response,), Error = Rejection> + Clone + Send + Sync + 'static {
-    let with_desk = warp::any().map(move || Arc::clone(&desk));
+    let with_handler = warp::any().map(move || Arc::clone(&handler));
     let authorization = warp::header::optional("authorization");
     let get = warp::path("v1")
         .and(warp::get())
-        .and(with_desk.clone())
+        .and(with_handler.clone())
         .and(authorization)
         .and(warp::path::tail())
         .and(warp::query::<AuditQuery>())
         .then(
-            async |desk: Arc<Desk>, token: Option<String>, tail: Tail, query| match desk.admit(
-                "GET",
-                token.as_deref(),
-                tail.as_str(),
-            ) {
-                Some(request) => desk.get(&request, &query).await,
-                None => answered(&Answer::Unauthorized),
+            async |handler: Arc<OperatorHandler>, token: Option<String>, tail: Tail, query| {
+                match handler.admit("GET", token.as_deref(), tail.as_str()) {
+                    Some(request) => handler.get(&request, &query).await,
+                    None => answer_response(&Answer::Unauthorized),
+                }
             },
         );
     let put = warp::path("v1")
         .and(warp::put())
-        .and(with_desk)
+        .and(with_handler)
         .and(authorization)
         .and(warp::path::tail())
         .and(warp::body::content_length_limit(MAX_BODY_BYTES))
         .and(warp::body::bytes())
         .then(
-            async |desk: Arc<Desk>, token: Option<String>, tail: Tail, body: Bytes| match desk
-                .admit("PUT", token.as_deref(), tail.as_str())
-            {
-                Some(request) => put(desk, request, body).await,
-                None => answered(&Answer::Unauthorized),
+            async |handler: Arc<OperatorHandler>,
+                   token: Option<String>,
+                   tail: Tail,
+                   body: Bytes| match handler.admit(
+                "PUT",
+                token.as_deref(),
+                tail.as_str(),
+            ) {
+                Some(request) => handle_put(handler, request, body).await,
+                None => answer_response(&Answer::Unauthorized),
             },
         );
     get.or(put).unify()
 }
 
-async fn put(desk: Arc<Desk>, request: Request, body: Bytes) -> Response {
+async fn handle_put(handler: Arc<OperatorHandler>, request: Request, body: Bytes) -> Response {
     // A change goes on to its end even if the operator hangs up.
     let task = tokio::spawn(async move {
-        let answer = desk.set(&request, &body).await;
-        desk.note(&request, &answer);
+        let answer = handler.set(&request, &body).await;
+        handler.record_answer(&request, &answer);
         answer
     });
     task.await.map_or_else(
         |_| StatusCode::INTERNAL_SERVER_ERROR.into_response(),
-        |answer| answered(&answer),
+        |answer| answer_response(&answer),
     )
 }
 
-impl Desk {
+impl OperatorHandler {
     fn admit(&self, method: &str, token: Option<&str>, path: &str) -> Option<Request> {
         let action = format!("{method} {path}");
         let token = token.and_then(|value| value.strip_prefix("Bearer "));
@@ -166,7 +169,7 @@
     }
 
     fn refuse(&self, by: Option<Name>, action: String, reason: &'static str) {
-        self.keeper.keep(Refusal {
+        self.refusal_log.record(Refusal {
             at_ms: clock::unix_now(),
             node: self.node.clone(),
             by,
@@ -175,7 +178,7 @@
         });
     }
 
-    fn note(&self, request: &Request, answer: &Answer) {
+    fn record_answer(&self, request: &Request, answer: &Answer) {
         let reason = match answer {
             Answer::Accepted { revision } => {
                 info!(self.log, "Change accepted.";
@@ -195,13 +198,13 @@
         match request.path.as_str() {
             "status" => self.status().await,
             "audit" => self.audit(query).await,
-            "refusals" => read(refusals::read(&self.platform).await),
+            "refusals" => table_response(refusals::read(&self.platform).await),
             "entries" => self.entries(|_| true).await,
             "templates" => {
                 self.entries(|key| matches!(key, Key::Template { .. }))
                     .await
             }
-            path => match key(path) {
+            path => match parse_key(path) {
                 Some(key) => self.entry(key).await,
                 None => StatusCode::NOT_FOUND.into_response(),
             },
@@ -220,7 +223,7 @@
     async fn audit(&self, query: &AuditQuery) -> Response {
         let limit = query.limit.min(MAX_AUDIT_ROWS);
         let records = config_table::read_audit(&self.platform, Revision(query.after), limit).await;
-        read(records.map(|records| Audit { records }))
+        table_response(records.map(|records| Audit { records }))
     }
 
     async fn entries<F>(&self, wanted: F) -> Response
@@ -240,22 +243,22 @@
     }
 
     async fn set(&self, request: &Request, body: &[u8]) -> Answer {
-        let wish = match parse(&request.path, body) {
-            Ok(wish) => wish,
+        let change = match parse_change(&request.path, body) {
+            Ok(change) => change,
             Err(detail) => return Answer::Invalid { detail },
         };
-        if !self.config.has_room(wish.value.clone()).await {
+        if !self.config.has_room(change.value.clone()).await {
             let detail = "the configuration as a whole is full".to_owned();
             return Answer::Invalid { detail };
         }
-        let is_resend = wish.change_id.is_some();
-        let id = wish.change_id.unwrap_or_else(|| ChangeId(rand::random()));
+        let is_resend = change.change_id.is_some();
+        let id = change.change_id.unwrap_or_else(|| ChangeId(rand::random()));
         let edit = edit::Request {
             id,
             by: request.by.clone(),
             at_ms: clock::unix_now(),
-            expected: wish.expected,
-            setting: wish.value,
+            expected: change.expected,
+            setting: change.value,
         };
         let mut answer = edit_runner::run(&self.platform, edit.clone(), &self.log).await;
         if is_resend
@@ -272,7 +275,7 @@
         if let edit::Answer::Accepted(revision) = answer {
             self.config.accepted(accepted(edit, revision)).await;
         }
-        Answer::of(answer, id)
+        Answer::from_edit(answer, id)
     }
 }
 
@@ -287,7 +290,7 @@
 }
 
 /// Returns the entry that a path names.
-fn key(path: &str) -> Option<Key> {
+fn parse_key(path: &str) -> Option<Key> {
     let mut parts = path.split('/');
     let key = match (parts.next()?, parts.next()?, parts.next()) {
         ("customers", name, None) => Key::Customer(name.into()),
@@ -302,47 +305,49 @@
     parts.next().is_none().then_some(key)
 }
 
-fn parse(path: &str, body: &[u8]) -> Result<Set<Setting>, String> {
-    let wish = match key(path).ok_or_else(|| format!("there is no entry {path}"))? {
-        Key::Customer(name) => set(body, |customer| Setting::Customer { name, customer })?,
-        Key::DataCentre(name) => set(body, |service| Setting::DataCentre { name, service })?,
-        Key::Template { customer, name } => set(body, |template| Setting::Template {
+fn parse_change(path: &str, body: &[u8]) -> Result<ChangeRequest<Setting>, String> {
+    let change = match parse_key(path).ok_or_else(|| format!("there is no entry {path}"))? {
+        Key::Customer(name) => parse_body(body, |customer| Setting::Customer { name, customer })?,
+        Key::DataCentre(name) => parse_body(body, |service| Setting::DataCentre { name, service })?,
+        Key::Template { customer, name } => parse_body(body, |template| Setting::Template {
             customer,
             name,
             template: Box::new(template),
         })?,
-        Key::Vm(name) => set(body, |service| Setting::Vm { name, service })?,
+        Key::Vm(name) => parse_body(body, |service| Setting::Vm { name, service })?,
     };
-    wish.value
+    change
+        .value
         .validate()
         .map_err(|invalid| invalid.to_string())?;
-    Ok(wish)
+    Ok(change)
 }
 
-fn set<T, F>(body: &[u8], setting: F) -> Result<Set<Setting>, String>
+fn parse_body<T, F>(body: &[u8], setting: F) -> Result<ChangeRequest<Setting>, String>
 where
     T: DeserializeOwned,
     F: FnOnce(T) -> Setting,
 {
-    let set: Set<T> = serde_json::from_slice(body).map_err(|error| error.to_string())?;
-    Ok(Set {
-        expected: set.expected,
-        change_id: set.change_id,
-        value: setting(set.value),
+    let request: ChangeRequest<T> =
+        serde_json::from_slice(body).map_err(|error| error.to_string())?;
+    Ok(ChangeRequest {
+        expected: request.expected,
+        change_id: request.change_id,
+        value: setting(request.value),
     })
 }
 
-fn read<T>(result: Result<T, config_table::Error>) -> Response
+fn table_response<T>(result: Result<T, config_table::Error>) -> Response
 where
     T: Serialize,
 {
     match result {
         Ok(body) => warp::reply::json(&body).into_response(),
-        Err(_) => answered(&Answer::Unavailable),
+        Err(_) => answer_response(&Answer::Unavailable),
     }
 }
 
-fn answered(answer: &Answer) -> Response {
+fn answer_response(answer: &Answer) -> Response {
     let status = match answer {
         Answer::Accepted { .. } | Answer::Unchanged { .. } => StatusCode::OK,
         Answer::Conflict { .. } => StatusCode::CONFLICT,
--- a/filbertpaddle/src/refusals.rs
+++ b/filbertpaddle/src/refusals.rs
@@ -25,40 +25,40 @@
 
 const PREFIX: &str = "refusal/";
 /// Rows that each node writes in turn.
-const SLOTS: u64 = 16;
+const ROWS_PER_NODE: u64 = 16;
 /// Most refusals in one row.
-const ROW_REFUSALS: usize = 32;
+const MAX_REFUSALS_PER_ROW: usize = 32;
 /// Most rows read at once.
-const SCAN_ROWS: u32 = 200;
+const MAX_SCAN_ROWS: u32 = 200;
 /// Longest action that is kept.
 const MAX_ACTION_CHARS: usize = 200;
 const WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Takes refusals to keep.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct RefusalLog {
     queue: mpsc::Sender<Refusal>,
     dropped: Arc<AtomicU64>,
 }
 
-impl Keeper {
+impl RefusalLog {
     /// Starts to keep refusals of this node.
     pub fn start(node: Name, platform: Client, log: Logger) -> Self {
-        let (queue, refusals) = mpsc::channel(ROW_REFUSALS);
+        let (queue, refusals) = mpsc::channel(MAX_REFUSALS_PER_ROW);
         let dropped = Arc::new(AtomicU64::new(0));
         let writer = Writer {
             node,
             platform,
             dropped: Arc::clone(&dropped),
             log,
-            slot: rand::random::<u64>() % SLOTS,
+            next_row: rand::random::<u64>() % ROWS_PER_NODE,
         };
         tokio::spawn(writer.run(refusals));
         Self { queue, dropped }
     }
 
     /// Keeps a refusal, or counts it if there are too many.
-    pub fn keep(&self, mut refusal: Refusal) {
+    pub fn record(&self, mut refusal: Refusal) {
         refusal.action = refusal.action.chars().take(MAX_ACTION_CHARS).collect();
         if self.queue.try_send(refusal).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
@@ -71,7 +71,7 @@
     platform: Client,
     dropped: Arc<AtomicU64>,
     log: Logger,
-    slot: u64,
+    next_row: u64,
 }
 
 impl Writer {
@@ -84,7 +84,7 @@
                 while let Ok(refusal) = queue.try_recv() {
                     waiting.push_back(refusal);
                 }
-                self.shorten(&mut waiting);
+                self.drop_oldest(&mut waiting);
                 if self.write(&waiting).await {
                     waiting.clear();
                 }
@@ -92,8 +92,8 @@
         }
     }
 
-    fn shorten(&self, waiting: &mut VecDeque<Refusal>) {
-        while waiting.len() > ROW_REFUSALS {
+    fn drop_oldest(&self, waiting: &mut VecDeque<Refusal>) {
+        while waiting.len() > MAX_REFUSALS_PER_ROW {
             waiting.pop_front();
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
@@ -105,7 +105,7 @@
             dropped: self.dropped.load(Ordering::Relaxed),
         };
         let write = Write {
-            key: format!("{PREFIX}{}/{:02}", self.node, self.slot),
+            key: format!("{PREFIX}{}/{:02}", self.node, self.next_row),
             value: serde_json::to_string(&row).ok(),
         };
         let transaction = Transaction {
@@ -117,7 +117,7 @@
             warn!(self.log, "Refusals not kept."; "error" => %error);
             return false;
         }
-        self.slot = (self.slot + 1) % SLOTS;
+        self.next_row = (self.next_row + 1) % ROWS_PER_NODE;
         true
     }
 }
@@ -131,7 +131,7 @@
     let scan = Scan {
         prefix: PREFIX.to_owned(),
         after: None,
-        limit: SCAN_ROWS,
+        limit: MAX_SCAN_ROWS,
     };
     let rows = platform.scan(&scan).await?.rows;
     let mut all = Refusals {
