--- a/filbertpaddle/src/config.rs
+++ b/filbertpaddle/src/config.rs
@@ -29,17 +29,17 @@
 use crate::availability::SharedAvailability;
 use crate::clock;
 use crate::clock::Clock;
+use crate::config_snapshot::ConfigReader;
+use crate::config_snapshot::ConfigSnapshot;
+use crate::config_status::Report;
+use crate::config_status::StatusTracker;
 use crate::config_table;
 use crate::inbox::Incoming;
 use crate::metrics::Metrics;
 use crate::peers::Peer;
 use crate::peers::Peers;
-use crate::status::Known;
-use crate::status::Report;
-use crate::templates::Snapshot;
-use crate::templates::Templates;
 
-/// What the follower is built from.
+/// What the actor is built from.
 #[derive(Debug)]
 pub struct Parts {
     /// This node.
@@ -63,21 +63,21 @@
 /// The configuration on this node.
 #[derive(Clone, Debug)]
 pub struct Config {
-    actor: Address<Follower>,
+    actor: Address<ReplicatorActor>,
 }
 
 impl Config {
     /// Starts to follow; the templates are given out once they are recent.
-    pub fn start(parts: Parts) -> (Self, Templates) {
-        let (publish, current) = watch::channel(None);
+    pub fn start(parts: Parts) -> (Self, ConfigReader) {
+        let (snapshots, current) = watch::channel(None);
         let member = Member {
             node: parts.own.name.clone(),
             data_centre: parts.own.data_centre.clone(),
         };
-        let follower = Follower {
-            spread: Replicator::new(member),
-            known: Known::default(),
-            publish,
+        let replicator_actor = ReplicatorActor {
+            replicator: Replicator::new(member),
+            status: StatusTracker::default(),
+            snapshots,
             own: parts.own,
             peers: parts.peers,
             platform: parts.platform,
@@ -86,14 +86,14 @@
             metrics: parts.metrics,
             log: parts.log,
         };
-        let actor = xtra::spawn_tokio(follower, Mailbox::unbounded());
+        let actor = xtra::spawn_tokio(replicator_actor, Mailbox::unbounded());
         tokio::spawn(tick(actor.downgrade()));
         tokio::spawn(receive(actor.downgrade(), parts.inbox));
-        (Self { actor }, Templates::new(current))
+        (Self { actor }, ConfigReader::new(current))
     }
 
     /// Spreads a change that was accepted through this node.
-    pub async fn accepted(&self, change: Change) {
+    pub async fn publish_accepted(&self, change: Change) {
         self.actor.send(Input(Event::Accepted(change))).await.ok();
     }
 
@@ -113,13 +113,13 @@
     }
 
     /// Asks every data centre's relay what is in force there.
-    pub async fn ask_status(&self) {
-        self.actor.send(AskStatus).await.ok();
+    pub async fn request_status(&self) {
+        self.actor.send(RequestStatus).await.ok();
     }
 
     /// Returns what is known of all nodes; `None` if the node stops.
-    pub async fn report(&self) -> Option<Report> {
-        self.actor.send(GetReport).await.ok()
+    pub async fn status_report(&self) -> Option<Report> {
+        self.actor.send(GetStatusReport).await.ok()
     }
 }
 
@@ -133,14 +133,14 @@
 
 struct HasRoom(Setting);
 
-struct AskStatus;
+struct RequestStatus;
 
-struct GetReport;
+struct GetStatusReport;
 
-struct Follower {
-    spread: Replicator,
-    known: Known,
-    publish: watch::Sender<Option<Arc<Snapshot>>>,
+struct ReplicatorActor {
+    replicator: Replicator,
+    status: StatusTracker,
+    snapshots: watch::Sender<Option<Arc<ConfigSnapshot>>>,
     own: Peer,
     peers: Peers,
     platform: Client,
@@ -150,20 +150,20 @@
     log: Logger,
 }
 
-impl Follower {
+impl ReplicatorActor {
     fn on(&mut self, actor: WeakAddress<Self>, event: Event) {
-        let was_ready = self.spread.is_ready();
-        let actions = self.spread.on(self.clock.now(), event);
-        let mut in_force = Vec::new();
+        let was_ready = self.replicator.is_ready();
+        let actions = self.replicator.on(self.clock.now(), event);
+        let mut applied = Vec::new();
         for action in actions {
             match action {
                 Action::Send { to, message } => {
                     let message = message::Message::Config(message.into());
                     self.peers.send(&to, message);
                 }
-                Action::Applied(key) => in_force.push(key),
+                Action::Applied(key) => applied.push(key),
                 read => {
-                    tokio::spawn(run_read(
+                    tokio::spawn(read_table(
                         actor.clone(),
                         self.platform.clone(),
                         read,
@@ -172,29 +172,29 @@
                 }
             }
         }
-        in_force.iter().for_each(|key| self.note(key));
-        let is_ready = self.spread.is_ready();
-        if is_ready && (!was_ready || !in_force.is_empty()) {
-            self.put_in_force(&in_force);
+        applied.iter().for_each(|key| self.record_applied(key));
+        let is_ready = self.replicator.is_ready();
+        if is_ready && (!was_ready || !applied.is_empty()) {
+            self.publish_snapshot(&applied);
         }
         if is_ready && !was_ready {
-            info!(self.log, "Configuration known."; "revision" => %self.spread.replica().head());
+            info!(self.log, "Configuration known."; "revision" => %self.replicator.replica().head());
         }
     }
 
-    fn put_in_force(&self, keys: &[Key]) {
-        let replica = self.spread.replica();
-        let current = self.publish.borrow().clone();
+    fn publish_snapshot(&self, keys: &[Key]) {
+        let replica = self.replicator.replica();
+        let current = self.snapshots.borrow().clone();
         let next = match current {
-            Some(current) => current.with(replica, keys),
-            None => Snapshot::of(replica),
+            Some(current) => current.with_entries(replica, keys),
+            None => ConfigSnapshot::from_replica(replica),
         };
-        self.publish.send_replace(Some(Arc::new(next)));
+        self.snapshots.send_replace(Some(Arc::new(next)));
         self.availability.on_config(replica);
     }
 
-    fn note(&self, key: &Key) {
-        let Some(change) = self.spread.replica().get(key) else {
+    fn record_applied(&self, key: &Key) {
+        let Some(change) = self.replicator.replica().get(key) else {
             return;
         };
         let late_ms = clock::unix_now().since(change.at_ms);
@@ -204,7 +204,7 @@
 
     fn update_members(&mut self, actor: WeakAddress<Self>) {
         let connected = self.peers.connected();
-        self.known.update(self.clock.now(), &connected);
+        self.status.update_connected(self.clock.now(), &connected);
         let member = |peer: &Peer| Member {
             node: peer.name.clone(),
             data_centre: peer.data_centre.clone(),
@@ -214,13 +214,13 @@
     }
 }
 
-impl xtra::Actor for Follower {
+impl xtra::Actor for ReplicatorActor {
     type Stop = ();
 
     async fn stopped(self) {}
 }
 
-impl Handler<Input> for Follower {
+impl Handler<Input> for ReplicatorActor {
     type Return = ();
 
     async fn handle(&mut self, Input(event): Input, context: &mut Context<Self>) {
@@ -229,13 +229,13 @@
             from,
         } = &event
         {
-            self.known.take(self.clock.now(), from, nodes);
+            self.status.record_status(self.clock.now(), from, nodes);
         }
         self.on(context.mailbox().address(), event);
     }
 }
 
-impl Handler<Tick> for Follower {
+impl Handler<Tick> for ReplicatorActor {
     type Return = ();
 
     async fn handle(&mut self, _: Tick, context: &mut Context<Self>) {
@@ -245,54 +245,56 @@
     }
 }
 
-impl Handler<Entries> for Follower {
+impl Handler<Entries> for ReplicatorActor {
     type Return = Vec<Change>;
 
     async fn handle(&mut self, _: Entries, _: &mut Context<Self>) -> Vec<Change> {
-        self.spread.replica().entries().cloned().collect()
+        self.replicator.replica().entries().cloned().collect()
     }
 }
 
-impl Handler<Entry> for Follower {
+impl Handler<Entry> for ReplicatorActor {
     type Return = Option<Change>;
 
     async fn handle(&mut self, Entry(key): Entry, _: &mut Context<Self>) -> Option<Change> {
-        self.spread.replica().get(&key).cloned()
+        self.replicator.replica().get(&key).cloned()
     }
 }
 
-impl Handler<HasRoom> for Follower {
+impl Handler<HasRoom> for ReplicatorActor {
     type Return = bool;
 
     async fn handle(&mut self, HasRoom(setting): HasRoom, _: &mut Context<Self>) -> bool {
-        self.spread.replica().has_room(&setting)
+        self.replicator.replica().has_room(&setting)
     }
 }
 
-impl Handler<AskStatus> for Follower {
+impl Handler<RequestStatus> for ReplicatorActor {
     type Return = ();
 
-    async fn handle(&mut self, _: AskStatus, _: &mut Context<Self>) {
-        for data_centre in self.spread.live_nodes().data_centres() {
-            let ranked = self.spread.live_nodes().ranked(&data_centre);
+    async fn handle(&mut self, _: RequestStatus, _: &mut Context<Self>) {
+        for data_centre in self.replicator.live_nodes().data_centres() {
+            let ranked = self.replicator.live_nodes().ranked(&data_centre);
             let Some(relay) = ranked.first().filter(|relay| ***relay != self.own.name) else {
                 continue;
             };
-            let ask = Message::StatusRequest { seq: 0 };
-            self.peers.send(relay, message::Message::Config(ask.into()));
+            let request = Message::StatusRequest { seq: 0 };
+            self.peers
+                .send(relay, message::Message::Config(request.into()));
         }
     }
 }
 
-impl Handler<GetReport> for Follower {
+impl Handler<GetStatusReport> for ReplicatorActor {
     type Return = Report;
 
-    async fn handle(&mut self, _: GetReport, _: &mut Context<Self>) -> Report {
-        self.known.report(self.clock.now(), &self.own, &self.spread)
+    async fn handle(&mut self, _: GetStatusReport, _: &mut Context<Self>) -> Report {
+        self.status
+            .report(self.clock.now(), &self.own, &self.replicator)
     }
 }
 
-async fn tick(actor: WeakAddress<Follower>) {
+async fn tick(actor: WeakAddress<ReplicatorActor>) {
     let mut interval = tokio::time::interval(clock::duration(TICK_INTERVAL_MS));
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -304,7 +306,7 @@
 }
 
 async fn receive(
-    actor: WeakAddress<Follower>,
+    actor: WeakAddress<ReplicatorActor>,
     mut inbox: mpsc::Receiver<Incoming<config::Message>>,
 ) {
     while let Some(Incoming { peer, message }) = inbox.recv().await {
@@ -318,7 +320,12 @@
     }
 }
 
-async fn run_read(actor: WeakAddress<Follower>, platform: Client, read: Action, log: Logger) {
+async fn read_table(
+    actor: WeakAddress<ReplicatorActor>,
+    platform: Client,
+    read: Action,
+    log: Logger,
+) {
     let event = match read {
         Action::ReadHead => config_table::read_head(&platform)
             .await
--- a/filbertpaddle/src/templates.rs
+++ b/filbertpaddle/src/config_snapshot.rs
@@ -17,14 +17,14 @@
 
 /// All that is in force as of one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Snapshot {
+pub struct ConfigSnapshot {
     customers: IndexMap<Name, Arc<Customer>>,
     templates: IndexMap<Name, Arc<Template>>,
 }
 
-impl Snapshot {
+impl ConfigSnapshot {
     /// Takes everything from a replica.
-    pub fn of(replica: &Replica) -> Self {
+    pub fn from_replica(replica: &Replica) -> Self {
         let mut snapshot = Self::default();
         for change in replica.entries() {
             snapshot.set(&change.setting);
@@ -33,7 +33,7 @@
     }
 
     /// Returns the snapshot with some entries as they are in a replica now.
-    pub fn with(&self, replica: &Replica, keys: &[Key]) -> Self {
+    pub fn with_entries(&self, replica: &Replica, keys: &[Key]) -> Self {
         let mut snapshot = self.clone();
         let changes = keys.iter().filter_map(|key| replica.get(key));
         changes.for_each(|change| snapshot.set(&change.setting));
@@ -89,18 +89,18 @@
 
 /// Gives out the configuration in force.
 #[derive(Clone, Debug)]
-pub struct Templates {
-    current: watch::Receiver<Option<Arc<Snapshot>>>,
+pub struct ConfigReader {
+    current: watch::Receiver<Option<Arc<ConfigSnapshot>>>,
 }
 
-impl Templates {
+impl ConfigReader {
     /// Gives out what is published.
-    pub fn new(current: watch::Receiver<Option<Arc<Snapshot>>>) -> Self {
+    pub fn new(current: watch::Receiver<Option<Arc<ConfigSnapshot>>>) -> Self {
         Self { current }
     }
 
     /// Returns the configuration in force; `None` until it is known to be recent.
-    pub fn current(&self) -> Option<Arc<Snapshot>> {
+    pub fn current(&self) -> Option<Arc<ConfigSnapshot>> {
         self.current.borrow().clone()
     }
 }
--- a/filbertpaddle/src/status.rs
+++ b/filbertpaddle/src/config_status.rs
@@ -12,9 +12,9 @@
 use crate::peers::Peer;
 
 /// How long a node that is no longer connected is remembered.
-const REMEMBER_MS: Millis = Millis::from_secs(3_600);
+const NODE_RETENTION_MS: Millis = Millis::from_secs(3_600);
 /// Age of an answer beyond which a data centre counts as not answering.
-const ANSWER_MS: Millis = Millis::from_secs(5);
+const RELAY_STATUS_MAX_AGE_MS: Millis = Millis::from_secs(5);
 
 /// What this node can say about the configuration everywhere.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -58,80 +58,85 @@
 
 /// A node that is or was connected.
 #[derive(Clone, Debug)]
-struct Seen {
+struct KnownNode {
     data_centre: Name,
     connected_at: Millis,
 }
 
 /// What a data centre's relay last said.
 #[derive(Clone, Debug)]
-struct Answer {
+struct RelayStatus {
     at: Millis,
     nodes: Vec<NodeStatus>,
 }
 
 /// All nodes that were connected lately and what relays said of them.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
-    nodes: IndexMap<Name, Seen>,
-    answers: IndexMap<Name, Answer>,
+pub struct StatusTracker {
+    nodes: IndexMap<Name, KnownNode>,
+    relay_statuses: IndexMap<Name, RelayStatus>,
     updated_at: Millis,
 }
 
-impl Known {
+impl StatusTracker {
     /// Takes the nodes that are connected now.
-    pub fn update(&mut self, now: Millis, connected: &[Peer]) {
+    pub fn update_connected(&mut self, now: Millis, connected: &[Peer]) {
         self.updated_at = now;
         for peer in connected {
-            let seen = Seen {
+            let known = KnownNode {
                 data_centre: peer.data_centre.clone(),
                 connected_at: now,
             };
-            self.nodes.insert(peer.name.clone(), seen);
+            self.nodes.insert(peer.name.clone(), known);
         }
         self.nodes
-            .retain(|_, seen| now.since(seen.connected_at) <= REMEMBER_MS);
+            .retain(|_, known| now.since(known.connected_at) <= NODE_RETENTION_MS);
     }
 
     /// Takes what a relay says of its data centre.
-    pub fn take(&mut self, now: Millis, from: &Name, nodes: &[NodeStatus]) {
-        let Some(seen) = self.nodes.get(from) else {
+    pub fn record_status(&mut self, now: Millis, from: &Name, nodes: &[NodeStatus]) {
+        let Some(known) = self.nodes.get(from) else {
             return;
         };
-        let answer = Answer {
+        let relay_status = RelayStatus {
             at: now,
             nodes: nodes.to_vec(),
         };
-        self.answers.insert(seen.data_centre.clone(), answer);
+        self.relay_statuses
+            .insert(known.data_centre.clone(), relay_status);
     }
 
     /// Says what is known.
-    pub fn report(&self, now: Millis, own: &Peer, spread: &Replicator) -> Report {
-        let head = spread.replica().head();
-        let mut names: Vec<_> = self.nodes.values().map(|seen| &seen.data_centre).collect();
+    pub fn report(&self, now: Millis, own: &Peer, replicator: &Replicator) -> Report {
+        let head = replicator.replica().head();
+        let mut names: Vec<_> = self
+            .nodes
+            .values()
+            .map(|known| &known.data_centre)
+            .collect();
         names.push(&own.data_centre);
         names.sort();
         names.dedup();
-        let relays =
-            |name: &Name| spread.live_nodes().ranked(name).first().copied() == Some(&own.name);
+        let is_relay_of =
+            |name: &Name| replicator.live_nodes().ranked(name).first().copied() == Some(&own.name);
         let data_centre = |name: &Name| {
-            let own_answer = Answer {
+            let own_status = RelayStatus {
                 at: now,
-                nodes: spread.status(now),
+                nodes: replicator.status(now),
             };
-            let answer = if relays(name) {
-                Some(&own_answer)
+            let relay_status = if is_relay_of(name) {
+                Some(&own_status)
             } else {
-                self.answers.get(name)
+                self.relay_statuses.get(name)
             };
-            self.data_centre(now, own, name, head, answer)
+            self.data_centre(now, own, name, head, relay_status)
         };
         Report {
             node: own.name.clone(),
             head,
-            age_ms: spread.replica().current_at().map(|at| now.since(at)),
-            ready: spread.is_ready(),
-            table_silent: spread.is_table_unavailable(),
+            age_ms: replicator.replica().current_at().map(|at| now.since(at)),
+            ready: replicator.is_ready(),
+            table_silent: replicator.is_table_unavailable(),
             data_centres: names.into_iter().map(data_centre).collect(),
         }
     }
@@ -142,23 +147,26 @@
         own: &Peer,
         name: &Name,
         head: Revision,
-        answer: Option<&Answer>,
+        relay_status: Option<&RelayStatus>,
     ) -> DataCentre {
         let mut nodes: IndexMap<Name, NodeStatus> = self
             .nodes
             .iter()
-            .filter(|(_, seen)| seen.data_centre == *name)
-            .map(|(node, _)| (node.clone(), unknown(node)))
+            .filter(|(_, known)| known.data_centre == *name)
+            .map(|(node, _)| (node.clone(), unreported(node)))
             .collect();
-        if let Some(answer) = answer {
-            let old_ms = now.since(answer.at);
-            let aged = answer.nodes.iter().map(|status| aged(status, old_ms));
+        if let Some(relay_status) = relay_status {
+            let elapsed_ms = now.since(relay_status.at);
+            let aged = relay_status
+                .nodes
+                .iter()
+                .map(|status| aged(status, elapsed_ms));
             nodes.extend(aged.map(|status| (status.node.clone(), status)));
         }
         nodes.sort_keys();
         let is_connected = |node: &Name| {
-            let seen = self.nodes.get(node);
-            *node == own.name || seen.is_some_and(|seen| seen.connected_at == self.updated_at)
+            let known = self.nodes.get(node);
+            *node == own.name || known.is_some_and(|known| known.connected_at == self.updated_at)
         };
         let node = |status: NodeStatus| Node {
             connected: is_connected(&status.node),
@@ -167,13 +175,14 @@
         };
         DataCentre {
             name: name.clone(),
-            answers: answer.is_some_and(|answer| now.since(answer.at) <= ANSWER_MS),
+            answers: relay_status
+                .is_some_and(|relay_status| now.since(relay_status.at) <= RELAY_STATUS_MAX_AGE_MS),
             nodes: nodes.into_values().map(node).collect(),
         }
     }
 }
 
-fn unknown(node: &Name) -> NodeStatus {
+fn unreported(node: &Name) -> NodeStatus {
     NodeStatus {
         node: node.clone(),
         head: None,
@@ -183,8 +192,8 @@
 }
 
 /// Adds the time since a relay said so.
-fn aged(status: &NodeStatus, old_ms: Millis) -> NodeStatus {
-    let add = |age_ms: Option<Millis>| age_ms.map(|age_ms| age_ms + old_ms);
+fn aged(status: &NodeStatus, elapsed_ms: Millis) -> NodeStatus {
+    let add = |age_ms: Option<Millis>| age_ms.map(|age_ms| age_ms + elapsed_ms);
     NodeStatus {
         node: status.node.clone(),
         head: status.head,
--- a/filbertpaddle/src/front.rs
+++ b/filbertpaddle/src/front.rs
@@ -6,18 +6,18 @@
 use slog::Logger;
 
 use crate::claims::Claims;
+use crate::config_snapshot::ConfigReader;
 use crate::gate::Gate;
 use crate::metrics::Metrics;
 use crate::retries::Retries;
 use crate::settings::Limits;
 use crate::slots::Slots;
-use crate::templates::Templates;
 
 /// Parts and limits shared by all requests of a node.
 #[derive(Debug)]
 pub struct Front {
     /// Configuration in force.
-    pub templates: Templates,
+    pub templates: ConfigReader,
     /// Claims on idempotency keys.
     pub claims: Claims,
     /// Slots on targets.
--- a/filbertpaddle/src/log.rs
+++ b/filbertpaddle/src/log.rs
@@ -29,8 +29,8 @@
 }
 
 /// Returns the log of one part, whose lines start with its prefix.
-pub fn part(log: &Logger, prefix: &'static str) -> Logger {
-    log.new(o!("part" => prefix))
+pub fn component(log: &Logger, name: &'static str) -> Logger {
+    log.new(o!("part" => name))
 }
 
 fn root<D>(drain: D, level: Level) -> Logger
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -29,6 +29,7 @@
 use crate::clock::Clock;
 use crate::config;
 use crate::config::Config;
+use crate::config_snapshot::ConfigReader;
 use crate::front::Front;
 use crate::gate::Gate;
 use crate::health;
@@ -48,7 +49,6 @@
 use crate::retries::Retries;
 use crate::settings::Settings;
 use crate::slots::Slots;
-use crate::templates::Templates;
 
 /// Most messages from peers that wait to be handled.
 const INBOX_MESSAGES: usize = 16_384;
@@ -108,7 +108,7 @@
             log: log.clone(),
         };
         let (peers, inboxes) = start_peers(&settings, identity, peers, &common);
-        let service = SharedAvailability::new(common.clock, log::part(&log, "service"));
+        let service = SharedAvailability::new(common.clock, log::component(&log, "service"));
         let pools = Pools::start(pools::Parts {
             own: common.own.clone(),
             peers: peers.clone(),
@@ -119,7 +119,7 @@
             service: service.clone(),
             clock: common.clock,
             placement: settings.placement,
-            log: log::part(&log, "pool"),
+            log: log::component(&log, "pool"),
         });
         let remote = Remote::start(
             common.own.clone(),
@@ -142,7 +142,7 @@
                 operator_routes::routes(desk).or(health::routes(Arc::clone(&front))),
             ),
         ];
-        let log = log::part(&log, "node");
+        let log = log::component(&log, "node");
         info!(log, "Node started."; "name" => %settings.node.name);
         Ok(Self {
             addresses,
@@ -201,7 +201,7 @@
 fn front(
     settings: &Settings,
     common: &Common,
-    templates: Templates,
+    templates: ConfigReader,
     claims: Claims,
     slots: Slots,
 ) -> eyre::Result<Front> {
@@ -220,7 +220,7 @@
         ticket_secret: settings.secrets.ticket.as_str().into(),
         limits: settings.limits.clone(),
         metrics: Arc::clone(&common.metrics),
-        log: log::part(log, "request"),
+        log: log::component(log, "request"),
         gate: Gate::open(attempt_prefix, settings.limits.requests),
     })
 }
@@ -240,7 +240,7 @@
         inbox,
         clock: common.clock,
         metrics: Arc::clone(&common.metrics),
-        log: log::part(&common.log, "claim"),
+        log: log::component(&common.log, "claim"),
     })
 }
 
@@ -249,7 +249,7 @@
     peers: Peers,
     inbox: mpsc::Receiver<inbox::Incoming<wire_config::Message>>,
     service: &SharedAvailability,
-) -> (Config, Templates) {
+) -> (Config, ConfigReader) {
     Config::start(config::Parts {
         own: common.own.clone(),
         peers,
@@ -258,12 +258,12 @@
         availability: service.clone(),
         clock: common.clock,
         metrics: Arc::clone(&common.metrics),
-        log: log::part(&common.log, "config"),
+        log: log::component(&common.log, "config"),
     })
 }
 
 fn desk(settings: &Settings, common: &Common, config: Config) -> OperatorHandler {
-    let log = log::part(&common.log, "operator");
+    let log = log::component(&common.log, "operator");
     let node = common.own.name.clone();
     OperatorHandler {
         refusal_log: RefusalLog::start(node.clone(), common.platform.clone(), log.clone()),
@@ -283,7 +283,7 @@
 ) -> (Peers, Inboxes) {
     let (inbox, received) = mpsc::channel(INBOX_MESSAGES);
     let metrics = Arc::clone(&common.metrics);
-    let log = log::part(&common.log, "peer");
+    let log = log::component(&common.log, "peer");
     let peers = Peers::start(identity, listener, inbox, metrics, log);
     for address in &settings.peers {
         peers.learn(*address);
--- a/filbertpaddle/src/operator_client.rs
+++ b/filbertpaddle/src/operator_client.rs
@@ -19,12 +19,12 @@
 use crate::arguments::OperatorAction;
 use crate::arguments::OperatorCommand;
 use crate::arguments::Options;
+use crate::config_status::Report;
 use crate::operator_api::Answer;
 use crate::operator_api::Audit;
 use crate::operator_api::ChangeRequest;
 use crate::operator_api::Refusals;
 use crate::operator_text;
-use crate::status::Report;
 
 /// Environment variable with a node's operators' address.
 const NODE_VARIABLE: &str = "FILBERTPADDLE_NODE";
--- a/filbertpaddle/src/operator_routes.rs
+++ b/filbertpaddle/src/operator_routes.rs
@@ -212,9 +212,9 @@
     }
 
     async fn status(&self) -> Response {
-        self.config.ask_status().await;
+        self.config.request_status().await;
         tokio::time::sleep(STATUS_WAIT).await;
-        match self.config.report().await {
+        match self.config.status_report().await {
             Some(report) => warp::reply::json(&report).into_response(),
             None => StatusCode::SERVICE_UNAVAILABLE.into_response(),
         }
@@ -273,13 +273,15 @@
             };
         }
         if let edit::Answer::Accepted(revision) = answer {
-            self.config.accepted(accepted(edit, revision)).await;
+            self.config
+                .publish_accepted(accepted_change(edit, revision))
+                .await;
         }
         Answer::from_edit(answer, id)
     }
 }
 
-fn accepted(request: edit::Request, revision: Revision) -> Change {
+fn accepted_change(request: edit::Request, revision: Revision) -> Change {
     Change {
         revision,
         id: request.id,
--- a/filbertpaddle/src/operator_text.rs
+++ b/filbertpaddle/src/operator_text.rs
@@ -6,13 +6,13 @@
 use filbertpaddle_core::config::Change;
 use filbertpaddle_core::config::Setting;
 
+use crate::config_status::DataCentre;
+use crate::config_status::Node;
+use crate::config_status::Report;
 use crate::operator_api::Answer;
 use crate::operator_api::Audit;
 use crate::operator_api::Entries;
 use crate::operator_api::Refusals;
-use crate::status::DataCentre;
-use crate::status::Node;
-use crate::status::Report;
 
 /// Shows what became of a change.
 pub fn answer(answer: &Answer) -> String {
--- a/filbertpaddle/tests/common/operator.rs
+++ b/filbertpaddle/tests/common/operator.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
+use filbertpaddle::config_status::Report;
 use filbertpaddle::operator_api::Answer;
 use filbertpaddle::operator_api::Audit;
 use filbertpaddle::operator_api::Refusals;
-use filbertpaddle::status::Report;
 use filbertpaddle_core::config::Change;
 use filbertpaddle_core::config::ServiceState;
 use filbertpaddle_core::revision::Revision;
