--- a/filbertpaddle/tests/at_most_once.rs
+++ b/filbertpaddle/tests/at_most_once.rs
@@ -92,7 +92,7 @@
             data_centre: "north".to_owned(),
             platform: proxy.address,
             peers: self.nodes.iter().map(|node| node.addresses.peers).collect(),
-            more: more.to_owned(),
+            extra_yaml: more.to_owned(),
         };
         self.proxies.push(proxy);
         self.nodes.push(Node::start(&settings));
@@ -383,7 +383,7 @@
         data_centre: "north".to_owned(),
         platform: platform.standin.address,
         peers: Vec::new(),
-        more: String::new(),
+        extra_yaml: String::new(),
     });
     let keys: Vec<String> = writes.iter().map(|write| write.key.clone()).collect();
     let left = wait::until("one claim is removed", async || {
--- a/filbertpaddle/tests/service.rs
+++ b/filbertpaddle/tests/availability.rs
@@ -55,7 +55,7 @@
                 data_centre: data_centre.to_owned(),
                 platform: platform.standin.address,
                 peers: nodes.iter().map(|node| node.addresses.peers).collect(),
-                more: String::new(),
+                extra_yaml: String::new(),
             }));
         }
         for node in &nodes {
--- a/filbertpaddle/tests/bad_input.rs
+++ b/filbertpaddle/tests/bad_input.rs
@@ -45,7 +45,7 @@
         data_centre: "north".to_owned(),
         platform: platform.standin.address,
         peers: Vec::new(),
-        more: limits.to_owned(),
+        extra_yaml: limits.to_owned(),
     });
     node.ready().await;
     Bench {
--- a/filbertpaddle/tests/common/links.rs
+++ b/filbertpaddle/tests/common/fault_proxy.rs
@@ -8,12 +8,12 @@
 use super::fleet::StandIn;
 
 /// Starts a proxy before an address.
-pub fn before(upstream: SocketAddr) -> StandIn {
+pub fn start(upstream: SocketAddr) -> StandIn {
     StandIn::start(&["proxy", "--upstream", &upstream.to_string()])
 }
 
 /// Changes what passes.
-pub async fn set(proxy: &StandIn, link: Link) {
+pub async fn set_link(proxy: &StandIn, link: Link) {
     let faults = Faults {
         link,
         ..Faults::default()
--- a/filbertpaddle/tests/common/fleet.rs
+++ b/filbertpaddle/tests/common/fleet.rs
@@ -109,7 +109,7 @@
     pub platform: SocketAddr,
     pub peers: Vec<SocketAddr>,
     /// More YAML, appended as it is.
-    pub more: String,
+    pub extra_yaml: String,
 }
 
 impl Node {
@@ -263,7 +263,7 @@
         settings.data_centre,
         peers.join(", "),
         settings.platform,
-        settings.more,
+        settings.extra_yaml,
     );
     let number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
     let file = format!("{}-{}-{number}.yaml", settings.name, std::process::id());
--- a/filbertpaddle/tests/common/mod.rs
+++ b/filbertpaddle/tests/common/mod.rs
@@ -8,7 +8,7 @@
 )]
 
 pub mod caller;
+pub mod fault_proxy;
 pub mod fleet;
-pub mod links;
 pub mod operator;
 pub mod wait;
--- a/filbertpaddle/tests/common/wait.rs
+++ b/filbertpaddle/tests/common/wait.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 /// Longest wait for a condition; far beyond what any needs.
-pub const LIMIT: Duration = Duration::from_secs(90);
-const INTERVAL: Duration = Duration::from_millis(20);
+pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(90);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Waits until `condition` yields a value.
 ///
@@ -21,7 +21,10 @@
         if let Some(value) = condition().await {
             return value;
         }
-        assert!(start.elapsed() < LIMIT, "waited in vain: {what}");
-        tokio::time::sleep(INTERVAL).await;
+        assert!(
+            start.elapsed() < CONDITION_TIMEOUT,
+            "waited in vain: {what}"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/filbertpaddle/tests/configuration.rs
+++ b/filbertpaddle/tests/configuration.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use common::fault_proxy;
 use common::fleet;
 use common::fleet::Node;
 use common::fleet::NodeSettings;
 use common::fleet::Platform;
 use common::fleet::StandIn;
-use common::links;
 use common::operator;
 use common::operator::Operator;
 use common::wait;
@@ -41,7 +41,7 @@
         platform
             .seed(&[("summary", fleet::template("teacher"))])
             .await;
-        let south_platform = links::before(platform.standin.address);
+        let south_platform = fault_proxy::start(platform.standin.address);
         let mut fleet = Self {
             platform,
             south_platform,
@@ -72,7 +72,7 @@
             data_centre: data_centre.to_owned(),
             platform,
             peers: self.nodes.iter().map(|node| node.addresses.peers).collect(),
-            more: String::new(),
+            extra_yaml: String::new(),
         };
         self.nodes.push(Node::start(&settings));
     }
@@ -208,7 +208,7 @@
         data_centre: "north".to_owned(),
         platform: platform.standin.address,
         peers: Vec::new(),
-        more: String::new(),
+        extra_yaml: String::new(),
     });
     let operator = Operator::at(&node);
     wait::until("the table has been asked", async || {
@@ -224,7 +224,7 @@
 async fn a_data_centre_without_the_platform_learns_from_its_peers() {
     let fleet = Fleet::start().await;
     for link in [Link::Cut, Link::CutBackward, Link::Stall, Link::HalfOpen] {
-        links::set(&fleet.south_platform, link).await;
+        fault_proxy::set_link(&fleet.south_platform, link).await;
         let answer = set(&fleet.operator("north-2"), &format!("{link:?}")).await;
         let start = Instant::now();
         let revision = operator::accepted(&answer);
@@ -239,7 +239,7 @@
 #[tokio::test]
 async fn a_change_through_a_node_without_the_platform_is_refused() {
     let fleet = Fleet::start().await;
-    links::set(&fleet.south_platform, Link::Cut).await;
+    fault_proxy::set_link(&fleet.south_platform, Link::Cut).await;
     let answer = set(&fleet.operator("south-1"), "refused").await;
     assert_eq!(answer, Answer::Unavailable);
     let body = serde_json::json!({"value": ServiceState::Out});
@@ -260,13 +260,13 @@
     let body = serde_json::json!({
         "expected": expected, "change_id": 77, "value": template("one way"),
     });
-    links::set(&fleet.south_platform, Link::CutBackward).await;
+    fault_proxy::set_link(&fleet.south_platform, Link::CutBackward).await;
     let first: Answer = operator.put(PATH, &body).await.json().await.unwrap();
     assert!(
         matches!(first, Answer::Unavailable | Answer::Unknown { .. }),
         "{first:?}"
     );
-    links::set(&fleet.south_platform, Link::Open).await;
+    fault_proxy::set_link(&fleet.south_platform, Link::Open).await;
     let second = wait::until("the platform is back", async || {
         let answer: Answer = operator.put(PATH, &body).await.json().await.unwrap();
         (answer != Answer::Unavailable).then_some(answer)
@@ -361,7 +361,7 @@
     let fleet = Fleet::start().await;
     let sleeper = fleet.node("north-2");
     sleeper.process.pause().unwrap();
-    links::set(&fleet.south_platform, Link::Stall).await;
+    fault_proxy::set_link(&fleet.south_platform, Link::Stall).await;
     fleet
         .faults(Faults {
             lose_answers: 1,
@@ -389,17 +389,17 @@
         data_centre: name.to_owned(),
         platform: platform.standin.address,
         peers,
-        more: String::new(),
+        extra_yaml: String::new(),
     };
     let north = Node::start(&settings("north", Vec::new()));
-    let link = links::before(north.addresses.peers);
+    let link = fault_proxy::start(north.addresses.peers);
     let south = Node::start(&settings("south", vec![link.address]));
     let nodes = [&north, &south];
     for node in nodes {
         node.ready().await;
     }
     for cut in [Link::CutForward, Link::CutBackward, Link::HalfOpen] {
-        links::set(&link, cut).await;
+        fault_proxy::set_link(&link, cut).await;
         for node in nodes {
             let prompt = format!("{cut:?} through {}", node.name);
             let answer = set(&Operator::at(node), &prompt).await;
--- a/filbertpaddle/tests/drain.rs
+++ b/filbertpaddle/tests/drain.rs
@@ -35,7 +35,7 @@
         data_centre: "north".to_owned(),
         platform: platform.standin.address,
         peers: Vec::new(),
-        more: String::new(),
+        extra_yaml: String::new(),
     });
     node.ready().await;
     Bench {
--- a/filbertpaddle/tests/operate.rs
+++ b/filbertpaddle/tests/operator_commands.rs
@@ -37,7 +37,7 @@
         data_centre: "north".to_owned(),
         platform: platform.standin.address,
         peers: Vec::new(),
-        more: String::new(),
+        extra_yaml: String::new(),
     });
     node.ready().await;
     (platform, node)
--- a/filbertpaddle/tests/ownership.rs
+++ b/filbertpaddle/tests/ownership.rs
@@ -9,12 +9,12 @@
 
 use common::caller;
 use common::caller::Stream;
+use common::fault_proxy;
 use common::fleet;
 use common::fleet::Node;
 use common::fleet::NodeSettings;
 use common::fleet::Platform;
 use common::fleet::StandIn;
-use common::links;
 use common::wait;
 use filbertpaddle::record;
 use filbertpaddle_core::outcome::Outcome;
@@ -44,7 +44,7 @@
 
 async fn start_at(speed: &str) -> Deployment {
     let mut platform = Platform::start();
-    let proxy = links::before(platform.standin.address);
+    let proxy = fault_proxy::start(platform.standin.address);
     let engine = StandIn::start(&[
         "engine",
         "--seed",
@@ -69,7 +69,7 @@
             data_centre: "north".to_owned(),
             platform: proxy.address,
             peers: nodes.iter().map(|node| node.addresses.peers).collect(),
-            more: String::new(),
+            extra_yaml: String::new(),
         }));
     }
     for node in &nodes {
@@ -147,7 +147,7 @@
 
     async fn cut_platform(&self, cut: bool) {
         let link = if cut { Link::Cut } else { Link::Open };
-        links::set(&self.proxy, link).await;
+        fault_proxy::set_link(&self.proxy, link).await;
     }
 
     fn others(&self, node: usize) -> Vec<usize> {
--- a/filbertpaddle/tests/quarantine.rs
+++ b/filbertpaddle/tests/quarantine.rs
@@ -53,7 +53,7 @@
             data_centre: "north".to_owned(),
             platform: platform.standin.address,
             peers: nodes.iter().map(|node| node.addresses.peers).collect(),
-            more: String::new(),
+            extra_yaml: String::new(),
         }));
     }
     for node in &nodes {
--- a/filbertpaddle/tests/thin_path.rs
+++ b/filbertpaddle/tests/thin_path.rs
@@ -33,7 +33,7 @@
             data_centre: "north".to_owned(),
             platform: platform.standin.address,
             peers: nodes.iter().map(|node| node.addresses.peers).collect(),
-            more: String::new(),
+            extra_yaml: String::new(),
         };
         nodes.push(Node::start(&settings));
     }
