--- a/filbertpaddle/src/availability.rs
+++ b/filbertpaddle/src/availability.rs
@@ -1,4 +1,4 @@
-//! What may get new work, shared by all parts of a node.
+//! Availability of data centres and VMs for new work, shared by the whole node.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -17,7 +17,9 @@
 
 use crate::clock::Clock;
 
-/// What may get new work; clones share one view.
+/// Shared [`Availability`] that logs what goes out of service and what returns.
+///
+/// Clones share one state.
 #[derive(Clone, Debug)]
 pub struct SharedAvailability {
     shared: Arc<Shared>,
@@ -25,80 +27,84 @@
 
 #[derive(Debug)]
 struct Shared {
-    registry: Mutex<Availability>,
+    availability: Mutex<Availability>,
     clock: Clock,
     log: Logger,
 }
 
 impl SharedAvailability {
-    /// Starts with nothing known.
+    /// Creates a view without any VM or data centre.
     pub fn new(clock: Clock, log: Logger) -> Self {
         Self {
             shared: Arc::new(Shared {
-                registry: Mutex::new(Availability::default()),
+                availability: Mutex::new(Availability::default()),
                 clock,
                 log,
             }),
         }
     }
 
-    /// Takes the operators' decisions from this node's configuration.
+    /// Updates the operators' decisions from this node's configuration.
     pub fn on_config(&self, replica: &Replica) {
         let now = self.shared.clock.now();
-        let actions = self.registry().on_config(now, replica);
-        self.note(&actions);
+        let actions = self.lock().on_config(now, replica);
+        self.log_actions(&actions);
     }
 
-    /// Takes the platform's list of VMs.
+    /// Updates from the platform's VM list.
     pub fn on_list(&self, vms: &[Vm]) {
-        let listed: Vec<_> = vms.iter().map(listed).collect();
+        let listed: Vec<_> = vms.iter().map(listed_vm).collect();
         let now = self.shared.clock.now();
-        let actions = self.registry().on_list(now, &listed);
-        self.note(&actions);
+        let actions = self.lock().on_list(now, &listed);
+        self.log_actions(&actions);
     }
 
-    /// Takes a VM's own notice that it will be reclaimed.
+    /// Records a VM's own notice that it will be reclaimed.
     pub fn on_reclaim(&self, vm: &Name) {
         let now = self.shared.clock.now();
-        let actions = self.registry().on_reclaim(now, vm);
-        self.note(&actions);
+        let actions = self.lock().on_reclaim(now, vm);
+        self.log_actions(&actions);
     }
 
-    /// Returns how much new work a VM may get.
+    /// Returns the share of its usual new work that a VM may get.
     pub fn vm_share(&self, vm: &Name) -> Share {
         let now = self.shared.clock.now();
-        self.registry().vm_share(now, vm)
+        self.lock().vm_share(now, vm)
     }
 
-    /// Returns how much new work a data centre may get.
+    /// Returns the share of its usual new work that a data centre may get.
     pub fn data_centre_share(&self, data_centre: &Name) -> Share {
         let now = self.shared.clock.now();
-        self.registry().data_centre_share(now, data_centre)
+        self.lock().data_centre_share(now, data_centre)
     }
 
-    fn registry(&self) -> MutexGuard<'_, Availability> {
-        let registry = self.shared.registry.lock();
-        registry.unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Availability> {
+        let availability = self.shared.availability.lock();
+        availability.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note(&self, actions: &[Action]) {
+    fn log_actions(&self, actions: &[Action]) {
         let log = &self.shared.log;
         for action in actions {
             match action {
-                Action::VmOutOfService(name) => info!(log, "VM out."; "vm" => %name),
-                Action::VmBackInService(name) => info!(log, "VM back."; "vm" => %name),
+                Action::VmOutOfService(name) => {
+                    info!(log, "VM out of service; it gets no new work."; "vm" => %name);
+                }
+                Action::VmBackInService(name) => {
+                    info!(log, "VM back in service; its share of new work ramps up."; "vm" => %name);
+                }
                 Action::DataCentreOutOfService(name) => {
-                    info!(log, "Data centre out."; "data_centre" => %name);
+                    info!(log, "Data centre out of service; it gets no new work."; "data_centre" => %name);
                 }
                 Action::DataCentreBackInService(name) => {
-                    info!(log, "Data centre back."; "data_centre" => %name);
+                    info!(log, "Data centre back in service; its share of new work ramps up."; "data_centre" => %name);
                 }
             }
         }
     }
 }
 
-fn listed(vm: &Vm) -> ListedVm {
+fn listed_vm(vm: &Vm) -> ListedVm {
     ListedVm {
         vm: vm.name.clone(),
         data_centre: vm.data_centre.clone(),
--- a/filbertpaddle/src/config.rs
+++ b/filbertpaddle/src/config.rs
@@ -1,4 +1,7 @@
-//! Follows the configuration and spreads it to other nodes.
+//! Actor that replicates the configuration on this node.
+//!
+//! Runs the core's [`Replicator`]: reads changes from the platform's table,
+//! exchanges them with other nodes and publishes the resulting snapshots.
 
 use std::sync::Arc;
 
@@ -39,35 +42,38 @@
 use crate::peers::Peer;
 use crate::peers::Peers;
 
-/// What the actor is built from.
+/// Dependencies of the actor.
 #[derive(Debug)]
 pub struct Parts {
     /// This node.
     pub own: Peer,
-    /// Links to other nodes.
+    /// Connections to other nodes.
     pub peers: Peers,
-    /// Messages about configuration.
+    /// Replication messages from other nodes.
     pub inbox: mpsc::Receiver<Incoming<config::Message>>,
-    /// The platform.
+    /// Client of the platform, whose table stores the configuration.
     pub platform: Client,
-    /// Told of what is out.
+    /// Receives the operators' decisions on VMs and data centres.
     pub availability: SharedAvailability,
     /// The node's clock.
     pub clock: Clock,
-    /// Metrics of changes.
+    /// Metrics of applied changes.
     pub metrics: Arc<Metrics>,
-    /// Log of changes.
+    /// Log of applied changes and failed reads.
     pub log: Logger,
 }
 
-/// The configuration on this node.
+/// Handle of the actor that holds this node's copy of the configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
     actor: Address<ReplicatorActor>,
 }
 
 impl Config {
-    /// Starts to follow; the templates are given out once they are recent.
+    /// Starts the actor.
+    ///
+    /// The reader returns a snapshot once the configuration is recent enough to
+    /// start serving.
     pub fn start(parts: Parts) -> (Self, ConfigReader) {
         let (snapshots, current) = watch::channel(None);
         let member = Member {
@@ -92,32 +98,32 @@
         (Self { actor }, ConfigReader::new(current))
     }
 
-    /// Spreads a change that was accepted through this node.
+    /// Applies a change that was accepted through this node and sends it to other nodes.
     pub async fn publish_accepted(&self, change: Change) {
         self.actor.send(Input(Event::Accepted(change))).await.ok();
     }
 
-    /// Returns the last change of each key on this node.
+    /// Returns the latest change of each entry on this node; empty if the node stops.
     pub async fn entries(&self) -> Vec<Change> {
         self.actor.send(Entries).await.unwrap_or_default()
     }
 
-    /// Returns the last change of one key on this node.
+    /// Returns the latest change of one entry on this node.
     pub async fn entry(&self, key: Key) -> Option<Change> {
         self.actor.send(Entry(key)).await.ok().flatten()
     }
 
-    /// Returns whether a setting fits beside all other entries.
+    /// Returns whether the configuration stays within its size limit with a setting.
     pub async fn has_room(&self, setting: Setting) -> bool {
         self.actor.send(HasRoom(setting)).await.unwrap_or(false)
     }
 
-    /// Asks every data centre's relay what is in force there.
+    /// Requests the replication status from the relay of every data centre.
     pub async fn request_status(&self) {
         self.actor.send(RequestStatus).await.ok();
     }
 
-    /// Returns what is known of all nodes; `None` if the node stops.
+    /// Returns the replication status of all known nodes; `None` if the node stops.
     pub async fn status_report(&self) -> Option<Report> {
         self.actor.send(GetStatusReport).await.ok()
     }
@@ -178,7 +184,7 @@
             self.publish_snapshot(&applied);
         }
         if is_ready && !was_ready {
-            info!(self.log, "Configuration known."; "revision" => %self.replicator.replica().head());
+            info!(self.log, "Configuration recent enough to serve."; "revision" => %self.replicator.replica().head());
         }
     }
 
@@ -199,7 +205,7 @@
         };
         let late_ms = clock::unix_now().since(change.at_ms);
         self.metrics.time("config.in_force", late_ms);
-        debug!(self.log, "Change in force."; "key" => %key, "revision" => %change.revision);
+        debug!(self.log, "Configuration change applied."; "key" => %key, "revision" => %change.revision);
     }
 
     fn update_members(&mut self, actor: WeakAddress<Self>) {
@@ -341,7 +347,7 @@
         Action::Send { .. } | Action::Applied(_) => return,
     };
     let event = event.unwrap_or_else(|error| {
-        warn!(log, "Configuration not read."; "error" => %error);
+        warn!(log, "Configuration read from the platform failed; reading again later."; "error" => %error);
         Event::TableFailed
     });
     actor.send(Input(event)).await.ok();
--- a/filbertpaddle/src/config_snapshot.rs
+++ b/filbertpaddle/src/config_snapshot.rs
@@ -1,4 +1,4 @@
-//! The templates and customers in force on this node.
+//! Snapshots of the customers and templates in effect on this node.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use subtle::ConstantTimeEq;
 use tokio::sync::watch;
 
-/// All that is in force as of one moment.
+/// Customers and templates in effect at one moment; immutable once published.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigSnapshot {
     customers: IndexMap<Name, Arc<Customer>>,
@@ -23,7 +23,7 @@
 }
 
 impl ConfigSnapshot {
-    /// Takes everything from a replica.
+    /// Returns a snapshot of all entries of a replica.
     pub fn from_replica(replica: &Replica) -> Self {
         let mut snapshot = Self::default();
         for change in replica.entries() {
@@ -32,7 +32,7 @@
         snapshot
     }
 
-    /// Returns the snapshot with some entries as they are in a replica now.
+    /// Returns a copy of the snapshot with the given entries updated from a replica.
     pub fn with_entries(&self, replica: &Replica, keys: &[Key]) -> Self {
         let mut snapshot = self.clone();
         let changes = keys.iter().filter_map(|key| replica.get(key));
@@ -40,7 +40,9 @@
         snapshot
     }
 
-    /// Returns the customer whose key this is.
+    /// Returns the customer that an API key belongs to.
+    ///
+    /// Digests are compared in constant time.
     pub fn authenticate(&self, key: &str) -> Option<Name> {
         let digest = HEXLOWER.encode(&Sha256::digest(key.as_bytes()));
         let matches = |customer: &Customer| {
@@ -55,7 +57,7 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// Returns a customer's account.
+    /// Returns a customer's configuration.
     pub fn customer(&self, name: &str) -> Option<Arc<Customer>> {
         self.customers.get(name).cloned()
     }
@@ -87,19 +89,19 @@
     }
 }
 
-/// Gives out the configuration in force.
+/// Reads the snapshot that is currently in effect.
 #[derive(Clone, Debug)]
 pub struct ConfigReader {
     current: watch::Receiver<Option<Arc<ConfigSnapshot>>>,
 }
 
 impl ConfigReader {
-    /// Gives out what is published.
+    /// Creates a reader of the snapshots published on a channel.
     pub fn new(current: watch::Receiver<Option<Arc<ConfigSnapshot>>>) -> Self {
         Self { current }
     }
 
-    /// Returns the configuration in force; `None` until it is known to be recent.
+    /// Returns the current snapshot; `None` until it is recent enough to serve.
     pub fn current(&self) -> Option<Arc<ConfigSnapshot>> {
         self.current.borrow().clone()
     }
--- a/filbertpaddle/src/config_status.rs
+++ b/filbertpaddle/src/config_status.rs
@@ -1,4 +1,7 @@
-//! Which revision is in force where, as far as this node knows.
+//! Replication status of the configuration on all known nodes.
+//!
+//! Each data centre's relay reports the status of its nodes; a [`Report`] combines
+//! these with the nodes that this node is or recently was connected to.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::gossip::NodeStatus;
@@ -11,23 +14,23 @@
 
 use crate::peers::Peer;
 
-/// How long a node that is no longer connected is remembered.
+/// How long a node stays in reports after it was last connected.
 const NODE_RETENTION_MS: Millis = Millis::from_secs(3_600);
-/// Age of an answer beyond which a data centre counts as not answering.
+/// Maximum age of a relay's status for its data centre to count as answering.
 const RELAY_STATUS_MAX_AGE_MS: Millis = Millis::from_secs(5);
 
-/// What this node can say about the configuration everywhere.
+/// Replication status of the configuration, as one node knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Node that says so.
+    /// Node that made the report.
     pub node: Name,
-    /// Every change up to here is in force on this node.
+    /// Revision up to which every change is applied on this node.
     pub head: Revision,
-    /// How long ago this node was last known to miss nothing.
+    /// Time since this node's configuration was last known to be complete.
     pub age_ms: Option<Millis>,
-    /// Whether this node's configuration was ever known to be recent.
+    /// Whether this node's configuration was ever recent enough to serve.
     pub ready: bool,
-    /// Whether the table failed to answer this node's last read.
+    /// Whether this node's last read of the platform's table failed.
     pub table_silent: bool,
     /// The data centres.
     pub data_centres: Vec<DataCentre>,
@@ -38,39 +41,39 @@
 pub struct DataCentre {
     /// Name of the data centre.
     pub name: Name,
-    /// Whether one of its nodes answered now; else what follows is old.
+    /// Whether its relay sent a recent status; otherwise `nodes` is out of date.
     pub answers: bool,
-    /// The nodes known there.
+    /// The known nodes of the data centre.
     pub nodes: Vec<Node>,
 }
 
 /// One node of a [`Report`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Node {
-    /// What the node last said.
+    /// Latest known status of the node.
     #[serde(flatten)]
     pub status: NodeStatus,
-    /// Whether this node is connected to it.
+    /// Whether the reporting node is connected to it.
     pub connected: bool,
-    /// Whether it is known to have all that is in force on this node.
+    /// Whether it is known to have applied every change that the reporting node has.
     pub up_to_date: bool,
 }
 
-/// A node that is or was connected.
+/// A node that is or recently was connected.
 #[derive(Clone, Debug)]
 struct KnownNode {
     data_centre: Name,
     connected_at: Millis,
 }
 
-/// What a data centre's relay last said.
+/// The latest status that a data centre's relay sent.
 #[derive(Clone, Debug)]
 struct RelayStatus {
     at: Millis,
     nodes: Vec<NodeStatus>,
 }
 
-/// All nodes that were connected lately and what relays said of them.
+/// Tracks recently connected nodes and the status that relays report for them.
 #[derive(Clone, Debug, Default)]
 pub struct StatusTracker {
     nodes: IndexMap<Name, KnownNode>,
@@ -79,7 +82,7 @@
 }
 
 impl StatusTracker {
-    /// Takes the nodes that are connected now.
+    /// Records the connected nodes and drops those gone for [`NODE_RETENTION_MS`].
     pub fn update_connected(&mut self, now: Millis, connected: &[Peer]) {
         self.updated_at = now;
         for peer in connected {
@@ -93,7 +96,7 @@
             .retain(|_, known| now.since(known.connected_at) <= NODE_RETENTION_MS);
     }
 
-    /// Takes what a relay says of its data centre.
+    /// Records the status that a relay sent for its data centre; ignores unknown relays.
     pub fn record_status(&mut self, now: Millis, from: &Name, nodes: &[NodeStatus]) {
         let Some(known) = self.nodes.get(from) else {
             return;
@@ -106,7 +109,7 @@
             .insert(known.data_centre.clone(), relay_status);
     }
 
-    /// Says what is known.
+    /// Returns the report of this node.
     pub fn report(&self, now: Millis, own: &Peer, replicator: &Replicator) -> Report {
         let head = replicator.replica().head();
         let mut names: Vec<_> = self
@@ -191,7 +194,7 @@
     }
 }
 
-/// Adds the time since a relay said so.
+/// Returns a status with the time since the relay sent it added to its ages.
 fn aged(status: &NodeStatus, elapsed_ms: Millis) -> NodeStatus {
     let add = |age_ms: Option<Millis>| age_ms.map(|age_ms| age_ms + elapsed_ms);
     NodeStatus {
--- a/filbertpaddle/src/config_table.rs
+++ b/filbertpaddle/src/config_table.rs
@@ -1,4 +1,7 @@
-//! Configuration as rows of the platform's table.
+//! Storage of the configuration in the platform's table.
+//!
+//! A change writes three rows in one transaction: the head, which holds the
+//! highest accepted revision, the changed entry, and an audit row per revision.
 
 use filbertpaddle_core::config::Change;
 use filbertpaddle_core::config::ChangeId;
@@ -21,29 +24,29 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Row of the highest accepted revision.
+/// Key of the row with the highest accepted revision.
 pub const HEAD_KEY: &str = "config/head";
-/// Start of the keys of entries.
+/// Prefix of the keys of entries.
 pub const ENTRY_PREFIX: &str = "config/entry/";
-/// Start of the keys of audit rows.
+/// Prefix of the keys of audit rows.
 pub const AUDIT_PREFIX: &str = "audit/";
-/// Most entries read at once.
+/// Maximum number of entries read in one scan.
 const PAGE_ROWS: u32 = 200;
-/// Audit rows among which a resent change is looked for.
-const FIND_ROWS: u32 = 500;
+/// Number of latest audit rows searched for a resent change.
+const RESEND_SEARCH_ROWS: u32 = 500;
 
-/// Why configuration could not be read.
+/// Error of reading the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The platform did not answer.
+    /// The request to the platform failed.
     #[error(transparent)]
     Platform(#[from] filbertpaddle_platform::error::Error),
-    /// A row is not what this system writes.
+    /// A row's value cannot be decoded.
     #[error("row {key} is malformed: {source}")]
     Malformed {
         /// Key of the row.
         key: String,
-        /// What is wrong with it.
+        /// Why decoding failed.
         source: serde_json::Error,
     },
 }
@@ -87,7 +90,7 @@
     rows.iter().map(decode).collect()
 }
 
-/// Looks for a change by its id among the last audit rows up to a revision.
+/// Searches the latest audit rows up to a revision for a change by its id.
 ///
 /// # Errors
 ///
@@ -97,8 +100,8 @@
     id: ChangeId,
     up_to: Revision,
 ) -> Result<Option<Revision>, Error> {
-    let after = Revision(up_to.0.saturating_sub(u64::from(FIND_ROWS)));
-    let records = read_audit(platform, after, FIND_ROWS).await?;
+    let after = Revision(up_to.0.saturating_sub(u64::from(RESEND_SEARCH_ROWS)));
+    let records = read_audit(platform, after, RESEND_SEARCH_ROWS).await?;
     let found = records.iter().find(|record| record.change.id == id);
     Ok(found.map(|record| record.change.revision))
 }
@@ -114,7 +117,9 @@
     Ok(records.into_iter().map(|record| record.change).collect())
 }
 
-/// Reads entries after a key; `head` was read before the first page.
+/// Reads a page of entries after a key.
+///
+/// `head` is the revision that was read before the first page; the page carries it.
 ///
 /// # Errors
 ///
@@ -138,7 +143,7 @@
     })
 }
 
-/// Reads what an edit needs, as of one revision of the table.
+/// Reads the rows that an edit needs, consistently at one revision of the table.
 ///
 /// # Errors
 ///
@@ -153,20 +158,20 @@
     let keys = [HEAD_KEY.to_owned(), entry_key.clone()];
     let keys = keys.into_iter().chain(audit_key.clone()).collect();
     let rows = platform.read(keys).await?.rows;
-    let mut seen = Snapshot::default();
+    let mut snapshot = Snapshot::default();
     for row in &rows {
         if row.key == HEAD_KEY {
-            seen.head = Some(decode_versioned(row)?);
+            snapshot.head = Some(decode_versioned(row)?);
         } else if row.key == entry_key {
-            seen.entry = Some(decode_versioned(row)?);
+            snapshot.entry = Some(decode_versioned(row)?);
         } else if Some(&row.key) == audit_key.as_ref() {
-            seen.audit = Some(decode::<Record>(row)?.change.id);
+            snapshot.audit = Some(decode::<Record>(row)?.change.id);
         }
     }
-    Ok(seen)
+    Ok(snapshot)
 }
 
-/// Runs an edit's transaction and returns what is known of it.
+/// Runs an edit's transaction and returns its result as an event of the edit.
 pub async fn commit(platform: &Client, commit: &Commit) -> Event {
     let Ok(transaction) = transaction(commit) else {
         return Event::Refused;
@@ -179,7 +184,7 @@
     }
 }
 
-/// Returns the writes that make a change: head, entry and audit row.
+/// Returns the writes that store a change: head, entry and audit row.
 ///
 /// # Errors
 ///
--- a/filbertpaddle/src/edit_runner.rs
+++ b/filbertpaddle/src/edit_runner.rs
@@ -1,4 +1,6 @@
-//! Runs one change of the configuration against the platform.
+//! Commits one configuration change to the platform's table.
+//!
+//! Performs the reads and transactions that the core's [`Edit`] requests.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,26 +16,26 @@
 
 use crate::config_table;
 
-/// Longest time an operator waits for an answer.
-const LIMIT: Duration = Duration::from_secs(10);
-/// Pause before a read that follows a failure.
+/// Time limit of one change; the operator waits for the answer meanwhile.
+const EDIT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause after a failed read or transaction.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Runs the change until its answer is known or the operator's time is up.
+/// Runs a change until its result is known or [`EDIT_TIMEOUT`] has passed.
 pub async fn run(platform: &Client, request: Request, log: &Logger) -> Answer {
     let start = Instant::now();
     let (mut edit, mut action) = Edit::start(request);
     loop {
         let event = match action {
             Action::Finish(answer) => return answer,
-            // What was not sent yet provably changes nothing.
-            Action::Commit(_) if start.elapsed() >= LIMIT => Event::Refused,
-            _ if start.elapsed() >= LIMIT => Event::Expired,
+            // A transaction that was not sent cannot have taken effect.
+            Action::Commit(_) if start.elapsed() >= EDIT_TIMEOUT => Event::Refused,
+            _ if start.elapsed() >= EDIT_TIMEOUT => Event::Expired,
             Action::Read { key, audit } => {
                 match config_table::read_snapshot(platform, &key, audit).await {
-                    Ok(seen) => Event::RowsRead(seen),
+                    Ok(snapshot) => Event::RowsRead(snapshot),
                     Err(error) => {
-                        warn!(log, "Entry not read."; "error" => %error);
+                        warn!(log, "Read from the platform for a configuration change failed."; "error" => %error);
                         Event::Refused
                     }
                 }
--- a/filbertpaddle/src/operator_api.rs
+++ b/filbertpaddle/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! Bodies of the operators' interface.
+//! Request and response bodies of the operators' interface.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::config::Change;
@@ -14,10 +14,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRequest<T> {
-    /// Revision of the entry that is replaced; absent if it is new.
+    /// Revision of the entry to replace; absent if the entry must be new.
     #[serde(default)]
     pub expected: Option<Revision>,
-    /// Makes a resend of this very change harmless.
+    /// Identity of the change, by which a resend is recognized.
     #[serde(default)]
     pub change_id: Option<ChangeId>,
     /// The new value.
@@ -28,41 +28,41 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum Answer {
-    /// The change is accepted and will be in force everywhere.
+    /// The change is accepted and will take effect on all nodes.
     Accepted {
-        /// Its place in the order of changes.
+        /// Revision that the change was accepted at.
         revision: Revision,
     },
-    /// It is so already; nothing was changed.
+    /// Nothing was changed: the entry already has the requested value.
     Unchanged {
-        /// Revision that set the entry; absent if it never was.
+        /// Revision that set the entry; absent if the entry was never set.
         revision: Option<Revision>,
     },
-    /// The entry is not as expected; nothing was changed.
+    /// Nothing was changed: the entry is not at the expected revision.
     Conflict {
-        /// The change that stands instead.
+        /// Latest change of the entry; absent if there is no entry.
         current: Option<Box<Change>>,
     },
-    /// The platform's table cannot be reached; nothing was changed.
+    /// Nothing was changed: the platform's table cannot be reached.
     Unavailable,
-    /// The change may have been accepted.
+    /// The change may have been accepted or may still be.
     Unknown {
-        /// The only revision it can have.
+        /// The only revision at which it can be accepted.
         revision: Revision,
-        /// Send the same change with this id to learn what became of it.
+        /// Identity of the change; resending the change with it returns the result.
         change_id: ChangeId,
     },
-    /// The request is wrong; nothing was changed.
+    /// Nothing was changed: the request is invalid.
     Invalid {
-        /// What is wrong.
+        /// Reason for the rejection.
         detail: String,
     },
-    /// The token is missing or wrong; nothing was changed.
+    /// Nothing was changed: the token is missing or wrong.
     Unauthorized,
 }
 
 impl Answer {
-    /// Turns an edit's answer into the interface's.
+    /// Converts the answer of an edit.
     pub fn from_edit(answer: edit::Answer, change_id: ChangeId) -> Self {
         match answer {
             edit::Answer::Accepted(revision) => Self::Accepted { revision },
@@ -77,14 +77,14 @@
     }
 }
 
-/// Entries as one node has them.
+/// Configuration entries on one node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entries {
-    /// The last change of each.
+    /// Latest change of each entry.
     pub entries: Vec<Change>,
 }
 
-/// Rows of the audit trail, in order.
+/// Rows of the audit trail, ordered by revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Audit {
     /// The accepted changes.
@@ -94,23 +94,23 @@
 /// An operator action that was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// When, in Unix time.
+    /// Time of the refusal, in Unix time.
     pub at_ms: Millis,
     /// Node that refused it.
     pub node: Name,
     /// Operator that the token named; absent if the token was missing or wrong.
     pub by: Option<Name>,
-    /// Method and path.
+    /// Method and path of the request.
     pub action: String,
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Name,
 }
 
-/// Refused operator actions, by node; the oldest are overwritten.
+/// Refused operator actions of all nodes; each node overwrites its oldest ones.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusals {
-    /// The refusals.
+    /// The refusals, ordered by time.
     pub refusals: Vec<Refusal>,
-    /// How many more there were that no node could keep.
+    /// Largest number of refusals that a node dropped because there were too many.
     pub dropped: u64,
 }
--- a/filbertpaddle/src/operator_client.rs
+++ b/filbertpaddle/src/operator_client.rs
@@ -1,4 +1,4 @@
-//! Operators' commands, run at a node over HTTP.
+//! HTTP client that runs operators' commands at a node.
 
 use std::fmt::Write;
 use std::fs;
@@ -26,39 +26,39 @@
 use crate::operator_api::Refusals;
 use crate::operator_text;
 
-/// Environment variable with a node's operators' address.
+/// Environment variable with the operators' address of a node.
 const NODE_VARIABLE: &str = "FILBERTPADDLE_NODE";
 /// Environment variable with the operator's token.
 const TOKEN_VARIABLE: &str = "FILBERTPADDLE_TOKEN";
-/// Longest wait for a node's answer, beyond what a node takes for a change.
+/// Timeout of a request to a node; longer than a node takes for a change.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often a change is sent whose answer was lost.
+/// Maximum number of times a change is sent if its answer is lost.
 const MAX_SENDS: u32 = 3;
 
-/// Why an operator's command failed.
+/// Error of an operator's command.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An argument or file is wrong.
+    /// An argument or a file is invalid.
     #[error("{0}")]
     Usage(String),
-    /// The node cannot be reached or answered something unexpected.
-    #[error("cannot ask {node}: {detail}")]
+    /// The node cannot be reached or its answer cannot be decoded.
+    #[error("request to node {node} failed: {detail}")]
     Node {
         /// Address of the node.
         node: String,
-        /// What went wrong.
+        /// Error of the request with its causes.
         detail: String,
     },
     /// The token is missing or wrong.
     #[error("the operator's token is missing or wrong")]
     Unauthorized,
-    /// There is no such entry.
+    /// The entry does not exist.
     #[error("there is no entry {0}")]
     Missing(String),
-    /// The platform's table does not answer the node.
+    /// The node cannot reach the platform's table.
     #[error("the platform's table cannot be reached; try again later")]
     Unavailable,
-    /// The change may have been accepted.
+    /// No answer came back; the change may have been accepted.
     #[error("no answer from {node}; the change may have been accepted: send it again with --change-id {}", change_id.0)]
     Unanswered {
         /// Address of the node.
@@ -68,12 +68,12 @@
     },
 }
 
-/// What a command prints, and what became of a change.
+/// Output of a command and, for a change, the node's answer.
 #[derive(Debug)]
 pub struct Output {
     /// Text for standard output.
     pub text: String,
-    /// The answer to a change.
+    /// The node's answer to a change; `None` for other commands.
     pub answer: Option<Answer>,
 }
 
@@ -81,7 +81,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`Error`] if no answer can be shown.
+/// Returns [`Error`] if the command is invalid or the node gave no usable answer.
 pub async fn run(command: &OperatorCommand) -> Result<Output, Error> {
     let node = Node::open(&command.options)?;
     let options = &command.options;
@@ -122,7 +122,7 @@
     }
 }
 
-/// A node as an operator reaches it.
+/// Connection settings for the operators' interface of a node.
 struct Node {
     address: String,
     token: String,
@@ -165,7 +165,11 @@
             .await?
             .ok_or_else(|| Error::Missing(path.to_owned()))?;
         Ok(Output {
-            text: if self.json { json(&body) } else { text(&body) },
+            text: if self.json {
+                to_json(&body)
+            } else {
+                text(&body)
+            },
             answer: None,
         })
     }
@@ -188,7 +192,7 @@
         };
         let answer = self.put(path, &change, change_id).await?;
         let text = if self.json {
-            json(&answer)
+            to_json(&answer)
         } else {
             operator_text::answer(&answer)
         };
@@ -217,7 +221,9 @@
         Ok(Some(body))
     }
 
-    /// Sends a change; its id makes sending it again harmless.
+    /// Sends a change and resends it if the answer is lost.
+    ///
+    /// A resend is safe because the node recognizes the change by its id.
     async fn put<T>(
         &self,
         path: &str,
@@ -276,11 +282,11 @@
     Error::Usage(detail)
 }
 
-fn json<T>(body: &T) -> String
+fn to_json<T>(body: &T) -> String
 where
     T: Serialize,
 {
-    // These bodies have text keys only, so they always have a JSON form.
+    // Serialization cannot fail: all map keys in these bodies are strings.
     let mut text = serde_json::to_string_pretty(body).unwrap_or_default();
     text.push('\n');
     text
--- a/filbertpaddle/src/operator_routes.rs
+++ b/filbertpaddle/src/operator_routes.rs
@@ -1,4 +1,4 @@
-//! HTTP for operators.
+//! HTTP routes of the operators' interface.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -42,16 +42,16 @@
 use crate::refusals::RefusalLog;
 use crate::settings;
 
-/// Largest body of an operator's request.
+/// Maximum body size of an operator's request.
 const MAX_BODY_BYTES: u64 = 64 * 1024;
-/// Most audit rows in one answer.
+/// Maximum number of audit rows in one answer.
 const MAX_AUDIT_ROWS: u32 = 500;
-/// How long other data centres may take to say what is in force there.
+/// Time allowed for the relays of other data centres to send their status.
 const STATUS_WAIT: Duration = Duration::from_millis(500);
-/// When an operator who met a platform outage may come back.
+/// Value of `Retry-After` when the platform's table is unavailable.
 const RETRY_AFTER_SECS: u64 = 5;
 
-/// What operators act on.
+/// Handles operators' requests at this node.
 #[derive(Debug)]
 pub struct OperatorHandler {
     /// Name of this node.
@@ -60,15 +60,15 @@
     pub operators: Vec<settings::Operator>,
     /// The configuration on this node.
     pub config: Config,
-    /// The platform, which accepts changes.
+    /// Client of the platform, whose table stores accepted changes.
     pub platform: Client,
-    /// Keeps refused actions.
+    /// Stores refused actions.
     pub refusal_log: RefusalLog,
     /// Log of accepted changes.
     pub log: Logger,
 }
 
-/// One request of an operator whose token was right.
+/// An authenticated operator's request.
 struct Request {
     by: Name,
     action: String,
@@ -131,7 +131,7 @@
 }
 
 async fn handle_put(handler: Arc<OperatorHandler>, request: Request, body: Bytes) -> Response {
-    // A change goes on to its end even if the operator hangs up.
+    // The change runs in its own task, so it completes even if the client disconnects.
     let task = tokio::spawn(async move {
         let answer = handler.set(&request, &body).await;
         handler.record_answer(&request, &answer);
@@ -291,7 +291,7 @@
     }
 }
 
-/// Returns the entry that a path names.
+/// Parses the key of an entry from a request path.
 fn parse_key(path: &str) -> Option<Key> {
     let mut parts = path.split('/');
     let key = match (parts.next()?, parts.next()?, parts.next()) {
--- a/filbertpaddle/src/operator_text.rs
+++ b/filbertpaddle/src/operator_text.rs
@@ -1,4 +1,4 @@
-//! Answers to operators as text.
+//! Plain-text output of operators' commands.
 
 use std::fmt::Write;
 
@@ -14,23 +14,23 @@
 use crate::operator_api::Entries;
 use crate::operator_api::Refusals;
 
-/// Shows what became of a change.
+/// Formats the answer to a change.
 pub fn answer(answer: &Answer) -> String {
     match answer {
         Answer::Accepted { revision } => format!("accepted at revision {revision}\n"),
         Answer::Unchanged { revision: None } => {
-            "nothing was changed: it is so already\n".to_owned()
+            "unchanged: the entry already has this value\n".to_owned()
         }
         Answer::Unchanged {
             revision: Some(revision),
-        } => format!("nothing was changed: it is so already since revision {revision}\n"),
+        } => format!("unchanged: the entry has had this value since revision {revision}\n"),
         Answer::Conflict { current: None } => {
-            "conflict: there is no such entry; nothing was changed\n".to_owned()
+            "conflict: the entry does not exist; nothing was changed\n".to_owned()
         }
         Answer::Conflict {
             current: Some(current),
         } => format!(
-            "conflict: nothing was changed; this stands instead:\n{}",
+            "conflict: nothing was changed; the current entry is:\n{}",
             change(current)
         ),
         Answer::Unavailable => {
@@ -40,8 +40,8 @@
             revision,
             change_id,
         } => format!(
-            "not known whether accepted at revision {revision}; \
-             send it again with --change-id {}\n",
+            "the change may have been accepted at revision {revision}; \
+             send it again with --change-id {} to learn the result\n",
             change_id.0
         ),
         Answer::Invalid { detail } => format!("invalid: {detail}; nothing was changed\n"),
@@ -49,7 +49,7 @@
     }
 }
 
-/// Shows one change.
+/// Formats one change.
 pub fn change(change: &Change) -> String {
     let value = value(&change.setting);
     format!(
@@ -61,7 +61,7 @@
     )
 }
 
-/// Shows the names of templates.
+/// Formats a list of entries, one per line.
 pub fn templates(entries: &Entries) -> String {
     let line = |change: &Change| {
         let (key, revision) = (change.setting.key(), change.revision);
@@ -70,7 +70,7 @@
     entries.entries.iter().map(line).collect()
 }
 
-/// Shows the audit trail.
+/// Formats the audit trail.
 pub fn audit(audit: &Audit) -> String {
     let mut text = String::new();
     for record in &audit.records {
@@ -83,7 +83,7 @@
     text
 }
 
-/// Shows refused actions.
+/// Formats refused actions.
 pub fn refusals(refusals: &Refusals) -> String {
     let mut text = String::new();
     for refusal in &refusals.refusals {
@@ -96,17 +96,17 @@
         .ok();
     }
     if refusals.dropped > 0 {
-        writeln!(text, "and {} more that were not kept", refusals.dropped).ok();
+        writeln!(text, "at least {} more were dropped", refusals.dropped).ok();
     }
     text
 }
 
-/// Shows which revision is in force where.
+/// Formats the replication status of all nodes.
 pub fn report(report: &Report) -> String {
     let table = if report.table_silent {
-        "the table does not answer it"
+        "platform table unavailable"
     } else {
-        "the table answers it"
+        "platform table available"
     };
     let mut text = format!(
         "{}: revision {}, {}, {table}\n",
@@ -120,13 +120,13 @@
 }
 
 fn data_centre(data_centre: &DataCentre) -> String {
-    let answers = if data_centre.answers {
+    let state = if data_centre.answers {
         "answers"
     } else {
-        "does not answer; what follows is old"
+        "does not answer; the status of its nodes is out of date"
     };
     let nodes: String = data_centre.nodes.iter().map(node).collect();
-    format!("{}: {answers}\n{nodes}", data_centre.name)
+    format!("{}: {state}\n{nodes}", data_centre.name)
 }
 
 fn node(node: &Node) -> String {
@@ -142,7 +142,7 @@
             node.status.node,
             age(node.status.age_ms)
         ),
-        None => format!("  {}: not heard from, {state}\n", node.status.node),
+        None => format!("  {}: no status received, {state}\n", node.status.node),
     }
 }
 
@@ -154,6 +154,6 @@
 }
 
 fn value(setting: &Setting) -> String {
-    // Settings have text keys only, so they always have a JSON form.
+    // Serialization cannot fail: all map keys in a setting are strings.
     serde_json::to_string(setting).unwrap_or_default()
 }
--- a/filbertpaddle/tests/operator_commands.rs
+++ b/filbertpaddle/tests/operator_commands.rs
@@ -101,7 +101,7 @@
     let again = at(&node, &["template", "set", "school-1", "summary", path]).await;
     assert_eq!(again.code, Some(0));
     expect![[r#"
-        nothing was changed: it is so already since revision 3
+        unchanged: the entry has had this value since revision 3
     "#]]
     .assert_eq(&again.output);
 }
@@ -116,7 +116,7 @@
     let ended = at(&node, &args).await;
     assert_eq!(ended.code, Some(3));
     expect![[r#"
-        conflict: nothing was changed; this stands instead:
+        conflict: nothing was changed; the current entry is:
         template/school-1/summary at revision 2 by installer at 0 ms
         {"kind":"template","customer":"school-1","name":"summary","template":{"model":"teacher","version":"","adapter":null,"work":"generation","delivery":"stream","priority":0,"idempotent":true,"prompt":"","parameters":["text"],"max_tokens":32768,"max_wait_ms":30000,"weight":1}}
     "#]]
