--- a/filbertpaddle/src/arguments.rs
+++ b/filbertpaddle/src/arguments.rs
@@ -1,4 +1,4 @@
-//! What the command line asks for.
+//! Parsing of command-line arguments.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,45 +11,45 @@
 use lexopt::Parser;
 use lexopt::ValueExt;
 
-/// What the command line asks for.
+/// A parsed command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Run a node.
+    /// Runs a node.
     Serve(PathBuf),
-    /// Run a node of the forwarding path on the users' platform.
+    /// Runs a node of the forwarding path on the users' platform.
     Gateway,
-    /// Check a settings file.
+    /// Checks a settings file.
     Check(PathBuf),
-    /// Act as an operator at a node.
+    /// Runs an operator's command at a node.
     Operator(OperatorCommand),
-    /// Show the usage.
+    /// Prints the usage.
     Help,
-    /// Show the version.
+    /// Prints the version.
     Version,
 }
 
-/// An operator's action and where it goes.
+/// An operator's action with its options.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorCommand {
     /// The action.
     pub action: OperatorAction,
-    /// Options that every action takes.
+    /// Options that apply to every action.
     pub options: Options,
 }
 
 /// An operator's action.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorAction {
-    /// List all templates.
+    /// Lists all templates.
     TemplateList,
-    /// Show one template.
+    /// Shows one template.
     TemplateGet {
         /// Customer that uses the template.
         customer: Name,
         /// Name of the template.
         name: Name,
     },
-    /// Set one template from a file.
+    /// Sets one template from a file.
     TemplateSet {
         /// Customer that uses the template.
         customer: Name,
@@ -58,15 +58,15 @@
         /// YAML or JSON file with the template.
         file: PathBuf,
     },
-    /// Take a data centre out or bring it in.
+    /// Takes a data centre out of service or back in.
     DataCentre(Name, ServiceState),
-    /// Take a VM out or bring it in.
+    /// Takes a VM out of service or back in.
     Vm(Name, ServiceState),
-    /// Show which revision is in force where.
+    /// Shows which revision each node has applied.
     Status,
-    /// Show accepted changes.
+    /// Shows accepted changes.
     Audit,
-    /// Show refused operator actions.
+    /// Shows refused operator actions.
     Refusals,
 }
 
@@ -77,27 +77,27 @@
     pub node: Option<SocketAddr>,
     /// File with the operator's token.
     pub token_file: Option<PathBuf>,
-    /// Revision that the change replaces; without it, the node's present one.
+    /// Entry that the change replaces; `None` takes the node's current one.
     pub expect: Option<Expect>,
-    /// Identity of a change that is sent again.
+    /// Identity of a change that is resent.
     pub change_id: Option<ChangeId>,
-    /// Show changes after this revision.
+    /// Shows only changes after this revision.
     pub after: Revision,
-    /// Print JSON.
+    /// Prints JSON.
     pub json: bool,
 }
 
-/// What a change expects to replace.
+/// State of the entry that a change expects to replace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expect {
-    /// Nothing.
+    /// The entry does not exist.
     New,
-    /// This revision of the entry.
+    /// The entry is at this revision.
     At(Revision),
 }
 
 impl Expect {
-    /// Returns the expected revision.
+    /// Returns the expected revision; `None` if the entry must not exist.
     pub fn revision(self) -> Option<Revision> {
         match self {
             Self::New => None,
@@ -106,11 +106,11 @@
     }
 }
 
-/// Reads the command line.
+/// Parses the command line.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with it.
+/// Returns an error if a command, argument or option is unknown or invalid.
 pub fn parse(mut parser: Parser) -> Result<Command, lexopt::Error> {
     let mut words: Vec<String> = Vec::new();
     let mut options = Options::default();
@@ -177,8 +177,10 @@
             name: name.into(),
             file: file.into(),
         },
-        ["data-centre", word, name] => OperatorAction::DataCentre(name.into(), service(word)?),
-        ["vm", word, name] => OperatorAction::Vm(name.into(), service(word)?),
+        ["data-centre", word, name] => {
+            OperatorAction::DataCentre(name.into(), service_state(word)?)
+        }
+        ["vm", word, name] => OperatorAction::Vm(name.into(), service_state(word)?),
         ["status"] => OperatorAction::Status,
         ["audit"] => OperatorAction::Audit,
         ["refusals"] => OperatorAction::Refusals,
@@ -192,7 +194,7 @@
     Ok(action)
 }
 
-fn service(word: &str) -> Result<ServiceState, lexopt::Error> {
+fn service_state(word: &str) -> Result<ServiceState, lexopt::Error> {
     word.parse()
         .map_err(|_| format!("expected `out` or `in`, not `{word}`").into())
 }
--- a/filbertpaddle/src/bounds.rs
+++ b/filbertpaddle/src/bounds.rs
@@ -1,4 +1,4 @@
-//! Checks on single settings, so that errors carry their line.
+//! Deserializers that validate single settings, so that an error names its line.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
@@ -20,7 +20,7 @@
 {
     let reason = "a name has 1 to 64 letters, digits, hyphens, underscores or dots";
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    checked(deserializer, reason, |name: &Name| {
+    validated(deserializer, reason, |name: &Name| {
         !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(plain)
     })
 }
@@ -30,7 +30,7 @@
     D: Deserializer<'de>,
 {
     let reason = "a secret has at least 16 bytes";
-    checked(deserializer, reason, |secret: &String| {
+    validated(deserializer, reason, |secret: &String| {
         secret.len() >= MIN_SECRET_BYTES
     })
 }
@@ -41,7 +41,7 @@
 {
     let reason = "a digest has 64 lower-case hexadecimal digits";
     let hex = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
-    checked(deserializer, reason, |digest: &String| {
+    validated(deserializer, reason, |digest: &String| {
         digest.len() == SHA256_HEX_DIGITS && digest.bytes().all(hex)
     })
 }
@@ -51,7 +51,7 @@
     D: Deserializer<'de>,
 {
     let reason = "a timeout is from 1 to 600000 ms";
-    checked(deserializer, reason, |timeout_ms: &u64| {
+    validated(deserializer, reason, |timeout_ms: &u64| {
         (1..=MAX_TIMEOUT_MS).contains(timeout_ms)
     })
     .map(Millis)
@@ -62,7 +62,7 @@
     D: Deserializer<'de>,
 {
     let reason = "a body limit is from 1 byte to 64 MiB";
-    checked(deserializer, reason, |bytes: &u64| {
+    validated(deserializer, reason, |bytes: &u64| {
         (1..=MAX_BODY_BYTES).contains(bytes)
     })
 }
@@ -72,13 +72,14 @@
     D: Deserializer<'de>,
 {
     let reason = "a request limit is from 1 to 1048576";
-    checked(deserializer, reason, |requests: &usize| {
+    validated(deserializer, reason, |requests: &usize| {
         (1..=MAX_REQUESTS).contains(requests)
     })
 }
 
-// Errors made inside a value carry no location of their own.
-fn checked<'de, D, T, F>(deserializer: D, reason: &str, valid: F) -> Result<T, D::Error>
+// Deserializes a value and validates it. The error includes the line, because serde's
+// custom errors have no location.
+fn validated<'de, D, T, F>(deserializer: D, reason: &str, valid: F) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
     T: Deserialize<'de>,
--- a/filbertpaddle/src/cli.rs
+++ b/filbertpaddle/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Entry point of the command line and its exit codes.
 
 use std::ffi::OsString;
 use std::process::ExitCode;
@@ -18,9 +18,9 @@
 use crate::settings;
 use crate::settings::Settings;
 
-/// Exit code for a wrong command line or wrong settings.
+/// Exit code if the command line, a settings file or a change is invalid.
 const EXIT_USAGE: u8 = 2;
-/// Exit code if another change stands instead.
+/// Exit code if the entry is not at the expected revision.
 const EXIT_CONFLICT: u8 = 3;
 /// Exit code if a change may have been accepted.
 const EXIT_UNKNOWN: u8 = 4;
@@ -36,10 +36,10 @@
   filbertpaddle check SETTINGS                       check a settings file
   filbertpaddle template list                        list all templates
   filbertpaddle template get CUSTOMER NAME           show a template
-  filbertpaddle template set CUSTOMER NAME FILE      set a template from YAML or JSON
-  filbertpaddle data-centre out|in NAME              take a data centre out or bring it in
-  filbertpaddle vm out|in NAME                       take a VM out or bring it in
-  filbertpaddle status                               show which revision is in force where
+  filbertpaddle template set CUSTOMER NAME FILE      set a template from a YAML or JSON file
+  filbertpaddle data-centre out|in NAME              take a data centre out of service or back in
+  filbertpaddle vm out|in NAME                       take a VM out of service or back in
+  filbertpaddle status                               show which revision each node has applied
   filbertpaddle audit [--after REVISION]             show accepted changes
   filbertpaddle refusals                             show refused operator actions
   filbertpaddle --help
@@ -48,16 +48,16 @@
 options of operators' commands:
   --node IP:PORT       operators' address of any node, or FILBERTPADDLE_NODE
   --token-file FILE    operator's token, or FILBERTPADDLE_TOKEN
-  --expect REVISION    revision of the entry that a change replaces, or `new`;
-                       without it, what the node has now
-  --change-id NUMBER   identity of a change that is sent again
+  --expect REVISION    revision of the entry to replace, or `new` for a new entry;
+                       default: the node's current revision
+  --change-id NUMBER   id of a change to resend
   --json               print JSON
 
-exit codes: 0 done, 1 failed, 2 wrong usage, 3 conflict, 4 may have been accepted,
-5 wrong token
+exit codes: 0 success, 1 failure, 2 invalid usage, 3 conflict, 4 change may have been
+accepted, 5 missing or wrong token
 ";
 
-/// Runs the command that `args` name and returns the exit code.
+/// Runs the command given by `args` and returns the exit code.
 pub fn run<I>(args: I) -> ExitCode
 where
     I: IntoIterator<Item = OsString>,
@@ -87,7 +87,7 @@
     {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("filbertpaddle: {error}");
+            eprintln!("filbertpaddle: cannot start the runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
--- a/filbertpaddle/src/health.rs
+++ b/filbertpaddle/src/health.rs
@@ -1,4 +1,4 @@
-//! Health checks for the balancer and the platform.
+//! Health checks for the load balancer and the platform.
 
 use std::sync::Arc;
 
@@ -10,7 +10,8 @@
 
 use crate::front::Front;
 
-/// Returns `GET /healthz` (the process runs) and `GET /readyz` (send work here).
+/// Returns the routes `GET /healthz` (the process runs) and `GET /readyz` (the node
+/// accepts requests: it has a configuration and is not draining).
 pub fn routes(
     front: Arc<Front>,
 ) -> impl Filter<Extract = (Response,), Error = Rejection> + Clone + Send + Sync + 'static {
@@ -19,11 +20,11 @@
         .map(|| StatusCode::OK.into_response());
     let readyz = warp::path!("readyz")
         .and(warp::get())
-        .map(move || ready(&front).into_response());
+        .map(move || readiness(&front).into_response());
     healthz.or(readyz).unify()
 }
 
-fn ready(front: &Front) -> StatusCode {
+fn readiness(front: &Front) -> StatusCode {
     if front.gate.is_draining() || front.templates.current().is_none() {
         return StatusCode::SERVICE_UNAVAILABLE;
     }
--- a/filbertpaddle/src/lib.rs
+++ b/filbertpaddle/src/lib.rs
@@ -1,4 +1,4 @@
-//! A node: the process between callers and back ends.
+//! A node: the process that admits, queues and forwards callers' requests to back ends.
 
 pub mod arguments;
 pub mod attempt;
--- a/filbertpaddle/src/log.rs
+++ b/filbertpaddle/src/log.rs
@@ -1,4 +1,4 @@
-//! Structured logs to standard error.
+//! Structured logging to standard error.
 
 use std::io;
 
@@ -9,10 +9,10 @@
 
 use crate::settings;
 
-/// Most log lines that wait to be written.
+/// Maximum number of log lines queued for writing.
 const QUEUE_LINES: usize = 4_096;
 
-/// Opens the log.
+/// Opens the log; lines below the configured level are discarded.
 pub fn open(settings: settings::Log) -> Logger {
     let level = match settings.level {
         settings::LogLevel::Debug => Level::Debug,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Returns the log of one part, whose lines start with its prefix.
+/// Returns the logger of one component, which adds its name to each line under `part`.
 pub fn component(log: &Logger, name: &'static str) -> Logger {
     log.new(o!("part" => name))
 }
--- a/filbertpaddle/src/main.rs
+++ b/filbertpaddle/src/main.rs
@@ -1,4 +1,4 @@
-//! The filbertpaddle binary.
+//! The `filbertpaddle` binary.
 
 use std::process::ExitCode;
 
--- a/filbertpaddle/src/metrics.rs
+++ b/filbertpaddle/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and timers sent to statsd.
+//! Counters and timers that are sent to statsd.
 
 use std::net::UdpSocket;
 
@@ -12,19 +12,19 @@
 
 use crate::settings;
 
-/// Most metrics that wait to be sent.
+/// Maximum number of metrics queued for sending.
 const QUEUE_METRICS: usize = 4_096;
 
-/// Sends metrics under the prefix `filbertpaddle`.
+/// Client of the statsd server; adds the prefix `filbertpaddle` to all names.
 #[derive(Debug)]
 pub struct Metrics {
     client: StatsdClient,
 }
 
-/// Why metrics cannot be sent.
+/// Error of opening the metrics client.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No socket could be bound.
+    /// The UDP socket could not be bound.
     #[error("cannot bind the metrics socket: {0}")]
     Socket(#[from] std::io::Error),
     /// The sink could not be opened.
@@ -33,11 +33,11 @@
 }
 
 impl Metrics {
-    /// Opens the sink that the settings name.
+    /// Opens the client; without a statsd address in the settings, metrics are dropped.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] if no socket can be bound.
+    /// Returns [`Error`] if the socket or the sink cannot be opened.
     pub fn open(settings: settings::Metrics) -> Result<Self, Error> {
         let Some(address) = settings.statsd else {
             return Ok(Self {
@@ -53,13 +53,13 @@
         })
     }
 
-    /// Counts one event.
+    /// Increments a counter.
     pub fn count(&self, name: &str) {
         self.client.incr(name).ok();
     }
 
-    /// Records a span.
-    pub fn time(&self, name: &str, span: Millis) {
-        self.client.time(name, span.0).ok();
+    /// Records a duration in a timer.
+    pub fn time(&self, name: &str, duration: Millis) {
+        self.client.time(name, duration.0).ok();
     }
 }
--- a/filbertpaddle/src/refusals.rs
+++ b/filbertpaddle/src/refusals.rs
@@ -1,8 +1,7 @@
-//! Keeps refused operator actions in the platform's table.
+//! Stores refused operator actions in the platform's table.
 //!
-//! Whoever is refused must not be able to fill the table or use up its
-//! writes, so each node writes at most once a second into a fixed number of
-//! rows.
+//! Refused requests must not fill the table or use up its write capacity, so each
+//! node writes at most once a second and only to a fixed number of rows.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -24,17 +23,18 @@
 use crate::operator_api::Refusals;
 
 const PREFIX: &str = "refusal/";
-/// Rows that each node writes in turn.
+/// Number of rows that each node overwrites in turn.
 const ROWS_PER_NODE: u64 = 16;
-/// Most refusals in one row.
+/// Maximum number of refusals in one row, and in the queue of the writer.
 const MAX_REFUSALS_PER_ROW: usize = 32;
-/// Most rows read at once.
+/// Maximum number of rows that are read.
 const MAX_SCAN_ROWS: u32 = 200;
-/// Longest action that is kept.
+/// Length to which a stored action is truncated.
 const MAX_ACTION_CHARS: usize = 200;
+/// Minimum time between two writes.
 const WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Takes refusals to keep.
+/// Queues refusals for the task that writes them; clones share one task.
 #[derive(Clone, Debug)]
 pub struct RefusalLog {
     queue: mpsc::Sender<Refusal>,
@@ -42,7 +42,7 @@
 }
 
 impl RefusalLog {
-    /// Starts to keep refusals of this node.
+    /// Starts the task that writes the refusals of this node.
     pub fn start(node: Name, platform: Client, log: Logger) -> Self {
         let (queue, refusals) = mpsc::channel(MAX_REFUSALS_PER_ROW);
         let dropped = Arc::new(AtomicU64::new(0));
@@ -57,7 +57,7 @@
         Self { queue, dropped }
     }
 
-    /// Keeps a refusal, or counts it if there are too many.
+    /// Queues a refusal to be written; counts it as dropped if the queue is full.
     pub fn record(&self, mut refusal: Refusal) {
         refusal.action = refusal.action.chars().take(MAX_ACTION_CHARS).collect();
         if self.queue.try_send(refusal).is_err() {
@@ -112,9 +112,9 @@
             conditions: Vec::new(),
             writes: vec![write],
         };
-        // Writing the same row again is harmless, so any error is repeated.
+        // The write is idempotent, so it can be retried after any error.
         if let Err(error) = self.platform.transact(&transaction).await {
-            warn!(self.log, "Refusals not kept."; "error" => %error);
+            warn!(self.log, "Refused operator actions not written to the platform; retrying."; "error" => %error);
             return false;
         }
         self.next_row = (self.next_row + 1) % ROWS_PER_NODE;
@@ -122,7 +122,7 @@
     }
 }
 
-/// Reads the refusals that nodes kept.
+/// Reads the stored refusals of all nodes, ordered by time.
 ///
 /// # Errors
 ///
--- a/filbertpaddle/src/settings.rs
+++ b/filbertpaddle/src/settings.rs
@@ -14,7 +14,7 @@
 
 use crate::bounds;
 
-/// Why settings were refused.
+/// Error of loading settings.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file cannot be read.
@@ -22,10 +22,10 @@
     Read {
         /// Path of the file.
         path: String,
-        /// What the system said.
+        /// Error of the read.
         source: std::io::Error,
     },
-    /// The text is not valid settings; the message names line and reason.
+    /// The settings are invalid; the message contains the line and the reason.
     #[error("{0}")]
     Invalid(String),
 }
@@ -34,44 +34,44 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who the node is.
+    /// Identity of the node.
     pub node: Node,
-    /// Where the node listens.
+    /// Addresses on which the node listens.
     pub listen: Listen,
-    /// Addresses of some other nodes, `ip:port`.
+    /// Addresses of some other nodes, `ip:port`; the rest are discovered from them.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// The platform's service.
+    /// Access to the platform.
     pub platform: Platform,
     /// Secrets shared by all nodes.
     pub secrets: Secrets,
     /// Operators and the digests of their tokens.
     #[serde(default)]
     pub operators: Vec<Operator>,
-    /// What the system knows about targets beforehand.
+    /// Properties of targets that cannot be discovered.
     #[serde(default)]
     pub targets: Targets,
-    /// How queued work is ordered and placed.
+    /// Ordering and placement of queued work.
     #[serde(default)]
     pub placement: policy::Settings,
-    /// How many retries are allowed.
+    /// Retry budgets.
     #[serde(default)]
     pub retries: retry::Settings,
-    /// Limits on what callers may send.
+    /// Limits on callers' requests.
     #[serde(default)]
     pub limits: Limits,
-    /// How claims on idempotency keys are committed.
+    /// Commits of claims on idempotency keys.
     #[serde(default)]
     pub claims: Claims,
-    /// Logs.
+    /// Format and level of the log.
     #[serde(default)]
     pub log: Log,
-    /// Metrics.
+    /// Destination of metrics.
     #[serde(default)]
     pub metrics: Metrics,
 }
 
-/// Who a node is.
+/// Identity of a node.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
@@ -83,7 +83,7 @@
     pub data_centre: Name,
 }
 
-/// Where a node listens; port 0 takes a free port.
+/// Addresses on which a node listens; port 0 selects a free port.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
@@ -93,18 +93,18 @@
     pub operators: SocketAddr,
     /// For other nodes.
     pub peers: SocketAddr,
-    /// Where other nodes dial, if not the address that is listened on.
+    /// Address that other nodes connect to, if it differs from `peers`.
     #[serde(default)]
     pub advertise_peers: Option<SocketAddr>,
 }
 
-/// The platform's service.
+/// Access to the platform.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
     /// Address, `ip:port`.
     pub address: SocketAddr,
-    /// Longest wait for an answer.
+    /// Timeout of a request.
     #[serde(
         default = "default_platform_timeout_ms",
         deserialize_with = "bounds::timeout_ms"
@@ -116,7 +116,7 @@
 #[derive(Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Secrets {
-    /// Proves a node to its peers.
+    /// Authenticates nodes to each other.
     #[serde(deserialize_with = "bounds::secret")]
     pub peer: String,
     /// Signs resume tickets.
@@ -142,25 +142,25 @@
     pub token_sha256: String,
 }
 
-/// What the system knows about targets beforehand.
+/// Properties of targets that cannot be discovered.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Targets {
-    /// For each model, whether its targets refuse old fencing numbers.
+    /// For each model, whether its targets reject stale fencing numbers.
     pub checks_fence: IndexMap<Name, bool>,
 }
 
-/// Limits on what callers may send.
+/// Limits on callers' requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Largest request body.
+    /// Maximum size of a request body.
     #[serde(deserialize_with = "bounds::body_bytes")]
     pub body_bytes: u64,
-    /// Longest time a caller may take to send its request.
+    /// Maximum time to receive a request.
     #[serde(deserialize_with = "bounds::timeout_ms")]
     pub send_timeout_ms: Millis,
-    /// Most requests at once on this node.
+    /// Maximum number of concurrent requests on this node.
     #[serde(deserialize_with = "bounds::requests")]
     pub requests: usize,
 }
@@ -175,14 +175,14 @@
     }
 }
 
-/// How claims on idempotency keys are committed.
+/// Commits of claims on idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Claims {
-    /// Nodes of a data centre that share one committer; 1 means that each
-    /// commits for itself.
+    /// Number of nodes of a data centre that share one committer; with 1, each node
+    /// commits its own claims.
     pub nodes_per_committer: NonZeroUsize,
-    /// Shortest time between the starts of two transactions of a committer.
+    /// Minimum time between the starts of two transactions of a committer.
     #[serde(deserialize_with = "bounds::timeout_ms")]
     pub pace_ms: Millis,
 }
@@ -196,41 +196,41 @@
     }
 }
 
-/// Logs go to standard error.
+/// Settings of the log, which goes to standard error.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// Form of a line.
+    /// Format of a line.
     pub format: LogFormat,
-    /// Least severity shown.
+    /// Minimum severity of the lines written.
     pub level: LogLevel,
 }
 
-/// Form of a log line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text.
     #[default]
     Terminal,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Severity of a log line.
+/// Minimum severity of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Every decision.
+    /// Everything, including single decisions.
     Debug,
-    /// What an operator on call wants to read.
+    /// Changes of state that an operator on call needs, and warnings.
     #[default]
     Info,
-    /// Only what is wrong.
+    /// Failures only.
     Warning,
 }
 
-/// Where metrics go.
+/// Destination of metrics.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Metrics {
@@ -238,11 +238,11 @@
     pub statsd: Option<SocketAddr>,
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
 ///
-/// Returns [`Error`] if the file cannot be read or is not valid settings.
+/// Returns [`Error`] if the file cannot be read or its settings are invalid.
 pub fn load(path: &Path) -> Result<Settings, Error> {
     let text = fs::read_to_string(path).map_err(|source| Error::Read {
         path: path.display().to_string(),
@@ -251,16 +251,17 @@
     parse(&text)
 }
 
-/// Checks the text of a settings file.
+/// Parses and validates the text of a settings file.
 ///
 /// # Errors
 ///
-/// Returns [`Error::Invalid`] with line and reason.
+/// Returns [`Error::Invalid`] with the line and the reason.
 pub fn parse(text: &str) -> Result<Settings, Error> {
     serde_saphyr::from_str(text).map_err(|error| Error::Invalid(describe(text, &error)))
 }
 
-// The library's own rendering shows neighbouring lines, which may hold secrets.
+// Formats an error without the library's snippet of neighbouring lines, which may
+// contain secrets.
 fn describe(text: &str, error: &serde_saphyr::Error) -> String {
     let plain = error.without_snippet().to_string();
     let reason = plain
@@ -273,7 +274,8 @@
     format!("line {}: {reason}", line_of_key(text, reason, from))
 }
 
-// An unknown key is reported at the start of the mapping that holds it.
+// Returns the line of an unknown key, which the library reports at the start of the
+// mapping that contains it.
 fn line_of_key(text: &str, reason: &str, from: u64) -> u64 {
     let Some(key) = reason
         .strip_prefix("unknown field `")
