--- a/filbertpaddle/examples/demo.rs
+++ b/filbertpaddle/examples/demo.rs
@@ -1,4 +1,5 @@
-//! Serves one generation on embedded stand-ins and shows the streamed answer.
+//! Runs two nodes with stand-ins in one process and prints the stream of a generation
+//! from each node.
 //!
 //! Run with `cargo run --example demo`.
 
@@ -30,7 +31,7 @@
 use sha2::Sha256;
 
 const CUSTOMER_KEY: &str = "key-of-the-school";
-const READY_INTERVAL: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 #[tokio::main]
 async fn main() -> eyre::Result<()> {
@@ -46,8 +47,11 @@
     println!("a platform, an engine and two nodes run in this process");
 
     for node in [&first, &second] {
-        println!("\nasking {}:", node.addresses().callers);
-        ask(node.addresses().callers).await?;
+        println!(
+            "\nrequesting a generation from {}:",
+            node.addresses().callers
+        );
+        request_generation(node.addresses().callers).await?;
     }
     first.close().await;
     second.close().await;
@@ -124,7 +128,7 @@
     }
 }
 
-async fn ask(node: SocketAddr) -> eyre::Result<()> {
+async fn request_generation(node: SocketAddr) -> eyre::Result<()> {
     let body = serde_json::json!({
         "template": "summary",
         "parameters": {"pupil": "reads well, is shy in class"},
@@ -137,31 +141,31 @@
             .json(&body);
         let response = request.send().await?;
         if response.status().is_success() {
-            return show(response).await;
+            return print_stream(response).await;
         }
-        // The node has just started and does not know its targets yet.
-        tokio::time::sleep(READY_INTERVAL).await;
+        // A node refuses requests until it has read the list of targets.
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
-async fn show(response: reqwest::Response) -> eyre::Result<()> {
+async fn print_stream(response: reqwest::Response) -> eyre::Result<()> {
     let mut text = String::new();
     let mut stream = response.bytes_stream();
     while let Some(bytes) = stream.next().await {
         text.push_str(std::str::from_utf8(&bytes?)?);
         while let Some((event, rest)) = text.split_once("\n\n") {
-            show_event(event)?;
+            print_event(event)?;
             text = rest.to_owned();
         }
     }
     Ok(())
 }
 
-fn show_event(event: &str) -> eyre::Result<()> {
+fn print_event(event: &str) -> eyre::Result<()> {
     let data = event
         .lines()
         .find_map(|line| line.strip_prefix("data:"))
-        .ok_or_eyre("an event has data")?;
+        .ok_or_eyre("event without a `data` line")?;
     let value: serde_json::Value = serde_json::from_str(data)?;
     match value.get("text").and_then(serde_json::Value::as_str) {
         Some(token) => print!("{token}"),
--- a/filbertpaddle/src/settings.rs
+++ b/filbertpaddle/src/settings.rs
@@ -38,7 +38,7 @@
     pub node: Node,
     /// Addresses on which the node listens.
     pub listen: Listen,
-    /// Addresses of some other nodes, `ip:port`; the rest are discovered from them.
+    /// Addresses of some other nodes, `ip:port`; the rest are discovered at run time.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
     /// Access to the platform.
--- a/filbertpaddle/tests/availability.rs
+++ b/filbertpaddle/tests/availability.rs
@@ -1,4 +1,5 @@
-//! What is out gets no new work from any node; what runs there finishes.
+//! A data centre or VM that is out of service gets no new work from any node, and work
+//! that runs there finishes.
 
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -22,7 +23,7 @@
 use filbertpaddle_standins::faults::Faults;
 use filbertpaddle_standins::faults::Outage;
 
-/// Requests sent while something is out, over all nodes.
+/// Number of requests sent through all nodes while something is out of service.
 const REQUESTS: usize = 24;
 
 /// One node and one engine in each of two data centres.
@@ -68,11 +69,11 @@
             nodes,
             sent: 0,
         };
-        fleet.until_each_engine_runs().await;
+        fleet.wait_until_each_engine_runs().await;
         fleet
     }
 
-    /// Sends one request through one of the nodes in turn.
+    /// Sends one request, through each node in turn.
     async fn send(&mut self) -> Option<Stream> {
         self.sent += 1;
         let node = &self.nodes[self.sent % self.nodes.len()];
@@ -81,7 +82,7 @@
         (response.status() == 200).then(|| Stream::open(response))
     }
 
-    /// Sends requests that run at once and returns those that were taken.
+    /// Sends concurrent requests and returns the streams of those accepted.
     async fn send_many(&mut self, count: usize) -> Vec<Stream> {
         let mut streams = Vec::new();
         for _ in 0..count {
@@ -90,7 +91,7 @@
         streams
     }
 
-    async fn until_each_engine_runs(&mut self) {
+    async fn wait_until_each_engine_runs(&mut self) {
         let before = (runs(&self.north).await, runs(&self.south).await);
         wait::until("both engines get work", async || {
             let streams = self.send_many(8).await;
@@ -103,7 +104,7 @@
         .await;
     }
 
-    /// Starts streams until one of them runs in the north, and keeps all.
+    /// Starts streams until one of them runs in the north, and returns all of them.
     async fn streams_with_one_in_the_north(&mut self) -> Vec<Stream> {
         let mut streams = Vec::new();
         let before = runs(&self.north).await;
@@ -115,7 +116,7 @@
         streams
     }
 
-    /// Sends requests through all nodes and returns how many the north got.
+    /// Sends requests through all nodes and returns how many ran in the north.
     async fn runs_in_the_north(&mut self) -> usize {
         let before = runs(&self.north).await;
         let streams = self.send_many(REQUESTS).await;
@@ -130,12 +131,14 @@
     async fn set_service(&self, path: &str, service: ServiceState) {
         let operator = Operator::at(&self.nodes[1]);
         let answer = operator.set_service(path, service).await;
-        let revision = operator::accepted(&answer);
+        let revision = operator::accepted_revision(&answer);
         let nodes: Vec<_> = self.nodes.iter().collect();
-        operator::in_force(&nodes, path, revision).await;
+        operator::wait_until_applied(&nodes, path, revision).await;
     }
 
-    async fn leaves_and_returns(&mut self, path: &str) {
+    /// Takes something in the north out of service and back in; new work must follow, and
+    /// streams that run meanwhile must complete.
+    async fn check_out_and_in(&mut self, path: &str) {
         let streams = self.streams_with_one_in_the_north().await;
         self.set_service(path, ServiceState::Out).await;
         assert_eq!(self.runs_in_the_north().await, 0);
@@ -144,7 +147,7 @@
             assert!(matches!(outcome, Some(Outcome::Complete { .. })));
         }
         self.set_service(path, ServiceState::In).await;
-        self.until_each_engine_runs().await;
+        self.wait_until_each_engine_runs().await;
     }
 }
 
@@ -157,11 +160,11 @@
 #[tokio::test]
 async fn a_data_centre_that_is_out_gets_no_new_work() {
     let mut fleet = Fleet::start().await;
-    fleet.leaves_and_returns("data-centres/north").await;
+    fleet.check_out_and_in("data-centres/north").await;
 }
 
 #[tokio::test]
-async fn entries_of_a_data_centre_that_is_out_serve_through_others() {
+async fn nodes_of_a_data_centre_that_is_out_forward_to_other_data_centres() {
     let mut fleet = Fleet::start().await;
     fleet
         .set_service("data-centres/north", ServiceState::Out)
@@ -173,11 +176,11 @@
 #[tokio::test]
 async fn a_vm_that_is_out_gets_no_new_work() {
     let mut fleet = Fleet::start().await;
-    fleet.leaves_and_returns("vms/engine-north").await;
+    fleet.check_out_and_in("vms/engine-north").await;
 }
 
 #[tokio::test]
-async fn a_vm_that_the_platform_takes_away_gets_no_new_work() {
+async fn a_vm_that_the_platform_reclaims_gets_no_new_work() {
     let mut fleet = Fleet::start().await;
     fleet
         .platform
@@ -187,12 +190,12 @@
         (fleet.runs_in_the_north().await == 0).then_some(())
     })
     .await;
-    // A list that says so once is enough: nothing comes after it.
+    // Once the nodes have read the list, no further request may reach the VM.
     assert_eq!(fleet.runs_in_the_north().await, 0);
 }
 
 #[tokio::test]
-async fn out_stays_out_while_the_platform_is_out() {
+async fn a_data_centre_stays_out_during_a_platform_outage() {
     let mut fleet = Fleet::start().await;
     fleet
         .set_service("data-centres/north", ServiceState::Out)
@@ -212,7 +215,7 @@
 }
 
 #[tokio::test]
-async fn of_two_operators_on_one_data_centre_one_sees_the_others_change() {
+async fn one_of_two_concurrent_changes_to_a_data_centre_gets_a_conflict() {
     let fleet = Fleet::start().await;
     let operators = [Operator::at(&fleet.nodes[0]), Operator::at(&fleet.nodes[1])];
     let path = "data-centres/north";
@@ -225,13 +228,13 @@
     );
     let lost = if statuses[0] == 409 { a } else { b };
     let Answer::Conflict { current } = lost.json().await.unwrap() else {
-        panic!("a conflict is answered");
+        panic!("expected the answer `conflict`");
     };
     assert_eq!(current.unwrap().by, fleet::OPERATOR);
 }
 
 #[tokio::test]
-async fn bringing_in_what_is_in_changes_nothing() {
+async fn bringing_in_a_data_centre_that_is_in_changes_nothing() {
     let fleet = Fleet::start().await;
     let operator = Operator::at(&fleet.nodes[0]);
     let answer = operator
--- a/filbertpaddle/tests/common/caller.rs
+++ b/filbertpaddle/tests/common/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of nodes.
+//! Caller's client of the HTTP interface of any node.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 
 use super::fleet::CUSTOMER_KEY;
 
-/// One event of a stream.
+/// One event of a response stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     Start { generation: String, ticket: String },
@@ -18,7 +18,7 @@
     End(Outcome),
 }
 
-/// An open stream.
+/// An open response stream.
 pub struct Stream {
     response:
         std::pin::Pin<Box<dyn futures_util::Stream<Item = reqwest::Result<bytes::Bytes>> + Send>>,
@@ -43,7 +43,7 @@
     request.send().await.unwrap()
 }
 
-/// Goes on with a stream at token `from`.
+/// Resumes a stream at token `from`.
 pub async fn resume(node: SocketAddr, ticket: &str, from: u32) -> reqwest::Response {
     let body = serde_json::json!({"ticket": ticket, "from": from});
     reqwest::Client::new()
@@ -67,7 +67,7 @@
         .unwrap()
 }
 
-/// Reads a body without tokens.
+/// Reads a response that has only an outcome.
 pub async fn outcome(response: reqwest::Response) -> Outcome {
     response.json().await.unwrap()
 }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Returns the next event; `None` if the connection broke or ended.
+    /// Returns the next event; `None` if the connection was closed or failed.
     pub async fn next(&mut self) -> Option<Event> {
         loop {
             if let Some((block, rest)) = self.buffer.split_once("\n\n") {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Reads to the end: the tokens in order, and the outcome if it came.
+    /// Reads the remaining events; returns the tokens in order and the outcome, if received.
     pub async fn rest(mut self) -> (Vec<String>, Option<Outcome>) {
         let mut tokens = Vec::new();
         while let Some(event) = self.next().await {
--- a/filbertpaddle/tests/common/fault_proxy.rs
+++ b/filbertpaddle/tests/common/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! The fault proxy between processes.
+//! Fault-injection proxy between processes.
 
 use std::net::SocketAddr;
 
@@ -7,12 +7,12 @@
 
 use super::fleet::StandIn;
 
-/// Starts a proxy before an address.
+/// Starts a proxy in front of an address.
 pub fn start(upstream: SocketAddr) -> StandIn {
     StandIn::start(&["proxy", "--upstream", &upstream.to_string()])
 }
 
-/// Changes what passes.
+/// Sets the state of the link.
 pub async fn set_link(proxy: &StandIn, link: Link) {
     let faults = Faults {
         link,
--- a/filbertpaddle/tests/common/fleet.rs
+++ b/filbertpaddle/tests/common/fleet.rs
@@ -1,4 +1,4 @@
-//! A small deployment of real processes.
+//! Starts nodes and stand-ins in processes of their own.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
 
 static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
 
-/// What a stand-in prints when it is ready.
+/// The line that a stand-in prints when it is ready.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Ready {
     pub address: SocketAddr,
@@ -100,15 +100,15 @@
     pub addresses: Addresses,
 }
 
-/// How a node is started.
+/// Settings of a node under test.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     pub name: String,
     pub data_centre: String,
-    /// Address of the platform, or of a proxy before it.
+    /// Address of the platform, or of a proxy in front of it.
     pub platform: SocketAddr,
     pub peers: Vec<SocketAddr>,
-    /// More YAML, appended as it is.
+    /// YAML appended to the settings file.
     pub extra_yaml: String,
 }
 
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Waits until the balancer may send requests.
+    /// Waits until the node reports that it is ready for requests.
     pub async fn ready(&self) {
         let url = format!("http://{}/readyz", self.addresses.callers);
         wait::until("node ready", async || {
@@ -136,7 +136,7 @@
     }
 }
 
-/// A platform stand-in, its client and what it lists.
+/// A platform stand-in with its client and VM list.
 #[derive(Debug)]
 pub struct Platform {
     pub standin: StandIn,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Puts a target on the VM list.
+    /// Adds a target to the VM list.
     pub async fn list_target(
         &mut self,
         name: &str,
@@ -175,7 +175,7 @@
         self.publish_vms().await;
     }
 
-    /// Changes one listed VM.
+    /// Changes one VM of the list.
     pub async fn change_vm<F>(&mut self, name: &str, change: F)
     where
         F: FnOnce(&mut Vm),
@@ -192,7 +192,7 @@
         self.standin.control("vms", &list).await;
     }
 
-    /// Writes the customer and templates before any node starts.
+    /// Writes the customer and templates; called before any node starts.
     pub async fn seed(&self, templates: &[(&str, Template)]) {
         let digest = HEXLOWER.encode(&Sha256::digest(CUSTOMER_KEY.as_bytes()));
         let customer = serde_json::json!({"key_sha256": [digest]});
@@ -225,7 +225,7 @@
     serde_json::from_value(template).unwrap()
 }
 
-/// Returns the program of the stand-ins, which is built beside the daemon's.
+/// Returns the path of the stand-in program, which is built next to the node's.
 pub fn standin_program() -> PathBuf {
     let path =
         Path::new(env!("CARGO_BIN_EXE_filbertpaddle")).with_file_name("filbertpaddle-standin");
--- a/filbertpaddle/tests/common/mod.rs
+++ b/filbertpaddle/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Real processes for tests: stand-ins and nodes on loopback.
+//! Helpers for tests that run nodes and stand-ins as processes on loopback.
 
 #![expect(
     clippy::unwrap_used,
--- a/filbertpaddle/tests/common/operator.rs
+++ b/filbertpaddle/tests/common/operator.rs
@@ -1,4 +1,4 @@
-//! What operators do, through any node.
+//! Operator's client of the HTTP interface of any node.
 
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
 use super::fleet::Node;
 use super::wait;
 
-/// One operator at one node.
+/// An operator's access to one node.
 #[derive(Clone, Debug)]
 pub struct Operator {
     address: SocketAddr,
@@ -61,7 +61,7 @@
         self.put(path, &body).await.json().await.unwrap()
     }
 
-    /// Takes something out of service or back in, from what is there now.
+    /// Takes something out of service or back in, expecting the entry's current revision.
     pub async fn set_service(&self, path: &str, service: ServiceState) -> Answer {
         let current = self.entry(path).await;
         let expected = current.map(|change| change.revision);
@@ -97,18 +97,18 @@
     }
 }
 
-/// Returns the revision of an accepted change.
-pub fn accepted(answer: &Answer) -> Revision {
+/// Returns the revision of an accepted change; panics on any other answer.
+pub fn accepted_revision(answer: &Answer) -> Revision {
     match answer {
         Answer::Accepted { revision } => *revision,
         other => panic!("not accepted: {other:?}"),
     }
 }
 
-/// Waits until every node has an entry at a revision or a later one.
-pub async fn in_force(nodes: &[&Node], path: &str, revision: Revision) {
+/// Waits until every node has the entry at this or a later revision.
+pub async fn wait_until_applied(nodes: &[&Node], path: &str, revision: Revision) {
     for node in nodes {
-        wait::until("change in force", async || {
+        wait::until("the change is applied", async || {
             let change = Operator::at(node).entry(path).await?;
             (change.revision >= revision).then_some(())
         })
--- a/filbertpaddle/tests/common/wait.rs
+++ b/filbertpaddle/tests/common/wait.rs
@@ -1,17 +1,17 @@
-//! Waiting on conditions.
+//! Polling until a condition holds.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Longest wait for a condition; far beyond what any needs.
+/// Timeout of a condition; generous, so that a slow machine does not fail a test.
 pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(90);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until `condition` yields a value.
+/// Polls `condition` until it returns a value.
 ///
 /// # Panics
 ///
-/// Panics with `what` if it never does.
+/// Panics with `what` if it returns none within [`CONDITION_TIMEOUT`].
 pub async fn until<T, F>(what: &str, mut condition: F) -> T
 where
     F: AsyncFnMut() -> Option<T>,
@@ -23,7 +23,7 @@
         }
         assert!(
             start.elapsed() < CONDITION_TIMEOUT,
-            "waited in vain: {what}"
+            "condition not met within {CONDITION_TIMEOUT:?}: {what}"
         );
         tokio::time::sleep(POLL_INTERVAL).await;
     }
--- a/filbertpaddle/tests/configuration.rs
+++ b/filbertpaddle/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Accepted configuration is in force everywhere and never reverts.
+//! Accepted configuration changes take effect on every node and are never reverted,
+//! under lost answers, cut links, platform outages, restarts and paused nodes.
 
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -26,9 +27,10 @@
 use filbertpaddle_standins::faults::Outage;
 use filbertpaddle_standins::proxy::Link;
 
+/// Path of the template that the tests change.
 const PATH: &str = "templates/school-1/summary";
 
-/// Two nodes in each of two data centres; the south reaches the platform over a proxy.
+/// Two nodes in each of two data centres; the south reaches the platform through a proxy.
 struct Fleet {
     platform: Platform,
     south_platform: StandIn,
@@ -57,7 +59,7 @@
         }
         for node in &fleet.nodes {
             node.ready().await;
-            fleet.connected(node).await;
+            fleet.wait_until_connected(node).await;
         }
         fleet
     }
@@ -89,7 +91,7 @@
         self.nodes.iter().collect()
     }
 
-    async fn connected(&self, node: &Node) {
+    async fn wait_until_connected(&self, node: &Node) {
         wait::until("all nodes connected", async || {
             let report = Operator::at(node).status().await;
             let nodes = report.data_centres.iter().flat_map(|each| &each.nodes);
@@ -99,24 +101,24 @@
         .await;
     }
 
-    async fn faults(&self, faults: Faults) {
+    async fn set_faults(&self, faults: Faults) {
         self.platform.standin.control("faults", &faults).await;
     }
 
-    async fn outage(&self, outage: Outage) {
-        self.faults(Faults {
+    async fn set_outage(&self, outage: Outage) {
+        self.set_faults(Faults {
             outage,
             ..Faults::default()
         })
         .await;
     }
 
-    /// How often the audit trail has a change that set this prompt.
-    async fn accepted_prompts(&self, prompt: &str) -> usize {
+    /// Returns how many changes in the audit trail set this prompt.
+    async fn count_accepted(&self, prompt: &str) -> usize {
         let records = self.operator("north-1").audit().await.records;
-        let is_meant = |setting: &Setting| matches!(setting, Setting::Template { template, .. } if template.prompt == prompt);
+        let sets_prompt = |setting: &Setting| matches!(setting, Setting::Template { template, .. } if template.prompt == prompt);
         let changes = records.iter().map(|record| &record.change.setting);
-        changes.filter(|setting| is_meant(setting)).count()
+        changes.filter(|setting| sets_prompt(setting)).count()
     }
 }
 
@@ -131,7 +133,7 @@
     operator.entry(PATH).await.map(|change| change.revision)
 }
 
-/// Sets the template from what the operator's node has now.
+/// Sets the template, expecting the revision that the operator's node has now.
 async fn set(operator: &Operator, prompt: &str) -> Answer {
     let expected = revision(operator).await;
     operator
@@ -145,10 +147,10 @@
     for prompt in ["one", "two", "three"] {
         let answer = set(&fleet.operator("south-2"), prompt).await;
         let start = Instant::now();
-        let revision = operator::accepted(&answer);
-        operator::in_force(&fleet.all(), PATH, revision).await;
+        let revision = operator::accepted_revision(&answer);
+        operator::wait_until_applied(&fleet.all(), PATH, revision).await;
         println!(
-            "in force on 4 nodes after {} ms",
+            "applied on 4 nodes after {} ms",
             start.elapsed().as_millis()
         );
     }
@@ -163,31 +165,31 @@
         (Loss::Hold, "held"),
     ] {
         fleet
-            .faults(Faults {
+            .set_faults(Faults {
                 lose_answers: 1,
                 loss,
                 ..Faults::default()
             })
             .await;
         let answer = set(&fleet.operator("north-1"), prompt).await;
-        let revision = operator::accepted(&answer);
-        operator::in_force(&fleet.all(), PATH, revision).await;
-        assert_eq!(fleet.accepted_prompts(prompt).await, 1);
+        let revision = operator::accepted_revision(&answer);
+        operator::wait_until_applied(&fleet.all(), PATH, revision).await;
+        assert_eq!(fleet.count_accepted(prompt).await, 1);
     }
 }
 
 #[tokio::test]
-async fn a_node_that_restarts_in_an_outage_learns_from_its_peers() {
+async fn a_node_that_restarts_in_an_outage_gets_the_configuration_from_its_peers() {
     let mut fleet = Fleet::start().await;
     let answer = set(&fleet.operator("north-1"), "before the outage").await;
-    let revision = operator::accepted(&answer);
-    operator::in_force(&fleet.all(), PATH, revision).await;
-    fleet.outage(Outage::Refuse).await;
+    let revision = operator::accepted_revision(&answer);
+    operator::wait_until_applied(&fleet.all(), PATH, revision).await;
+    fleet.set_outage(Outage::Refuse).await;
     fleet.nodes.remove(1).process.close();
     fleet.add("north-2", "north");
     let restarted = fleet.node("north-2");
     restarted.ready().await;
-    operator::in_force(&[restarted], PATH, revision).await;
+    operator::wait_until_applied(&[restarted], PATH, revision).await;
 }
 
 #[tokio::test]
@@ -211,7 +213,7 @@
         extra_yaml: String::new(),
     });
     let operator = Operator::at(&node);
-    wait::until("the table has been asked", async || {
+    wait::until("a read of the table has failed", async || {
         operator.status().await.table_silent.then_some(())
     })
     .await;
@@ -221,18 +223,15 @@
 }
 
 #[tokio::test]
-async fn a_data_centre_without_the_platform_learns_from_its_peers() {
+async fn a_data_centre_without_the_platform_gets_changes_from_its_peers() {
     let fleet = Fleet::start().await;
     for link in [Link::Cut, Link::CutBackward, Link::Stall, Link::HalfOpen] {
         fault_proxy::set_link(&fleet.south_platform, link).await;
         let answer = set(&fleet.operator("north-2"), &format!("{link:?}")).await;
         let start = Instant::now();
-        let revision = operator::accepted(&answer);
-        operator::in_force(&fleet.all(), PATH, revision).await;
-        println!(
-            "{link:?}: in force after {} ms",
-            start.elapsed().as_millis()
-        );
+        let revision = operator::accepted_revision(&answer);
+        operator::wait_until_applied(&fleet.all(), PATH, revision).await;
+        println!("{link:?}: applied after {} ms", start.elapsed().as_millis());
     }
 }
 
@@ -249,11 +248,11 @@
         .await;
     assert_eq!(response.status(), 503);
     assert!(response.headers().contains_key("retry-after"));
-    assert_eq!(fleet.accepted_prompts("refused").await, 0);
+    assert_eq!(fleet.count_accepted("refused").await, 0);
 }
 
 #[tokio::test]
-async fn a_change_whose_way_back_is_cut_is_accepted_once_or_not_at_all() {
+async fn a_change_whose_answer_is_cut_off_is_accepted_at_most_once() {
     let fleet = Fleet::start().await;
     let operator = fleet.operator("south-1");
     let expected = revision(&operator).await;
@@ -267,17 +266,17 @@
         "{first:?}"
     );
     fault_proxy::set_link(&fleet.south_platform, Link::Open).await;
-    let second = wait::until("the platform is back", async || {
+    let second = wait::until("the platform is available again", async || {
         let answer: Answer = operator.put(PATH, &body).await.json().await.unwrap();
         (answer != Answer::Unavailable).then_some(answer)
     })
     .await;
-    operator::accepted(&second);
-    assert_eq!(fleet.accepted_prompts("one way").await, 1);
+    operator::accepted_revision(&second);
+    assert_eq!(fleet.count_accepted("one way").await, 1);
 }
 
 #[tokio::test]
-async fn of_two_operators_one_sees_the_others_change() {
+async fn one_of_two_concurrent_changes_gets_a_conflict() {
     let fleet = Fleet::start().await;
     let (north, south) = (fleet.operator("north-1"), fleet.operator("south-1"));
     for round in 0..5 {
@@ -296,12 +295,12 @@
             other => panic!("{other:?}"),
         };
         assert_eq!(loser.unwrap().revision, winner);
-        operator::in_force(&fleet.all(), PATH, winner).await;
+        operator::wait_until_applied(&fleet.all(), PATH, winner).await;
     }
 }
 
 #[tokio::test]
-async fn a_resend_is_the_same_change_even_after_another() {
+async fn a_resend_returns_the_same_revision_even_after_another_change() {
     let fleet = Fleet::start().await;
     let operator = fleet.operator("north-1");
     let expected = revision(&operator).await;
@@ -311,31 +310,31 @@
     let first: Answer = operator.put(PATH, &body).await.json().await.unwrap();
     let again: Answer = operator.put(PATH, &body).await.json().await.unwrap();
     assert_eq!(first, again);
-    operator::accepted(&set(&operator, "on top").await);
+    operator::accepted_revision(&set(&operator, "on top").await);
     let late: Answer = operator.put(PATH, &body).await.json().await.unwrap();
     assert_eq!(first, late);
-    assert_eq!(fleet.accepted_prompts("resent").await, 1);
+    assert_eq!(fleet.count_accepted("resent").await, 1);
 }
 
 #[tokio::test]
-async fn a_node_that_wakes_reverts_nobody() {
+async fn a_node_that_resumes_after_a_pause_reverts_no_change() {
     let fleet = Fleet::start().await;
-    let sleeper = fleet.node("south-1");
-    sleeper.process.pause().unwrap();
+    let paused = fleet.node("south-1");
+    paused.process.pause().unwrap();
     let mut newest = Revision::ZERO;
     for prompt in ["one", "two", "three"] {
         let answer = set(&fleet.operator("north-1"), prompt).await;
-        newest = operator::accepted(&answer);
+        newest = operator::accepted_revision(&answer);
     }
-    let awake = [
+    let running = [
         fleet.node("north-1"),
         fleet.node("north-2"),
         fleet.node("south-2"),
     ];
-    operator::in_force(&awake, PATH, newest).await;
-    sleeper.process.wake().unwrap();
-    operator::in_force(&[sleeper], PATH, newest).await;
-    // Long enough for the sleeper to have asked and answered everyone.
+    operator::wait_until_applied(&running, PATH, newest).await;
+    paused.process.wake().unwrap();
+    operator::wait_until_applied(&[paused], PATH, newest).await;
+    // 3 s are long enough for the paused node to exchange messages with every other node.
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(3) {
         for node in fleet.all() {
@@ -345,41 +344,41 @@
 }
 
 #[tokio::test]
-async fn a_change_outlives_the_node_that_took_it() {
+async fn an_accepted_change_survives_the_loss_of_its_node() {
     let mut fleet = Fleet::start().await;
     for name in ["north-1", "south-1"] {
         let answer = set(&fleet.operator(name), name).await;
         let index = fleet.nodes.iter().position(|node| node.name == name);
         fleet.nodes.remove(index.unwrap()).process.close();
-        let revision = operator::accepted(&answer);
-        operator::in_force(&fleet.all(), PATH, revision).await;
+        let revision = operator::accepted_revision(&answer);
+        operator::wait_until_applied(&fleet.all(), PATH, revision).await;
     }
 }
 
 #[tokio::test]
-async fn two_faults_at_once_lose_and_revert_nothing() {
+async fn two_simultaneous_faults_neither_lose_nor_revert_a_change() {
     let fleet = Fleet::start().await;
-    let sleeper = fleet.node("north-2");
-    sleeper.process.pause().unwrap();
+    let paused = fleet.node("north-2");
+    paused.process.pause().unwrap();
     fault_proxy::set_link(&fleet.south_platform, Link::Stall).await;
     fleet
-        .faults(Faults {
+        .set_faults(Faults {
             lose_answers: 1,
             loss: Loss::Hold,
             ..Faults::default()
         })
         .await;
     let answer = set(&fleet.operator("north-1"), "two faults").await;
-    let revision = operator::accepted(&answer);
-    let awake = [fleet.node("south-1"), fleet.node("south-2")];
-    operator::in_force(&awake, PATH, revision).await;
-    sleeper.process.wake().unwrap();
-    operator::in_force(&fleet.all(), PATH, revision).await;
-    assert_eq!(fleet.accepted_prompts("two faults").await, 1);
+    let revision = operator::accepted_revision(&answer);
+    let running = [fleet.node("south-1"), fleet.node("south-2")];
+    operator::wait_until_applied(&running, PATH, revision).await;
+    paused.process.wake().unwrap();
+    operator::wait_until_applied(&fleet.all(), PATH, revision).await;
+    assert_eq!(fleet.count_accepted("two faults").await, 1);
 }
 
 #[tokio::test]
-async fn a_link_cut_one_way_keeps_no_change_back() {
+async fn a_link_cut_in_one_direction_blocks_no_change() {
     let platform = Platform::start();
     platform
         .seed(&[("summary", fleet::template("teacher"))])
@@ -403,21 +402,21 @@
         for node in nodes {
             let prompt = format!("{cut:?} through {}", node.name);
             let answer = set(&Operator::at(node), &prompt).await;
-            let revision = operator::accepted(&answer);
-            operator::in_force(&nodes, PATH, revision).await;
+            let revision = operator::accepted_revision(&answer);
+            operator::wait_until_applied(&nodes, PATH, revision).await;
         }
     }
 }
 
 #[tokio::test]
-async fn status_tells_what_is_behind_and_what_is_cut_off() {
+async fn status_reports_nodes_out_of_date_and_data_centres_cut_off() {
     let fleet = Fleet::start().await;
     for name in ["south-1", "south-2"] {
         fleet.node(name).process.pause().unwrap();
     }
     let answer = set(&fleet.operator("north-1"), "unseen by the south").await;
-    let revision = operator::accepted(&answer);
-    let report = wait::until("the south counts as cut off", async || {
+    let revision = operator::accepted_revision(&answer);
+    let report = wait::until("the south is reported as not answering", async || {
         let report = fleet.operator("north-1").status().await;
         let south = report.data_centres.iter().find(|each| each.name == "south");
         south.is_some_and(|south| !south.answers).then_some(report)
@@ -445,8 +444,8 @@
     let answer = set(&intruder, "intruded").await;
     assert_eq!(answer, Answer::Unauthorized);
     assert_eq!(intruder.get("audit").await.status(), 401);
-    assert_eq!(fleet.accepted_prompts("intruded").await, 0);
-    let refusal = wait::until("refusal audited", async || {
+    assert_eq!(fleet.count_accepted("intruded").await, 0);
+    let refusal = wait::until("the refusal is stored", async || {
         let refusals = fleet.operator("south-1").refusals().await.refusals;
         refusals
             .into_iter()
@@ -459,9 +458,9 @@
 }
 
 #[tokio::test]
-async fn the_audit_trail_says_who_changed_what() {
+async fn the_audit_trail_records_the_operator_and_the_previous_value() {
     let fleet = Fleet::start().await;
-    operator::accepted(&set(&fleet.operator("north-1"), "first").await);
+    operator::accepted_revision(&set(&fleet.operator("north-1"), "first").await);
     let records = fleet.operator("south-1").audit().await.records;
     let last = records.last().unwrap();
     assert_eq!(last.change.by, fleet::OPERATOR);
--- a/filbertpaddle/tests/settings.rs
+++ b/filbertpaddle/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked, and errors name the line and the reason.
+//! Settings are validated, and errors contain the line and the reason.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -8,7 +8,7 @@
 
 const EXAMPLE: &str = include_str!("../../docs/settings.example.yaml");
 
-fn refused(text: &str, expected: &Expect) {
+fn assert_refused(text: &str, expected: &Expect) {
     let error = settings::parse(text).unwrap_err();
     expected.assert_eq(&error.to_string());
 }
@@ -26,13 +26,13 @@
     let expected = expect![
         "line 17: unknown field `pears`, expected one of node, listen, peers, platform, secrets, operators, targets, placement, retries, limits, claims, log, metrics"
     ];
-    refused(&text, &expected);
+    assert_refused(&text, &expected);
 }
 
 #[test]
 fn an_impossible_value_is_refused() {
     let text = EXAMPLE.replace("timeout_ms: 2000", "timeout_ms: 0");
-    refused(&text, &expect!["line 22: a timeout is from 1 to 600000 ms"]);
+    assert_refused(&text, &expect!["line 22: a timeout is from 1 to 600000 ms"]);
 }
 
 #[test]
@@ -46,7 +46,7 @@
 #[test]
 fn a_bad_digest_is_refused() {
     let text = EXAMPLE.replace("2bcbc95a", "2BCBC95A");
-    refused(
+    assert_refused(
         &text,
         &expect!["line 33: a digest has 64 lower-case hexadecimal digits"],
     );
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_missing_part_is_refused() {
-    refused(
+    assert_refused(
         "node: {name: entry-1, data_centre: north-1}",
         &expect!["line 1: missing field `listen`"],
     );
