--- a/filbertpaddle/src/cli.rs
+++ b/filbertpaddle/src/cli.rs
@@ -75,7 +75,7 @@
         Command::Check(path) => return check(&path),
         Command::Serve(path) => return serve(&path),
         Command::Gateway => return gateway(),
-        Command::Operator(command) => return run_operator_command(&command),
+        Command::Operator(operator_command) => return run_operator_command(&operator_command),
     }
     ExitCode::SUCCESS
 }
--- a/filbertpaddle/src/config.rs
+++ b/filbertpaddle/src/config.rs
@@ -29,7 +29,6 @@
 use xtra::Mailbox;
 use xtra::WeakAddress;
 
-use crate::availability::SharedAvailability;
 use crate::clock;
 use crate::clock::Clock;
 use crate::config_snapshot::ConfigReader;
@@ -41,6 +40,7 @@
 use crate::metrics::Metrics;
 use crate::peers::Peer;
 use crate::peers::Peers;
+use crate::shared_availability::SharedAvailability;
 
 /// Dependencies of the actor.
 #[derive(Debug)]
--- a/filbertpaddle/src/config_status.rs
+++ b/filbertpaddle/src/config_status.rs
@@ -82,7 +82,7 @@
 }
 
 impl StatusTracker {
-    /// Records the connected nodes and drops those gone for [`NODE_RETENTION_MS`].
+    /// Records the connected nodes and drops those gone for an hour.
     pub fn update_connected(&mut self, now: Millis, connected: &[Peer]) {
         self.updated_at = now;
         for peer in connected {
--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -25,7 +25,6 @@
 use xtra::Mailbox;
 use xtra::WeakAddress;
 
-use crate::availability::SharedAvailability;
 use crate::clock::Clock;
 use crate::coordinator_inputs::Polled;
 use crate::coordinator_inputs::Written;
@@ -43,6 +42,7 @@
 use crate::record;
 use crate::record::Record;
 use crate::registrar;
+use crate::shared_availability::SharedAvailability;
 
 /// Time between two reports of one target.
 const POLL_INTERVAL_MS: Millis = Millis(250);
--- a/filbertpaddle/src/edit_runner.rs
+++ b/filbertpaddle/src/edit_runner.rs
@@ -21,7 +21,7 @@
 /// Pause after a failed read or transaction.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Runs a change until its result is known or [`EDIT_TIMEOUT`] has passed.
+/// Runs a change until its result is known or the time limit has passed.
 pub async fn run(platform: &Client, request: Request, log: &Logger) -> Answer {
     let start = Instant::now();
     let (mut edit, mut action) = Edit::start(request);
--- a/filbertpaddle/src/lib.rs
+++ b/filbertpaddle/src/lib.rs
@@ -2,7 +2,6 @@
 
 pub mod arguments;
 pub mod attempt;
-pub mod availability;
 mod body;
 mod bounds;
 pub mod caller;
@@ -51,5 +50,6 @@
 pub mod retries;
 pub mod run;
 pub mod settings;
+pub mod shared_availability;
 pub mod slots;
 pub mod ticket;
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -21,7 +21,6 @@
 use warp::Filter;
 
 use crate::attempt;
-use crate::availability::SharedAvailability;
 use crate::caller;
 use crate::claims;
 use crate::claims::Claims;
@@ -48,6 +47,7 @@
 use crate::remote::Remote;
 use crate::retries::Retries;
 use crate::settings::Settings;
+use crate::shared_availability::SharedAvailability;
 use crate::slots::Slots;
 
 /// Most messages from peers that wait to be handled.
--- a/filbertpaddle/src/availability.rs
+++ b/filbertpaddle/src/shared_availability.rs
@@ -47,7 +47,7 @@
     /// Updates the operators' decisions from this node's configuration.
     pub fn on_config(&self, replica: &Replica) {
         let now = self.shared.clock.now();
-        let actions = self.lock().on_config(now, replica);
+        let actions = self.availability().on_config(now, replica);
         self.log_actions(&actions);
     }
 
@@ -55,30 +55,30 @@
     pub fn on_list(&self, vms: &[Vm]) {
         let listed: Vec<_> = vms.iter().map(listed_vm).collect();
         let now = self.shared.clock.now();
-        let actions = self.lock().on_list(now, &listed);
+        let actions = self.availability().on_list(now, &listed);
         self.log_actions(&actions);
     }
 
     /// Records a VM's own notice that it will be reclaimed.
     pub fn on_reclaim(&self, vm: &Name) {
         let now = self.shared.clock.now();
-        let actions = self.lock().on_reclaim(now, vm);
+        let actions = self.availability().on_reclaim(now, vm);
         self.log_actions(&actions);
     }
 
     /// Returns the share of its usual new work that a VM may get.
     pub fn vm_share(&self, vm: &Name) -> Share {
         let now = self.shared.clock.now();
-        self.lock().vm_share(now, vm)
+        self.availability().vm_share(now, vm)
     }
 
     /// Returns the share of its usual new work that a data centre may get.
     pub fn data_centre_share(&self, data_centre: &Name) -> Share {
         let now = self.shared.clock.now();
-        self.lock().data_centre_share(now, data_centre)
+        self.availability().data_centre_share(now, data_centre)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Availability> {
+    fn availability(&self) -> MutexGuard<'_, Availability> {
         let availability = self.shared.availability.lock();
         availability.unwrap_or_else(PoisonError::into_inner)
     }
