--- a/filbertpaddle/src/config.rs
+++ b/filbertpaddle/src/config.rs
@@ -203,8 +203,8 @@
         let Some(change) = self.replicator.replica().get(key) else {
             return;
         };
-        let late_ms = clock::unix_now().since(change.at_ms);
-        self.metrics.time("config.in_force", late_ms);
+        let delay_ms = clock::unix_now().since(change.at_ms);
+        self.metrics.time("config.in_force", delay_ms);
         debug!(self.log, "Configuration change applied."; "key" => %key, "revision" => %change.revision);
     }
 
--- a/filbertpaddle/src/operator_api.rs
+++ b/filbertpaddle/src/operator_api.rs
@@ -12,7 +12,8 @@
 
 /// Body of a request to change one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+// `expecting` keeps the text of the error that the interface returns for a malformed body.
+#[serde(deny_unknown_fields, expecting = "struct Set")]
 pub struct ChangeRequest<T> {
     /// Revision of the entry to replace; absent if the entry must be new.
     #[serde(default)]
--- a/filbertpaddle/tests/operator_commands.rs
+++ b/filbertpaddle/tests/operator_commands.rs
@@ -21,7 +21,7 @@
 use filbertpaddle_standins::faults::Outage;
 
 /// Exit code and output of a command that has ended.
-struct Ended {
+struct CommandResult {
     code: Option<i32>,
     output: String,
     errors: String,
@@ -51,10 +51,10 @@
     command
 }
 
-async fn run(mut command: Command) -> Ended {
+async fn run(mut command: Command) -> CommandResult {
     let output = tokio::task::spawn_blocking(move || command.output());
     let output = output.await.unwrap().unwrap();
-    Ended {
+    CommandResult {
         code: output.status.code(),
         output: String::from_utf8(output.stdout).unwrap(),
         errors: String::from_utf8(output.stderr).unwrap(),
@@ -62,7 +62,7 @@
 }
 
 /// Runs a command at a node with the token of the tests' operator.
-async fn run_at(node: &Node, args: &[&str]) -> Ended {
+async fn run_at(node: &Node, args: &[&str]) -> CommandResult {
     let mut command = command(args);
     command.env("FILBERTPADDLE_NODE", node.addresses.operators.to_string());
     command.env("FILBERTPADDLE_TOKEN", fleet::OPERATOR_TOKEN);
