--- a/filbertpaddle/src/templates.rs
+++ b/filbertpaddle/src/config_snapshot.rs
@@ -1,4 +1,4 @@
-//! The templates and customers in force on this node.
+//! Snapshots of the customers and templates in effect on this node.
 
 use std::sync::Arc;
 
@@ -15,16 +15,16 @@
 use subtle::ConstantTimeEq;
 use tokio::sync::watch;
 
-/// All that is in force as of one moment.
+/// Customers and templates in effect at one moment; immutable once published.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Snapshot {
+pub struct ConfigSnapshot {
     customers: IndexMap<Name, Arc<Customer>>,
     templates: IndexMap<Name, Arc<Template>>,
 }
 
-impl Snapshot {
-    /// Takes everything from a replica.
-    pub fn of(replica: &Replica) -> Self {
+impl ConfigSnapshot {
+    /// Returns a snapshot of all entries of a replica.
+    pub fn from_replica(replica: &Replica) -> Self {
         let mut snapshot = Self::default();
         for change in replica.entries() {
             snapshot.set(&change.setting);
@@ -32,15 +32,17 @@
         snapshot
     }
 
-    /// Returns the snapshot with some entries as they are in a replica now.
-    pub fn with(&self, replica: &Replica, keys: &[Key]) -> Self {
+    /// Returns a copy of the snapshot with the given entries updated from a replica.
+    pub fn with_entries(&self, replica: &Replica, keys: &[Key]) -> Self {
         let mut snapshot = self.clone();
         let changes = keys.iter().filter_map(|key| replica.get(key));
         changes.for_each(|change| snapshot.set(&change.setting));
         snapshot
     }
 
-    /// Returns the customer whose key this is.
+    /// Returns the customer that an API key belongs to.
+    ///
+    /// Digests are compared in constant time.
     pub fn authenticate(&self, key: &str) -> Option<Name> {
         let digest = HEXLOWER.encode(&Sha256::digest(key.as_bytes()));
         let matches = |customer: &Customer| {
@@ -55,7 +57,7 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// Returns a customer's account.
+    /// Returns a customer's configuration.
     pub fn customer(&self, name: &str) -> Option<Arc<Customer>> {
         self.customers.get(name).cloned()
     }
@@ -87,20 +89,20 @@
     }
 }
 
-/// Gives out the configuration in force.
+/// Reads the snapshot that is currently in effect.
 #[derive(Clone, Debug)]
-pub struct Templates {
-    current: watch::Receiver<Option<Arc<Snapshot>>>,
+pub struct ConfigReader {
+    current: watch::Receiver<Option<Arc<ConfigSnapshot>>>,
 }
 
-impl Templates {
-    /// Gives out what is published.
-    pub fn new(current: watch::Receiver<Option<Arc<Snapshot>>>) -> Self {
+impl ConfigReader {
+    /// Creates a reader of the snapshots published on a channel.
+    pub fn new(current: watch::Receiver<Option<Arc<ConfigSnapshot>>>) -> Self {
         Self { current }
     }
 
-    /// Returns the configuration in force; `None` until it is known to be recent.
-    pub fn current(&self) -> Option<Arc<Snapshot>> {
+    /// Returns the current snapshot; `None` until it is recent enough to serve.
+    pub fn current(&self) -> Option<Arc<ConfigSnapshot>> {
         self.current.borrow().clone()
     }
 }
--- a/filbertpaddle/src/lib.rs
+++ b/filbertpaddle/src/lib.rs
@@ -1,4 +1,4 @@
-//! A node: the process between callers and back ends.
+//! A node: the process that admits, queues and forwards callers' requests to back ends.
 
 pub mod admission;
 pub mod arguments;
@@ -14,10 +14,13 @@
 pub mod cli;
 pub mod clock;
 pub mod config;
+pub mod config_snapshot;
+pub mod config_status;
+pub mod config_table;
 pub mod coordinator;
 mod coordinator_inputs;
 mod coordinator_tasks;
-pub mod edit;
+pub mod edit_runner;
 mod generation;
 pub mod health;
 pub mod heart;
@@ -26,9 +29,10 @@
 pub mod log;
 pub mod metrics;
 pub mod node;
-pub mod operate;
-pub mod operator;
 pub mod operator_api;
+pub mod operator_client;
+pub mod operator_routes;
+pub mod operator_text;
 mod output;
 pub mod peers;
 mod placer;
@@ -44,12 +48,8 @@
 pub mod request_context;
 pub mod retries;
 pub mod run;
-pub mod service;
 pub mod settings;
-pub mod show;
+pub mod shared_availability;
 mod slot_message;
 pub mod slots;
-pub mod status;
-pub mod table;
-pub mod templates;
 pub mod ticket;
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -29,26 +29,26 @@
 use crate::clock::Clock;
 use crate::config;
 use crate::config::Config;
+use crate::config_snapshot::ConfigReader;
 use crate::health;
 use crate::inbox;
 use crate::inbox::Inboxes;
 use crate::log;
 use crate::metrics::Metrics;
-use crate::operator;
-use crate::operator::Desk;
+use crate::operator_routes;
+use crate::operator_routes::OperatorHandler;
 use crate::peers::Identity;
 use crate::peers::Peer;
 use crate::peers::Peers;
 use crate::pools;
 use crate::pools::Pools;
-use crate::refusals::Keeper;
+use crate::refusals::RefusalLog;
 use crate::remote::Remote;
 use crate::request_context::RequestContext;
 use crate::retries::Retries;
-use crate::service::Service;
 use crate::settings::Settings;
+use crate::shared_availability::SharedAvailability;
 use crate::slots::Slots;
-use crate::templates::Templates;
 
 /// Most messages from peers that wait to be handled.
 const INBOX_MESSAGES: usize = 16_384;
@@ -108,7 +108,7 @@
             log: log.clone(),
         };
         let (peers, inboxes) = start_peers(&settings, identity, peers, &common);
-        let service = Service::new(common.clock, log::part(&log, "service"));
+        let service = SharedAvailability::new(common.clock, log::component(&log, "service"));
         let pools = Pools::start(pools::Parts {
             own: common.own.clone(),
             peers: peers.clone(),
@@ -119,7 +119,7 @@
             service: service.clone(),
             clock: common.clock,
             placement: settings.placement,
-            log: log::part(&log, "pool"),
+            log: log::component(&log, "pool"),
         });
         let remote = Remote::start(
             common.own.clone(),
@@ -139,10 +139,10 @@
             ),
             serve(
                 operators,
-                operator::routes(desk).or(health::routes(Arc::clone(&front))),
+                operator_routes::routes(desk).or(health::routes(Arc::clone(&front))),
             ),
         ];
-        let log = log::part(&log, "node");
+        let log = log::component(&log, "node");
         info!(log, "Node started."; "name" => %settings.node.name);
         Ok(Self {
             addresses,
@@ -201,7 +201,7 @@
 fn front(
     settings: &Settings,
     common: &Common,
-    templates: Templates,
+    templates: ConfigReader,
     claims: Claims,
     slots: Slots,
 ) -> eyre::Result<RequestContext> {
@@ -220,7 +220,7 @@
         ticket_secret: settings.secrets.ticket.as_str().into(),
         limits: settings.limits.clone(),
         metrics: Arc::clone(&common.metrics),
-        log: log::part(log, "request"),
+        log: log::component(log, "request"),
         admission: Admission::new(attempt_prefix, settings.limits.requests),
     })
 }
@@ -240,7 +240,7 @@
         inbox,
         clock: common.clock,
         metrics: Arc::clone(&common.metrics),
-        log: log::part(&common.log, "claim"),
+        log: log::component(&common.log, "claim"),
     })
 }
 
@@ -248,25 +248,25 @@
     common: &Common,
     peers: Peers,
     inbox: mpsc::Receiver<inbox::Incoming<wire_config::Message>>,
-    service: &Service,
-) -> (Config, Templates) {
+    service: &SharedAvailability,
+) -> (Config, ConfigReader) {
     Config::start(config::Parts {
         own: common.own.clone(),
         peers,
         inbox,
         platform: common.platform.clone(),
-        service: service.clone(),
+        availability: service.clone(),
         clock: common.clock,
         metrics: Arc::clone(&common.metrics),
-        log: log::part(&common.log, "config"),
+        log: log::component(&common.log, "config"),
     })
 }
 
-fn desk(settings: &Settings, common: &Common, config: Config) -> Desk {
-    let log = log::part(&common.log, "operator");
+fn desk(settings: &Settings, common: &Common, config: Config) -> OperatorHandler {
+    let log = log::component(&common.log, "operator");
     let node = common.own.name.clone();
-    Desk {
-        keeper: Keeper::start(node.clone(), common.platform.clone(), log.clone()),
+    OperatorHandler {
+        refusal_log: RefusalLog::start(node.clone(), common.platform.clone(), log.clone()),
         node,
         operators: settings.operators.clone(),
         config,
@@ -283,7 +283,7 @@
 ) -> (Peers, Inboxes) {
     let (inbox, received) = mpsc::channel(INBOX_MESSAGES);
     let metrics = Arc::clone(&common.metrics);
-    let log = log::part(&common.log, "peer");
+    let log = log::component(&common.log, "peer");
     let peers = Peers::start(identity, listener, inbox, metrics, log);
     for address in &settings.peers {
         peers.learn(*address);
--- a/filbertpaddle/src/operate.rs
+++ b/filbertpaddle/src/operator_client.rs
@@ -1,4 +1,4 @@
-//! Operators' commands, run at a node over HTTP.
+//! HTTP client that runs operators' commands at a node.
 
 use std::fmt::Write;
 use std::fs;
@@ -16,49 +16,49 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::arguments::Call;
-use crate::arguments::Operation;
+use crate::arguments::OperatorAction;
+use crate::arguments::OperatorCommand;
 use crate::arguments::Options;
+use crate::config_status::Report;
 use crate::operator_api::Answer;
 use crate::operator_api::Audit;
+use crate::operator_api::ChangeRequest;
 use crate::operator_api::Refusals;
-use crate::operator_api::Set;
-use crate::show;
-use crate::status::Report;
+use crate::operator_text;
 
-/// Environment variable with a node's operators' address.
+/// Environment variable with the operators' address of a node.
 const NODE_VARIABLE: &str = "FILBERTPADDLE_NODE";
 /// Environment variable with the operator's token.
 const TOKEN_VARIABLE: &str = "FILBERTPADDLE_TOKEN";
-/// Longest wait for a node's answer, beyond what a node takes for a change.
-const TIMEOUT: Duration = Duration::from_secs(20);
-/// How often a change is sent whose answer was lost.
-const SENDS: u32 = 3;
+/// Timeout of a request to a node; longer than a node takes for a change.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum number of times a change is sent if its answer is lost.
+const MAX_SENDS: u32 = 3;
 
-/// Why an operator's command failed.
+/// Error of an operator's command.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An argument or file is wrong.
+    /// An argument or a file is invalid.
     #[error("{0}")]
     Usage(String),
-    /// The node cannot be reached or answered something unexpected.
-    #[error("cannot ask {node}: {detail}")]
+    /// The node cannot be reached or its answer cannot be decoded.
+    #[error("request to node {node} failed: {detail}")]
     Node {
         /// Address of the node.
         node: String,
-        /// What went wrong.
+        /// Error of the request with its causes.
         detail: String,
     },
     /// The token is missing or wrong.
     #[error("the operator's token is missing or wrong")]
     Unauthorized,
-    /// There is no such entry.
+    /// The entry does not exist.
     #[error("there is no entry {0}")]
     Missing(String),
-    /// The platform's table does not answer the node.
+    /// The node cannot reach the platform's table.
     #[error("the platform's table cannot be reached; try again later")]
     Unavailable,
-    /// The change may have been accepted.
+    /// No answer came back; the change may have been accepted.
     #[error("no answer from {node}; the change may have been accepted: send it again with --change-id {}", change_id.0)]
     Unanswered {
         /// Address of the node.
@@ -68,12 +68,12 @@
     },
 }
 
-/// What a command prints, and what became of a change.
+/// Output of a command and, for a change, the node's answer.
 #[derive(Debug)]
 pub struct Output {
     /// Text for standard output.
     pub text: String,
-    /// The answer to a change.
+    /// The node's answer to a change; `None` for other commands.
     pub answer: Option<Answer>,
 }
 
@@ -81,17 +81,17 @@
 ///
 /// # Errors
 ///
-/// Returns [`Error`] if no answer can be shown.
-pub async fn run(operation: &Operation) -> Result<Output, Error> {
-    let node = Node::open(&operation.options)?;
-    let options = &operation.options;
-    match &operation.call {
-        Call::TemplateList => node.show("templates", show::templates).await,
-        Call::TemplateGet { customer, name } => {
+/// Returns [`Error`] if the command is invalid or the node gave no usable answer.
+pub async fn run(command: &OperatorCommand) -> Result<Output, Error> {
+    let node = Node::open(&command.options)?;
+    let options = &command.options;
+    match &command.action {
+        OperatorAction::TemplateList => node.show("templates", operator_text::templates).await,
+        OperatorAction::TemplateGet { customer, name } => {
             let path = format!("templates/{customer}/{name}");
-            node.show(&path, show::change).await
+            node.show(&path, operator_text::change).await
         }
-        Call::TemplateSet {
+        OperatorAction::TemplateSet {
             customer,
             name,
             file,
@@ -99,24 +99,30 @@
             let path = format!("templates/{customer}/{name}");
             node.set(&path, &read_template(file)?, options).await
         }
-        Call::DataCentre(name, service) => {
+        OperatorAction::DataCentre(name, service) => {
             let path = format!("data-centres/{name}");
             node.set::<ServiceState>(&path, service, options).await
         }
-        Call::Vm(name, service) => {
+        OperatorAction::Vm(name, service) => {
             let path = format!("vms/{name}");
             node.set::<ServiceState>(&path, service, options).await
         }
-        Call::Status => node.show::<Report, _>("status", show::report).await,
-        Call::Audit => {
+        OperatorAction::Status => {
+            node.show::<Report, _>("status", operator_text::report)
+                .await
+        }
+        OperatorAction::Audit => {
             let path = format!("audit?after={}", options.after);
-            node.show::<Audit, _>(&path, show::audit).await
+            node.show::<Audit, _>(&path, operator_text::audit).await
+        }
+        OperatorAction::Refusals => {
+            node.show::<Refusals, _>("refusals", operator_text::refusals)
+                .await
         }
-        Call::Refusals => node.show::<Refusals, _>("refusals", show::refusals).await,
     }
 }
 
-/// A node as an operator reaches it.
+/// Connection settings for the operators' interface of a node.
 struct Node {
     address: String,
     token: String,
@@ -137,7 +143,7 @@
                 .ok_or_else(|| usage(format!("give --token-file FILE or set {TOKEN_VARIABLE}")))?,
         };
         let http = Client::builder()
-            .timeout(TIMEOUT)
+            .timeout(REQUEST_TIMEOUT)
             .no_proxy()
             .build()
             .map_err(|error| usage(error.to_string()))?;
@@ -159,7 +165,11 @@
             .await?
             .ok_or_else(|| Error::Missing(path.to_owned()))?;
         Ok(Output {
-            text: if self.json { json(&body) } else { text(&body) },
+            text: if self.json {
+                to_json(&body)
+            } else {
+                text(&body)
+            },
             answer: None,
         })
     }
@@ -170,27 +180,27 @@
     {
         let expected = match options.expect {
             Some(expect) => expect.revision(),
-            None => self.present(path).await?,
+            None => self.current_revision(path).await?,
         };
         let change_id = options
             .change_id
             .unwrap_or_else(|| ChangeId(rand::random()));
-        let set = Set {
+        let change = ChangeRequest {
             expected,
             change_id: Some(change_id),
             value: value.clone(),
         };
-        let answer = self.put(path, &set, change_id).await?;
+        let answer = self.put(path, &change, change_id).await?;
         let text = if self.json {
-            json(&answer)
+            to_json(&answer)
         } else {
-            show::answer(&answer)
+            operator_text::answer(&answer)
         };
         let answer = Some(answer);
         Ok(Output { text, answer })
     }
 
-    async fn present(&self, path: &str) -> Result<Option<Revision>, Error> {
+    async fn current_revision(&self, path: &str) -> Result<Option<Revision>, Error> {
         let change: Option<Change> = self.get(path).await?;
         Ok(change.map(|change| change.revision))
     }
@@ -211,13 +221,20 @@
         Ok(Some(body))
     }
 
-    /// Sends a change; its id makes sending it again harmless.
-    async fn put<T>(&self, path: &str, set: &Set<T>, id: ChangeId) -> Result<Answer, Error>
+    /// Sends a change and resends it if the answer is lost.
+    ///
+    /// A resend is safe because the node recognizes the change by its id.
+    async fn put<T>(
+        &self,
+        path: &str,
+        change: &ChangeRequest<T>,
+        id: ChangeId,
+    ) -> Result<Answer, Error>
     where
         T: Serialize,
     {
-        for _ in 0..SENDS {
-            match self.request(Method::PUT, path).json(set).send().await {
+        for _ in 0..MAX_SENDS {
+            match self.request(Method::PUT, path).json(change).send().await {
                 Ok(response) => {
                     if let Ok(answer) = response.json().await {
                         return Ok(answer);
@@ -265,11 +282,11 @@
     Error::Usage(detail)
 }
 
-fn json<T>(body: &T) -> String
+fn to_json<T>(body: &T) -> String
 where
     T: Serialize,
 {
-    // These bodies have text keys only, so they always have a JSON form.
+    // Serialization cannot fail: all map keys in these bodies are strings.
     let mut text = serde_json::to_string_pretty(body).unwrap_or_default();
     text.push('\n');
     text
--- a/filbertpaddle/src/refusals.rs
+++ b/filbertpaddle/src/refusals.rs
@@ -1,8 +1,7 @@
-//! Keeps refused operator actions in the platform's table.
+//! Stores refused operator actions in the platform's table.
 //!
-//! Whoever is refused must not be able to fill the table or use up its
-//! writes, so each node writes at most once a second into a fixed number of
-//! rows.
+//! Refused requests must not fill the table or use up its write capacity, so each
+//! node writes at most once a second and only to a fixed number of rows.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -19,46 +18,47 @@
 use slog::warn;
 use tokio::sync::mpsc;
 
+use crate::config_table;
 use crate::operator_api::Refusal;
 use crate::operator_api::Refusals;
-use crate::table;
 
 const PREFIX: &str = "refusal/";
-/// Rows that each node writes in turn.
-const SLOTS: u64 = 16;
-/// Most refusals in one row.
-const ROW_REFUSALS: usize = 32;
-/// Most rows read at once.
-const SCAN_ROWS: u32 = 200;
-/// Longest action that is kept.
+/// Number of rows that each node overwrites in turn.
+const ROWS_PER_NODE: u64 = 16;
+/// Maximum number of refusals in one row, and in the queue of the writer.
+const MAX_REFUSALS_PER_ROW: usize = 32;
+/// Maximum number of rows that are read.
+const MAX_SCAN_ROWS: u32 = 200;
+/// Length to which a stored action is truncated.
 const MAX_ACTION_CHARS: usize = 200;
+/// Minimum time between two writes.
 const WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Takes refusals to keep.
+/// Queues refusals for the task that writes them; clones share one task.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct RefusalLog {
     queue: mpsc::Sender<Refusal>,
     dropped: Arc<AtomicU64>,
 }
 
-impl Keeper {
-    /// Starts to keep refusals of this node.
+impl RefusalLog {
+    /// Starts the task that writes the refusals of this node.
     pub fn start(node: Name, platform: Client, log: Logger) -> Self {
-        let (queue, refusals) = mpsc::channel(ROW_REFUSALS);
+        let (queue, refusals) = mpsc::channel(MAX_REFUSALS_PER_ROW);
         let dropped = Arc::new(AtomicU64::new(0));
         let writer = Writer {
             node,
             platform,
             dropped: Arc::clone(&dropped),
             log,
-            slot: rand::random::<u64>() % SLOTS,
+            next_row: rand::random::<u64>() % ROWS_PER_NODE,
         };
         tokio::spawn(writer.run(refusals));
         Self { queue, dropped }
     }
 
-    /// Keeps a refusal, or counts it if there are too many.
-    pub fn keep(&self, mut refusal: Refusal) {
+    /// Queues a refusal to be written; counts it as dropped if the queue is full.
+    pub fn record(&self, mut refusal: Refusal) {
         refusal.action = refusal.action.chars().take(MAX_ACTION_CHARS).collect();
         if self.queue.try_send(refusal).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
@@ -71,7 +71,7 @@
     platform: Client,
     dropped: Arc<AtomicU64>,
     log: Logger,
-    slot: u64,
+    next_row: u64,
 }
 
 impl Writer {
@@ -84,7 +84,7 @@
                 while let Ok(refusal) = queue.try_recv() {
                     waiting.push_back(refusal);
                 }
-                self.shorten(&mut waiting);
+                self.drop_oldest(&mut waiting);
                 if self.write(&waiting).await {
                     waiting.clear();
                 }
@@ -92,8 +92,8 @@
         }
     }
 
-    fn shorten(&self, waiting: &mut VecDeque<Refusal>) {
-        while waiting.len() > ROW_REFUSALS {
+    fn drop_oldest(&self, waiting: &mut VecDeque<Refusal>) {
+        while waiting.len() > MAX_REFUSALS_PER_ROW {
             waiting.pop_front();
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
@@ -105,33 +105,33 @@
             dropped: self.dropped.load(Ordering::Relaxed),
         };
         let write = Write {
-            key: format!("{PREFIX}{}/{:02}", self.node, self.slot),
+            key: format!("{PREFIX}{}/{:02}", self.node, self.next_row),
             value: serde_json::to_string(&row).ok(),
         };
         let transaction = Transaction {
             conditions: Vec::new(),
             writes: vec![write],
         };
-        // Writing the same row again is harmless, so any error is repeated.
+        // The write is idempotent, so it can be retried after any error.
         if let Err(error) = self.platform.transact(&transaction).await {
-            warn!(self.log, "Refusals not kept."; "error" => %error);
+            warn!(self.log, "Refused operator actions not written to the platform; retrying."; "error" => %error);
             return false;
         }
-        self.slot = (self.slot + 1) % SLOTS;
+        self.next_row = (self.next_row + 1) % ROWS_PER_NODE;
         true
     }
 }
 
-/// Reads the refusals that nodes kept.
+/// Reads the stored refusals of all nodes, ordered by time.
 ///
 /// # Errors
 ///
-/// Returns [`table::Error`] if a row cannot be read.
-pub async fn read(platform: &Client) -> Result<Refusals, table::Error> {
+/// Returns [`config_table::Error`] if a row cannot be read.
+pub async fn read(platform: &Client) -> Result<Refusals, config_table::Error> {
     let scan = Scan {
         prefix: PREFIX.to_owned(),
         after: None,
-        limit: SCAN_ROWS,
+        limit: MAX_SCAN_ROWS,
     };
     let rows = platform.scan(&scan).await?.rows;
     let mut all = Refusals {
@@ -139,7 +139,7 @@
         dropped: 0,
     };
     for row in &rows {
-        let more: Refusals = table::decode(row)?;
+        let more: Refusals = config_table::decode(row)?;
         all.refusals.extend(more.refusals);
         all.dropped = all.dropped.max(more.dropped);
     }
--- a/filbertpaddle/src/request_context.rs
+++ b/filbertpaddle/src/request_context.rs
@@ -7,17 +7,17 @@
 
 use crate::admission::Admission;
 use crate::claims::Claims;
+use crate::config_snapshot::ConfigReader;
 use crate::metrics::Metrics;
 use crate::retries::Retries;
 use crate::settings::Limits;
 use crate::slots::Slots;
-use crate::templates::Templates;
 
 /// Services and limits shared by all requests of a node.
 #[derive(Debug)]
 pub struct RequestContext {
     /// Current configuration.
-    pub templates: Templates,
+    pub templates: ConfigReader,
     /// Claims of idempotency keys.
     pub claims: Claims,
     /// Slots on targets.
--- a/filbertpaddle/tests/common/wait.rs
+++ b/filbertpaddle/tests/common/wait.rs
@@ -1,17 +1,17 @@
-//! Waiting on conditions.
+//! Polling until a condition holds.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Longest wait for a condition; far beyond what any needs.
-pub const LIMIT: Duration = Duration::from_secs(90);
-const INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of a condition; generous, so that a slow machine does not fail a test.
+pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(90);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until `condition` yields a value.
+/// Polls `condition` until it returns a value.
 ///
 /// # Panics
 ///
-/// Panics with `what` if it never does.
+/// Panics with `what` if it returns none within [`CONDITION_TIMEOUT`].
 pub async fn until<T, F>(what: &str, mut condition: F) -> T
 where
     F: AsyncFnMut() -> Option<T>,
@@ -21,7 +21,10 @@
         if let Some(value) = condition().await {
             return value;
         }
-        assert!(start.elapsed() < LIMIT, "waited in vain: {what}");
-        tokio::time::sleep(INTERVAL).await;
+        assert!(
+            start.elapsed() < CONDITION_TIMEOUT,
+            "condition not met within {CONDITION_TIMEOUT:?}: {what}"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
