--- a/filbertpaddle-wire/src/claim.rs
+++ b/filbertpaddle-wire/src/claim.rs
@@ -12,10 +12,10 @@
 pub enum Message {
     /// Asks the holder of a claim what has become of it.
     #[serde(rename = "q")]
-    Ask(StatusQuery),
+    StatusQuery(StatusQuery),
     /// Answers such a question.
     #[serde(rename = "r")]
-    Tell(StatusReply),
+    StatusReply(StatusReply),
     /// Hands changes to a committer, to be made together or not at all.
     #[serde(rename = "c")]
     Commit {
@@ -34,6 +34,6 @@
         sequence: u64,
         /// What became of them.
         #[serde(rename = "a")]
-        answer: TransactionResult,
+        result: TransactionResult,
     },
 }
--- a/filbertpaddle/src/claim_actor.rs
+++ b/filbertpaddle/src/claim_actor.rs
@@ -161,7 +161,7 @@
             Action::Read(ids) => self.read(ids, own),
             Action::SendQuery { holder, query } => self.ask(&holder, query, own),
             Action::SendReply { to, reply } => {
-                let message = Message::Claim(claim::Message::Tell(reply));
+                let message = Message::Claim(claim::Message::StatusReply(reply));
                 self.peers.send(&to, message);
             }
             Action::Decide { attempt, decision } => self.decide(&attempt, decision, own),
@@ -196,7 +196,7 @@
             attempt: question.attempt.clone(),
             status: Status::Gone,
         };
-        let message = Message::Claim(claim::Message::Ask(question));
+        let message = Message::Claim(claim::Message::StatusQuery(question));
         let wait = match self.peers.send(holder, message) {
             true => ASK_TIMEOUT,
             false => Duration::ZERO,
--- a/filbertpaddle/src/claim_commit.rs
+++ b/filbertpaddle/src/claim_commit.rs
@@ -117,7 +117,10 @@
 
     fn reply(&self, to: &Name, sequence: u64, answer: TransactionResult) {
         if *to != self.own {
-            let message = claim::Message::Committed { sequence, answer };
+            let message = claim::Message::Committed {
+                sequence,
+                result: answer,
+            };
             self.peers.send(to, Message::Claim(message));
             return;
         }
--- a/filbertpaddle/src/claims.rs
+++ b/filbertpaddle/src/claims.rs
@@ -324,12 +324,12 @@
     while let Some(Incoming { peer, message }) = inbox.recv().await {
         let from = peer.name;
         let taken = match message {
-            Message::Ask(query) => {
+            Message::StatusQuery(query) => {
                 actor
                     .send(Input(Event::QueryReceived { from, query }))
                     .await
             }
-            Message::Tell(reply) => actor.send(Input(Event::ReplyReceived(reply))).await,
+            Message::StatusReply(reply) => actor.send(Input(Event::ReplyReceived(reply))).await,
             Message::Commit { sequence, changes } => {
                 let unit = ChangeSet {
                     from,
@@ -338,7 +338,10 @@
                 };
                 committer.send(Submit(unit)).await
             }
-            Message::Committed { sequence, answer } => {
+            Message::Committed {
+                sequence,
+                result: answer,
+            } => {
                 let settled = Settled {
                     by: from,
                     sequence,
