--- a/filbertpaddle-wire/src/config.rs
+++ b/filbertpaddle-wire/src/config.rs
@@ -19,7 +19,7 @@
     Push(Box<Change>),
     /// Asks for what is newer.
     #[serde(rename = "q")]
-    Ask {
+    PullRequest {
         /// Chosen by the asker.
         #[serde(rename = "s")]
         seq: u64,
@@ -30,9 +30,9 @@
         #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
         age_ms: Option<u64>,
     },
-    /// Answers [`Message::Ask`].
+    /// Answers [`Message::PullRequest`].
     #[serde(rename = "a")]
-    Answer {
+    PullResponse {
         /// From the question.
         #[serde(rename = "s")]
         seq: u64,
@@ -48,7 +48,7 @@
     },
     /// Asks for a page of the whole configuration.
     #[serde(rename = "x")]
-    AskPage {
+    PageRequest {
         /// Chosen by the asker.
         #[serde(rename = "s")]
         seq: u64,
@@ -56,9 +56,9 @@
         #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
         after: Option<Key>,
     },
-    /// Answers [`Message::AskPage`].
+    /// Answers [`Message::PageRequest`].
     #[serde(rename = "y")]
-    Page {
+    PageResponse {
         /// From the question.
         #[serde(rename = "s")]
         seq: u64,
@@ -74,14 +74,14 @@
     },
     /// Asks a relay about its data centre.
     #[serde(rename = "u")]
-    AskStatus {
+    StatusRequest {
         /// Chosen by the asker.
         #[serde(rename = "s")]
         seq: u64,
     },
-    /// Answers [`Message::AskStatus`].
+    /// Answers [`Message::StatusRequest`].
     #[serde(rename = "v")]
-    Status {
+    StatusResponse {
         /// From the question.
         #[serde(rename = "s")]
         seq: u64,
@@ -135,7 +135,7 @@
         use gossip::Message as Core;
         match message {
             Core::Push(change) => Self::Push(Box::new(change.into())),
-            Core::PullRequest { seq, head, age_ms } => Self::Ask {
+            Core::PullRequest { seq, head, age_ms } => Self::PullRequest {
                 seq,
                 head: head.0,
                 age_ms: age_ms.map(|age_ms| age_ms.0),
@@ -145,24 +145,24 @@
                 head,
                 age_ms,
                 changes,
-            } => Self::Answer {
+            } => Self::PullResponse {
                 seq,
                 head: head.0,
                 age_ms: age_ms.map(|age_ms| age_ms.0),
                 changes: convert(changes),
             },
-            Core::PageRequest { seq, after } => Self::AskPage {
+            Core::PageRequest { seq, after } => Self::PageRequest {
                 seq,
                 after: after.map(Key::from),
             },
-            Core::PageResponse { seq, page } => Self::Page {
+            Core::PageResponse { seq, page } => Self::PageResponse {
                 seq,
                 head: page.head.0,
                 changes: convert(page.changes),
                 last: page.last,
             },
-            Core::StatusRequest { seq } => Self::AskStatus { seq },
-            Core::StatusResponse { seq, nodes } => Self::Status {
+            Core::StatusRequest { seq } => Self::StatusRequest { seq },
+            Core::StatusResponse { seq, nodes } => Self::StatusResponse {
                 seq,
                 nodes: convert(nodes),
             },
@@ -174,12 +174,12 @@
     fn from(message: Message) -> Self {
         match message {
             Message::Push(change) => Self::Push((*change).into()),
-            Message::Ask { seq, head, age_ms } => Self::PullRequest {
+            Message::PullRequest { seq, head, age_ms } => Self::PullRequest {
                 seq,
                 head: Revision(head),
                 age_ms: age_ms.map(Millis),
             },
-            Message::Answer {
+            Message::PullResponse {
                 seq,
                 head,
                 age_ms,
@@ -190,11 +190,11 @@
                 age_ms: age_ms.map(Millis),
                 changes: convert(changes),
             },
-            Message::AskPage { seq, after } => Self::PageRequest {
+            Message::PageRequest { seq, after } => Self::PageRequest {
                 seq,
                 after: after.map(Into::into),
             },
-            Message::Page {
+            Message::PageResponse {
                 seq,
                 head,
                 changes,
@@ -207,8 +207,8 @@
                     last,
                 },
             },
-            Message::AskStatus { seq } => Self::StatusRequest { seq },
-            Message::Status { seq, nodes } => Self::StatusResponse {
+            Message::StatusRequest { seq } => Self::StatusRequest { seq },
+            Message::StatusResponse { seq, nodes } => Self::StatusResponse {
                 seq,
                 nodes: convert(nodes),
             },
