--- a/filbertpaddle-wire/src/grant.rs
+++ b/filbertpaddle-wire/src/grant.rs
@@ -20,7 +20,7 @@
 pub enum Message {
     /// Asks the owner for a slot.
     #[serde(rename = "a")]
-    Ask(Name, Ask),
+    SlotRequest(Name, SlotRequest),
     /// The holder still waits; carries its stamp.
     #[serde(rename = "t")]
     Stamp(Name, u64),
@@ -38,21 +38,21 @@
     Deny(Name, u64, Denial),
     /// Gives a slot on a target back.
     #[serde(rename = "r")]
-    Release(Name, Used, End),
+    Release(Name, ReleasedSlot, End),
     /// What is known of the request with this digest.
     #[serde(rename = "x")]
     Suspect(Name, u64, CrashRecord),
     /// Asks what the holder holds.
     #[serde(rename = "c")]
-    Collect(Name, Collect),
+    CollectRequest(Name, CollectRequest),
     /// Tells what the holder holds.
     #[serde(rename = "h")]
-    Holding(Name, Holding),
+    CollectReply(Name, CollectReply),
 }
 
 /// A request for a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct Ask {
+pub struct SlotRequest {
     /// Number of the request.
     pub number: u64,
     /// The holder's stamp.
@@ -60,12 +60,12 @@
     /// The holder's session.
     pub session: u32,
     /// What is to be run.
-    pub want: Want,
+    pub want: WorkSpec,
 }
 
 /// What a request is to run, as far as it decides order and target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct Want {
+pub struct WorkSpec {
     /// Customer and template, `customer/template`.
     pub template: Name,
     /// Scheduling priority.
@@ -137,7 +137,7 @@
 
 /// A slot that its holder gives back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct Used {
+pub struct ReleasedSlot {
     /// Epoch under which it was counted.
     pub epoch: u64,
     /// Who counted it.
@@ -148,7 +148,7 @@
 
 /// Work of the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct Work {
+pub struct HeldWork {
     /// Target of the work.
     pub target: Name,
     /// Epoch under which it was counted.
@@ -161,7 +161,7 @@
 
 /// Asks what the holder holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct Collect {
+pub struct CollectRequest {
     /// Epoch of the owner.
     pub epoch: u64,
     /// Number of the owner's next grant.
@@ -170,7 +170,7 @@
 
 /// What the holder holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct Holding {
+pub struct CollectReply {
     /// Epoch of the owner that asked.
     pub epoch: u64,
     /// Number of the owner's next grant when it asked.
@@ -178,5 +178,5 @@
     /// The holder's session.
     pub session: u32,
     /// The work.
-    pub works: Vec<Work>,
+    pub works: Vec<HeldWork>,
 }
--- a/filbertpaddle-wire/src/remote.rs
+++ b/filbertpaddle-wire/src/remote.rs
@@ -11,14 +11,14 @@
 
 use crate::grant::Denial;
 use crate::grant::End;
-use crate::grant::Want;
+use crate::grant::WorkSpec;
 
 /// A message about a slot in another data centre.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Asks for a slot on a target of the model or plain service.
     #[serde(rename = "a")]
-    Ask(u64, Name, Box<Want>),
+    SlotRequest(u64, Name, Box<WorkSpec>),
     /// Passes a slot on.
     #[serde(rename = "g")]
     Grant(u64, Grant),
--- a/filbertpaddle-wire/tests/control.rs
+++ b/filbertpaddle-wire/tests/control.rs
@@ -35,13 +35,13 @@
 
 /// Returns the bytes of one request's messages: ask, grant and release.
 fn request_bytes() -> f64 {
-    let ask = grant::Message::Ask(
+    let ask = grant::Message::SlotRequest(
         pool(),
-        grant::Ask {
+        grant::SlotRequest {
             number: 4_000_000_000,
             stamp: 4_000_000_000,
             session: 3,
-            want: grant::Want {
+            want: grant::WorkSpec {
                 template: "school-17/summary".into(),
                 priority: Priority(3),
                 weight: 1,
@@ -65,7 +65,7 @@
             cold: false,
         },
     );
-    let used = grant::Used {
+    let used = grant::ReleasedSlot {
         epoch: 70_000,
         source: Source::Granted,
         number: 4_000_000_000,
--- a/filbertpaddle/src/body.rs
+++ b/filbertpaddle/src/body.rs
@@ -26,8 +26,8 @@
     }
 }
 
-pub(crate) fn work(target: &Name, key: &WorkKey) -> grant::Work {
-    grant::Work {
+pub(crate) fn work(target: &Name, key: &WorkKey) -> grant::HeldWork {
+    grant::HeldWork {
         target: target.clone(),
         epoch: key.epoch,
         source: key.source,
@@ -35,15 +35,15 @@
     }
 }
 
-pub(crate) fn used(key: &WorkKey) -> grant::Used {
-    grant::Used {
+pub(crate) fn used(key: &WorkKey) -> grant::ReleasedSlot {
+    grant::ReleasedSlot {
         epoch: key.epoch,
         source: key.source,
         number: key.number,
     }
 }
 
-pub(crate) fn used_key(holder: &NodeId, used: grant::Used) -> WorkKey {
+pub(crate) fn used_key(holder: &NodeId, used: grant::ReleasedSlot) -> WorkKey {
     WorkKey {
         holder: holder.clone(),
         epoch: used.epoch,
@@ -52,7 +52,7 @@
     }
 }
 
-pub(crate) fn key(holder: &NodeId, work: &grant::Work) -> WorkKey {
+pub(crate) fn key(holder: &NodeId, work: &grant::HeldWork) -> WorkKey {
     WorkKey {
         holder: holder.clone(),
         epoch: work.epoch,
@@ -61,9 +61,9 @@
     }
 }
 
-pub(crate) fn told(holder: &NodeId, holding: &grant::Holding) -> owner::CollectReply {
+pub(crate) fn told(holder: &NodeId, holding: &grant::CollectReply) -> owner::CollectReply {
     let works = holding.works.iter();
-    let held = |work: &grant::Work| HeldWork {
+    let held = |work: &grant::HeldWork| HeldWork {
         key: key(holder, work),
         target: work.target.clone(),
     };
--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -389,7 +389,7 @@
 
     pub(crate) fn on_grant_message(&mut self, now: Millis, from: &NodeId, message: grant::Message) {
         let name = match &message {
-            grant::Message::Ask(name, _)
+            grant::Message::SlotRequest(name, _)
             | grant::Message::Stamp(name, _)
             | grant::Message::Withdraw(name, _)
             | grant::Message::Grant(name, _)
@@ -397,8 +397,8 @@
             | grant::Message::Release(name, _, _)
             | grant::Message::Deny(name, _, _)
             | grant::Message::Suspect(name, _, _)
-            | grant::Message::Collect(name, _)
-            | grant::Message::Holding(name, _) => name.clone(),
+            | grant::Message::CollectRequest(name, _)
+            | grant::Message::CollectReply(name, _) => name.clone(),
         };
         if let Some(pool) = self.pools.get_mut(&name) {
             pool.on_message(now, from, message);
--- a/filbertpaddle/src/placer.rs
+++ b/filbertpaddle/src/placer.rs
@@ -22,7 +22,7 @@
 use filbertpaddle_core::suspect::QuarantineStatus;
 use filbertpaddle_target::protocol::LoadReport;
 use filbertpaddle_wire::grant::End;
-use filbertpaddle_wire::grant::Want;
+use filbertpaddle_wire::grant::WorkSpec;
 use indexmap::IndexMap;
 
 /// A request that gets no slot.
@@ -84,7 +84,7 @@
         &mut self,
         now: Millis,
         ask: owner::SlotRequest,
-        want: &Want,
+        want: &WorkSpec,
     ) -> Result<(), Refusal> {
         let id = RequestId(self.number());
         self.scheduler.push(now, scheduler_ask(now, id, want))?;
@@ -161,7 +161,7 @@
     }
 
     /// Notes work that this node started by its own share.
-    pub(crate) fn shared(&mut self, now: Millis, key: &WorkKey, target: &Name, want: &Want) {
+    pub(crate) fn shared(&mut self, now: Millis, key: &WorkKey, target: &Name, want: &WorkSpec) {
         let slot = SlotId(self.number());
         let placement = Placement {
             request: scheduler_ask(now, RequestId(slot.0), want),
@@ -256,7 +256,7 @@
     }
 }
 
-fn scheduler_ask(now: Millis, id: RequestId, want: &Want) -> SlotRequest {
+fn scheduler_ask(now: Millis, id: RequestId, want: &WorkSpec) -> SlotRequest {
     let customer = want.template.split('/').next().unwrap_or_default();
     SlotRequest {
         id,
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -21,7 +21,7 @@
 use filbertpaddle_wire::grant::Denial;
 use filbertpaddle_wire::grant::End;
 use filbertpaddle_wire::grant::Message;
-use filbertpaddle_wire::grant::Want;
+use filbertpaddle_wire::grant::WorkSpec;
 use indexmap::IndexMap;
 use tokio::sync::oneshot;
 
@@ -58,7 +58,7 @@
 pub(crate) struct Waiter {
     pub(crate) deadline_ms: Millis,
     pub(crate) reply: oneshot::Sender<Result<Grant, Refusal>>,
-    want: Want,
+    want: WorkSpec,
     /// Number under which the owner has been asked.
     asked: Option<u64>,
     ask_ms: Millis,
@@ -158,16 +158,16 @@
             let ask = self.member.request_slot(now);
             waiter.asked = Some(ask.number);
             self.stamped_ms = now;
-            let ask = grant::Ask {
+            let ask = grant::SlotRequest {
                 number: ask.number,
                 stamp: ask.stamp,
                 session: ask.session,
-                want: Want {
+                want: WorkSpec {
                     wait_ms: waiter.deadline_ms.since(now),
                     ..waiter.want.clone()
                 },
             };
-            let message = Message::Ask(self.name.clone(), ask);
+            let message = Message::SlotRequest(self.name.clone(), ask);
             let to = owner.member.clone();
             self.out.push(Out { to, message });
         }
@@ -243,7 +243,7 @@
     /// Handles a message of another member, or of this one.
     pub(crate) fn on_message(&mut self, now: Millis, from: &NodeId, message: Message) {
         match message {
-            Message::Ask(_, ask) => self.on_ask(now, from, &ask),
+            Message::SlotRequest(_, ask) => self.on_ask(now, from, &ask),
             Message::Stamp(_, stamp) => {
                 if let Some(owner) = &mut self.owner {
                     owner.on_stamp(from, stamp);
@@ -266,8 +266,8 @@
                     self.placer.ended(now, &key, end);
                 }
             }
-            Message::Collect(_, collect) => self.on_collect(from, &collect),
-            Message::Holding(_, holding) => {
+            Message::CollectRequest(_, collect) => self.on_collect(from, &collect),
+            Message::CollectReply(_, holding) => {
                 if let Some(owner) = &mut self.owner {
                     let holding = body::told(from, &holding);
                     if owner.has_collected(from, holding.session) {
@@ -313,7 +313,7 @@
         }
     }
 
-    fn on_collect(&mut self, from: &NodeId, collect: &grant::Collect) {
+    fn on_collect(&mut self, from: &NodeId, collect: &grant::CollectRequest) {
         let collect = owner::CollectRequest {
             holder: from.clone(),
             epoch: collect.epoch,
@@ -323,7 +323,7 @@
             return;
         };
         let works = holding.works.iter();
-        let message = grant::Holding {
+        let message = grant::CollectReply {
             epoch: holding.epoch,
             upto: holding.upto,
             session: holding.session,
@@ -331,14 +331,14 @@
                 .map(|held| body::work(&held.target, &held.key))
                 .collect(),
         };
-        let message = Message::Holding(self.name.clone(), message);
+        let message = Message::CollectReply(self.name.clone(), message);
         let to = from.clone();
         self.out.push(Out { to, message });
     }
 
     fn on_grant(&mut self, now: Millis, from: &NodeId, granted: grant::Grant) {
         let is_owner = |owner: &roster::Owner| owner.member == *from;
-        let used = grant::Used {
+        let used = grant::ReleasedSlot {
             epoch: granted.epoch,
             source: Source::Granted,
             number: granted.number,
--- a/filbertpaddle/src/pool_owner.rs
+++ b/filbertpaddle/src/pool_owner.rs
@@ -91,17 +91,17 @@
             }
         };
         for collect in collects {
-            let message = grant::Collect {
+            let message = grant::CollectRequest {
                 epoch: collect.epoch,
                 upto: collect.upto,
             };
             let to = collect.holder;
-            let message = Message::Collect(self.name.clone(), message);
+            let message = Message::CollectRequest(self.name.clone(), message);
             self.out.push(Out { to, message });
         }
     }
 
-    pub(crate) fn on_ask(&mut self, now: Millis, from: &NodeId, ask: &grant::Ask) {
+    pub(crate) fn on_ask(&mut self, now: Millis, from: &NodeId, ask: &grant::SlotRequest) {
         let asked = owner::SlotRequest {
             holder: from.clone(),
             number: ask.number,
--- a/filbertpaddle/src/pools.rs
+++ b/filbertpaddle/src/pools.rs
@@ -9,7 +9,7 @@
 use filbertpaddle_core::scheduler::Ending;
 use filbertpaddle_core::slot::WorkKey;
 use filbertpaddle_wire::grant::End;
-use filbertpaddle_wire::grant::Want;
+use filbertpaddle_wire::grant::WorkSpec;
 use tokio::sync::oneshot;
 use xtra::Address;
 
@@ -29,7 +29,7 @@
     /// Model or plain service that is wanted.
     pub model: Name,
     /// What is to be run there.
-    pub want: Want,
+    pub want: WorkSpec,
 }
 
 /// The right to send one attempt to one target.
--- a/filbertpaddle/src/remote.rs
+++ b/filbertpaddle/src/remote.rs
@@ -181,7 +181,7 @@
         want.wait_ms = want.wait_ms.min(LONGEST_WAIT_MS);
         let longest = clock::duration(want.wait_ms) + ANSWER_SLACK;
         let asked = Instant::now();
-        let message = wire::Message::Ask(number, ask.model.clone(), Box::new(want));
+        let message = wire::Message::SlotRequest(number, ask.model.clone(), Box::new(want));
         self.send(&lender.name, message);
         let answer = tokio::time::timeout(longest, answer).await;
         if asked.elapsed() > longest {
@@ -216,7 +216,7 @@
 
     fn on_message(&self, from: Peer, message: wire::Message) {
         match message {
-            wire::Message::Ask(number, model, want) => {
+            wire::Message::SlotRequest(number, model, want) => {
                 self.lend(from, number, Ask { model, want: *want });
             }
             wire::Message::Grant(number, grant) => self.on_answer(number, Ok(grant)),
--- a/filbertpaddle/src/run.rs
+++ b/filbertpaddle/src/run.rs
@@ -10,7 +10,7 @@
 use filbertpaddle_core::template;
 use filbertpaddle_core::template::WorkKind;
 use filbertpaddle_target::protocol::Submit;
-use filbertpaddle_wire::grant::Want;
+use filbertpaddle_wire::grant::WorkSpec;
 use slog::debug;
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::sync::oneshot;
@@ -169,7 +169,7 @@
         let template = &self.request.template;
         pools::Ask {
             model: template.model.clone(),
-            want: Want {
+            want: WorkSpec {
                 template: self.request.template_key(),
                 priority: template.priority,
                 weight: template.weight,
