--- a/filbertpaddle-wire/src/member.rs
+++ b/filbertpaddle-wire/src/member.rs
@@ -11,7 +11,7 @@
 pub enum Message {
     /// A member's heartbeat to the relay.
     #[serde(rename = "b")]
-    Beat(Heartbeat),
+    Heartbeat(Heartbeat),
     /// The relay's answer.
     #[serde(rename = "a")]
     Answer(Answer),
--- a/filbertpaddle-wire/tests/control.rs
+++ b/filbertpaddle-wire/tests/control.rs
@@ -82,7 +82,7 @@
 }
 
 fn beat_bytes() -> f64 {
-    bytes(Message::Member(member::Message::Beat(Heartbeat {
+    bytes(Message::Member(member::Message::Heartbeat(Heartbeat {
         sent_ms: Millis(4_000_000_000),
         echo_ms: Some(Millis(4_000_000_000)),
         version: 70_000,
--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -181,7 +181,7 @@
             !must_share,
         );
         if let Some((relay, beat)) = beat {
-            self.send_member(now, &relay.id, wire::Message::Beat(beat));
+            self.send_member(now, &relay.id, wire::Message::Heartbeat(beat));
         }
     }
 
@@ -342,7 +342,7 @@
 
     pub(crate) fn on_member(&mut self, now: Millis, from: &NodeId, message: wire::Message) {
         match message {
-            wire::Message::Beat(beat) => {
+            wire::Message::Heartbeat(beat) => {
                 let roster = &self.record.roster;
                 let answer = self.relay.on_heartbeat(now, from, &beat, roster);
                 if beat.version < roster.version {
--- a/filbertpaddle/src/peers.rs
+++ b/filbertpaddle/src/peers.rs
@@ -15,7 +15,7 @@
 use filbertpaddle_core::name::Name;
 use filbertpaddle_wire::frame;
 use filbertpaddle_wire::greeting::Greeting;
-use filbertpaddle_wire::greeting::VERSION;
+use filbertpaddle_wire::greeting::PROTOCOL_VERSION;
 use filbertpaddle_wire::message::Message;
 use futures_util::SinkExt;
 use futures_util::StreamExt;
@@ -181,7 +181,7 @@
     fn greeting(&self, challenge: Vec<u8>, offer: Vec<u8>) -> Greeting {
         let own = &self.shared.identity.own;
         let greeting = Greeting {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             node: own.name.clone(),
             incarnation: own.incarnation,
             data_centre: own.data_centre.clone(),
@@ -194,7 +194,10 @@
     }
 
     fn check(&self, greeting: Greeting, challenge: &[u8]) -> eyre::Result<Peer> {
-        eyre::ensure!(greeting.version == VERSION, "unknown protocol version");
+        eyre::ensure!(
+            greeting.version == PROTOCOL_VERSION,
+            "unknown protocol version"
+        );
         eyre::ensure!(greeting.challenge == challenge, "wrong challenge");
         let secret = self.shared.identity.secret.as_bytes();
         eyre::ensure!(greeting.verify(secret), "wrong peer secret");
