--- a/filbertpaddle-wire/src/claim.rs
+++ b/filbertpaddle-wire/src/claim.rs
@@ -1,4 +1,4 @@
-//! Messages about claims on idempotency keys.
+//! Messages about claims on idempotency keys: status queries and group commits.
 
 use filbertpaddle_core::claim::StatusQuery;
 use filbertpaddle_core::claim::StatusReply;
@@ -10,29 +10,29 @@
 /// A message about a claim.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks the holder of a claim what has become of it.
+    /// Asks the holder of a claim for the status of its attempt.
     #[serde(rename = "q")]
     StatusQuery(StatusQuery),
-    /// Answers such a question.
+    /// Response to [`Message::StatusQuery`].
     #[serde(rename = "r")]
     StatusReply(StatusReply),
-    /// Hands changes to a committer, to be made together or not at all.
+    /// Sends changes to a committer, which applies either all of them or none.
     #[serde(rename = "c")]
     Commit {
-        /// Number that the sender gives them.
+        /// Sequence number chosen by the sender; the response repeats it.
         #[serde(rename = "n")]
         sequence: u64,
-        /// The changes.
+        /// Changes to apply.
         #[serde(rename = "c")]
         changes: Vec<Change>,
     },
-    /// Says what became of such changes.
+    /// Response to [`Message::Commit`].
     #[serde(rename = "d")]
     Committed {
-        /// Number that their sender gave them.
+        /// Sequence number of the request.
         #[serde(rename = "n")]
         sequence: u64,
-        /// What became of them.
+        /// Result of the transaction.
         #[serde(rename = "a")]
         result: TransactionResult,
     },
--- a/filbertpaddle-wire/src/config.rs
+++ b/filbertpaddle-wire/src/config.rs
@@ -1,4 +1,4 @@
-//! Messages that spread configuration.
+//! Messages of configuration replication.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::gossip;
@@ -11,99 +11,100 @@
 use crate::setting::Change;
 use crate::setting::Key;
 
-/// A message about configuration; see [`gossip::Message`].
+/// A replication message; the encoded form of [`gossip::Message`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A change that was new to the sender.
+    /// Forwards a change that was new to the sender.
     #[serde(rename = "p")]
     Push(Box<Change>),
-    /// Asks for what is newer.
+    /// Requests the changes after the requester's head.
     #[serde(rename = "q")]
     PullRequest {
-        /// Chosen by the asker.
+        /// Sequence number chosen by the requester; the response repeats it.
         #[serde(rename = "s")]
         seq: u64,
-        /// The asker's head.
+        /// Head of the requester's replica.
         #[serde(rename = "h")]
         head: u64,
-        /// Age of the asker's copy, in milliseconds.
+        /// Time since the requester's replica was last known to be complete, in milliseconds.
         #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
         age_ms: Option<u64>,
     },
-    /// Answers [`Message::PullRequest`].
+    /// Response to [`Message::PullRequest`].
     #[serde(rename = "a")]
     PullResponse {
-        /// From the question.
+        /// Sequence number of the request.
         #[serde(rename = "s")]
         seq: u64,
-        /// The sender's head.
+        /// Head of the sender's replica.
         #[serde(rename = "h")]
         head: u64,
-        /// Age of the sender's copy, in milliseconds.
+        /// Time since the sender's replica was last known to be complete, in milliseconds.
         #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
         age_ms: Option<u64>,
-        /// Changes after the asker's head.
+        /// Changes after the requester's head; empty if they are no longer retained.
         #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
         changes: Vec<Change>,
     },
-    /// Asks for a page of the whole configuration.
+    /// Requests a page of the whole configuration.
     #[serde(rename = "x")]
     PageRequest {
-        /// Chosen by the asker.
+        /// Sequence number chosen by the requester; the response repeats it.
         #[serde(rename = "s")]
         seq: u64,
-        /// Last key of the page before.
+        /// Last key of the previous page.
         #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
         after: Option<Key>,
     },
-    /// Answers [`Message::PageRequest`].
+    /// Response to [`Message::PageRequest`].
     #[serde(rename = "y")]
     PageResponse {
-        /// From the question.
+        /// Sequence number of the request.
         #[serde(rename = "s")]
         seq: u64,
-        /// Everything up to here is in the sender's copy.
+        /// Revision up to which the sender's replica has every change.
         #[serde(rename = "h")]
         head: u64,
-        /// The last change of each key.
+        /// The latest change of each key.
         #[serde(rename = "c")]
         changes: Vec<Change>,
-        /// Whether no keys follow.
+        /// Whether this is the last page.
         #[serde(rename = "l")]
         last: bool,
     },
-    /// Asks a relay about its data centre.
+    /// Requests the status of the nodes of a relay's data centre.
     #[serde(rename = "u")]
     StatusRequest {
-        /// Chosen by the asker.
+        /// Sequence number chosen by the requester; the response repeats it.
         #[serde(rename = "s")]
         seq: u64,
     },
-    /// Answers [`Message::StatusRequest`].
+    /// Response to [`Message::StatusRequest`].
     #[serde(rename = "v")]
     StatusResponse {
-        /// From the question.
+        /// Sequence number of the request.
         #[serde(rename = "s")]
         seq: u64,
-        /// The nodes.
+        /// Status of the nodes of the sender's data centre.
         #[serde(rename = "n")]
         nodes: Vec<NodeStatus>,
     },
 }
 
-/// What one node says is in force there.
+/// Replication status of one node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// Name of the node.
     #[serde(rename = "n")]
     pub node: Name,
-    /// Its head.
+    /// Revision up to which the node has applied every change; `None` if it has
+    /// not reported.
     #[serde(rename = "h")]
     pub head: Option<u64>,
-    /// Age of its copy, in milliseconds.
+    /// Time since the node's replica was last known to be complete, in milliseconds.
     #[serde(rename = "a")]
     pub age_ms: Option<u64>,
-    /// How long ago it was heard from, in milliseconds.
+    /// Time since the node last reported, in milliseconds.
     #[serde(rename = "t")]
     pub heard_ms: Option<u64>,
 }
--- a/filbertpaddle-wire/src/frame.rs
+++ b/filbertpaddle-wire/src/frame.rs
@@ -1,15 +1,15 @@
-//! Batches of messages as CBOR.
+//! Frames on a connection between nodes: batches of messages as CBOR.
 
 use crate::message::Message;
 
 /// Largest frame accepted from a peer, in bytes.
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// Why a frame was refused.
+/// Why a batch or a frame was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The frame is larger than [`MAX_FRAME_BYTES`].
-    #[error("frame of {0} bytes is too large")]
+    #[error("frame of {0} bytes exceeds the maximum of {max} bytes", max = MAX_FRAME_BYTES)]
     TooLarge(usize),
     /// The messages could not be encoded.
     #[error("cannot encode frame: {0}")]
--- a/filbertpaddle-wire/src/grant.rs
+++ b/filbertpaddle-wire/src/grant.rs
@@ -1,4 +1,4 @@
-//! Messages about slots on targets.
+//! Messages between the owner of a pool and the holders of its slots.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
@@ -12,40 +12,42 @@
 use serde_tuple::Deserialize_tuple;
 use serde_tuple::Serialize_tuple;
 
-/// A message about slots of one pool, which is named first.
+/// A message about slots of the pool named in the first field.
 ///
-/// The sender is the holder of what it sends to an owner, and the owner of
-/// what it sends to a holder.
+/// Requests, stamps, withdrawals, releases and collect replies go from a holder
+/// to the owner; grants, refusals, denials, crash records and collect requests
+/// from the owner to a holder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks the owner for a slot.
+    /// Requests a slot from the owner.
     #[serde(rename = "a")]
     SlotRequest(Name, SlotRequest),
-    /// The holder still waits; carries its stamp.
+    /// Renews the time in which a waiting holder accepts grants, with a new stamp.
     #[serde(rename = "t")]
     Stamp(Name, u64),
-    /// The holder has given up the request with this number.
+    /// Withdraws the request with this number.
     #[serde(rename = "w")]
     Withdraw(Name, u64),
-    /// Gives the holder a slot.
+    /// Grants a slot to the holder.
     #[serde(rename = "g")]
     Grant(Name, Grant),
-    /// The request with this number is not queued.
+    /// Reports that the request with this number is not queued; the holder
+    /// requests a slot again later.
     #[serde(rename = "f")]
     Refuse(Name, u64),
-    /// The request with this number gets no slot.
+    /// Refuses the request with this number, with the reason.
     #[serde(rename = "d")]
     Deny(Name, u64, Denial),
-    /// Gives a slot on a target back.
+    /// Returns a slot.
     #[serde(rename = "r")]
     Release(Name, ReleasedSlot, End),
-    /// What is known of the request with this digest.
+    /// Forwards the crash record of the suspect request with this digest.
     #[serde(rename = "x")]
     Suspect(Name, u64, CrashRecord),
-    /// Asks what the holder holds.
+    /// Requests the work that the holder holds.
     #[serde(rename = "c")]
     CollectRequest(Name, CollectRequest),
-    /// Tells what the holder holds.
+    /// Response to [`Message::CollectRequest`].
     #[serde(rename = "h")]
     CollectReply(Name, CollectReply),
 }
@@ -53,113 +55,117 @@
 /// A request for a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct SlotRequest {
-    /// Number of the request.
+    /// Number of the request, unique within the holder's incarnation.
     pub number: u64,
-    /// The holder's stamp.
+    /// The holder's stamp at the time of the request.
     pub stamp: u64,
-    /// The holder's session.
+    /// The holder's session at the time of the request.
     pub session: u32,
-    /// What is to be run.
+    /// The work to run.
     pub want: WorkSpec,
 }
 
-/// What a request is to run, as far as it decides order and target.
+/// The properties of requested work that decide its queue order and its target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct WorkSpec {
     /// Customer and template, `customer/template`.
     pub template: Name,
     /// Scheduling priority.
     pub priority: Priority,
-    /// Customer's relative share.
+    /// Weight of the customer in fair sharing of tokens.
     pub weight: u32,
-    /// Estimated length of the prompt.
+    /// Estimated length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens the generation may produce.
+    /// Maximum number of tokens the generation may produce.
     pub max_tokens: u32,
     /// Digest of the prompt's shared prefix; zero if it has none.
     pub prefix: u64,
-    /// Length of the shared prefix.
+    /// Length of the shared prefix in tokens.
     pub prefix_tokens: u32,
-    /// Digest of the request, the same for a resend.
+    /// Digest of the whole request; a resent request has the same.
     pub digest: u64,
-    /// How long the request may still wait.
+    /// Time for which the request may still wait.
     pub wait_ms: Millis,
 }
 
-/// Why a request gets no slot.
+/// A refusal of a slot request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct Denial {
-    /// Why.
+    /// Why the request is refused.
     pub reason: Reason,
-    /// When to come back.
+    /// How long to wait before a retry; `None` if retrying cannot help.
     pub retry_after_ms: Option<Millis>,
 }
 
 /// How the use of a slot ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct End {
-    /// How it ended.
+    /// How the work ended.
     pub ending: Ending,
-    /// Tokens of output.
+    /// Number of output tokens.
     pub tokens: u32,
 }
 
 impl End {
-    /// The slot was given back unused.
+    /// The slot was returned without anything sent to its target.
     pub const UNSENT: Self = Self {
         ending: Ending::Unsent,
         tokens: 0,
     };
 
-    /// Nothing is known of what became of the work.
+    /// The outcome of the work is unknown.
     pub const UNKNOWN: Self = Self {
         ending: Ending::Unknown,
         tokens: 0,
     };
 }
 
-/// A slot.
+/// A granted slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct Grant {
     /// Epoch of the owner.
     pub epoch: u64,
-    /// Number of the slot.
+    /// Number of the work, unique among the epoch's grants.
     pub number: u64,
     /// Target that the work may be sent to.
     pub target: Name,
-    /// Request that is answered.
+    /// Number of the holder's request that the grant answers.
     pub ask: u64,
-    /// Last stamp that the owner has heard.
+    /// Last stamp that the owner had received from the holder.
     pub stamp: u64,
     /// Whether the target is cold.
     pub cold: bool,
 }
 
-/// A slot that its holder gives back.
+/// Identifies a slot that its holder returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct ReleasedSlot {
-    /// Epoch under which it was counted.
+    /// Epoch of the owner that granted the slot; for work within a share, the
+    /// last epoch that the holder knows.
     pub epoch: u64,
-    /// Who counted it.
+    /// Rule under which the work was sent.
     pub source: Source,
     /// Number of the work.
     pub number: u64,
 }
 
-/// Work of the sender.
+/// Work that the sender has accepted and that has not ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct HeldWork {
-    /// Target of the work.
+    /// Target that the work goes to.
     pub target: Name,
-    /// Epoch under which it was counted.
+    /// Epoch of the owner that granted the slot; for work within a share, the
+    /// last epoch that the holder knows.
     pub epoch: u64,
-    /// Who counted it.
+    /// Rule under which the work was sent.
     pub source: Source,
     /// Number of the work.
     pub number: u64,
 }
 
-/// Asks what the holder holds.
+/// Asks a holder for the work that it holds.
+///
+/// From then on the holder refuses grants of this epoch numbered below `upto`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct CollectRequest {
     /// Epoch of the owner.
@@ -168,15 +174,15 @@
     pub upto: u64,
 }
 
-/// What the holder holds.
+/// A holder's reply to a [`CollectRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct CollectReply {
-    /// Epoch of the owner that asked.
+    /// Epoch of the owner that sent the request.
     pub epoch: u64,
-    /// Number of the owner's next grant when it asked.
+    /// Number of the owner's next grant at the time of the request.
     pub upto: u64,
     /// The holder's session.
     pub session: u32,
-    /// The work.
+    /// All work that the holder has accepted and that has not ended.
     pub works: Vec<HeldWork>,
 }
--- a/filbertpaddle-wire/src/greeting.rs
+++ b/filbertpaddle-wire/src/greeting.rs
@@ -1,4 +1,4 @@
-//! The first message on a connection between nodes.
+//! First message on a connection between nodes: identifies and authenticates the sender.
 
 use filbertpaddle_core::name::Name;
 use hmac::Hmac;
@@ -11,36 +11,36 @@
 /// Version of the protocol between nodes.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// Who a node is, proved by the shared peer secret.
+/// Identity of a node, authenticated with the shared peer secret.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Greeting {
     /// Protocol version.
     pub version: u32,
     /// Name of the node.
     pub node: Name,
-    /// Distinguishes two lives of a node with the same name.
+    /// Distinguishes successive processes of a node with the same name.
     pub incarnation: u64,
     /// Data centre of the node.
     pub data_centre: Name,
-    /// Address on which the node accepts peers.
+    /// Address on which the node accepts connections from peers.
     pub address: Name,
-    /// Random number chosen by the other side.
+    /// Random number chosen by the other side, returned to prevent replay.
     pub challenge: Vec<u8>,
-    /// Random number that the other side's greeting must answer; the dialling
-    /// side, which greets last, leaves it empty.
+    /// Random number that the other side's greeting must return as its
+    /// challenge; empty from the connecting side, which sends its greeting last.
     pub offer: Vec<u8>,
-    /// Keyed digest over all other fields.
+    /// HMAC over all other fields.
     pub proof: Vec<u8>,
 }
 
 impl Greeting {
-    /// Fills in the proof from the peer secret.
+    /// Sets the proof, computed with the peer secret.
     pub fn sign(mut self, secret: &[u8]) -> Self {
         self.proof = self.mac(secret).finalize().into_bytes().to_vec();
         self
     }
 
-    /// Returns whether the proof was made with the peer secret, in constant time.
+    /// Returns whether the proof was computed with the peer secret; compares in constant time.
     pub fn verify(&self, secret: &[u8]) -> bool {
         self.mac(secret).verify_slice(&self.proof).is_ok()
     }
--- a/filbertpaddle-wire/src/lib.rs
+++ b/filbertpaddle-wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! Messages between the system's own processes.
+//! Messages between filbertpaddle nodes and their encoding.
 //!
 //! A connection starts with a [`greeting::Greeting`] in each direction and
 //! then carries frames, each a batch of [`message::Message`] values as CBOR.
--- a/filbertpaddle-wire/src/message.rs
+++ b/filbertpaddle-wire/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages of every part, gathered for one connection.
+//! The union of all messages that one connection carries.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,19 +12,19 @@
 /// One message between two nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Membership and confirmation of a data centre's record.
+    /// Heartbeats and the record of a data centre.
     #[serde(rename = "m")]
     Member(member::Message),
-    /// Slots on targets.
+    /// Slots on targets of one data centre.
     #[serde(rename = "g")]
     Grant(grant::Message),
-    /// Configuration and its revisions.
+    /// Configuration replication.
     #[serde(rename = "c")]
     Config(config::Message),
     /// Claims on idempotency keys.
     #[serde(rename = "k")]
     Claim(claim::Message),
-    /// Slots in another data centre.
+    /// Slots on targets of another data centre.
     #[serde(rename = "r")]
     Remote(remote::Message),
 }
--- a/filbertpaddle-wire/src/remote.rs
+++ b/filbertpaddle-wire/src/remote.rs
@@ -1,7 +1,8 @@
-//! Messages about slots in another data centre.
+//! Messages about slots on targets of another data centre.
 //!
-//! A node asks a member of the other data centre, which takes the slot as its
-//! own and passes it on. The number is the asking node's.
+//! A node requests a slot from a member of the other data centre. That member,
+//! the lender, acquires a slot in its own name and lends it to the requester,
+//! the borrower. Each message starts with the request number chosen by the borrower.
 
 use filbertpaddle_core::name::Name;
 use serde::Deserialize;
@@ -13,38 +14,40 @@
 use crate::grant::End;
 use crate::grant::WorkSpec;
 
-/// A message about a slot in another data centre.
+/// A message between the borrower and the lender of a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for a slot on a target of the model or plain service.
+    /// Requests a slot on a target of the named model or plain service.
     #[serde(rename = "a")]
     SlotRequest(u64, Name, Box<WorkSpec>),
-    /// Passes a slot on.
+    /// Lends a slot.
     #[serde(rename = "g")]
     Grant(u64, Grant),
-    /// There is no slot; nothing was sent to any target.
+    /// Refuses the request; nothing was sent to a target for it.
     #[serde(rename = "f")]
     Refuse(u64, Denial),
-    /// The work has reached its target or never will.
+    /// Reports that the work has reached its target or will never be sent.
     #[serde(rename = "s")]
     Sent(u64),
-    /// Gives the slot back, or gives the ask up.
+    /// Returns the slot, or withdraws the request.
     #[serde(rename = "r")]
     Release(u64, End),
-    /// Asks whether the slot is still in use; answered by a release if not.
+    /// Checks whether the slot is still in use; the borrower answers with
+    /// [`Message::Release`] if it is not.
     #[serde(rename = "c")]
     Check(u64),
 }
 
-/// A slot that is passed on.
+/// A slot that is lent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct Grant {
     /// Name of the target.
     pub target: Name,
     /// Address of the target, `ip:port`.
     pub address: Name,
-    /// Fencing number that the target is sent.
+    /// Fencing number to send to the target.
     pub fence: u64,
-    /// Name for the attempt, by which the target's owner knows the slot.
+    /// Attempt name to send to the target; the pool's owner identifies the slot
+    /// by it.
     pub attempt: Name,
 }
--- a/filbertpaddle-wire/src/setting.rs
+++ b/filbertpaddle-wire/src/setting.rs
@@ -1,4 +1,4 @@
-//! Compact forms of what operators configure.
+//! Compact encoded forms of configuration entries, as replicated between nodes.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::config;
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a setting is about.
+/// Identifies a setting.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Key {
     /// A customer.
@@ -17,7 +17,7 @@
     /// A data centre.
     #[serde(rename = "d")]
     DataCentre(Name),
-    /// A template, by customer and name.
+    /// A template: customer and name.
     #[serde(rename = "t")]
     Template(Name, Name),
     /// A VM.
@@ -25,19 +25,19 @@
     Vm(Name),
 }
 
-/// One configured thing with its value.
+/// A setting: its key and value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Setting {
-    /// A customer's account.
+    /// A customer and its account.
     #[serde(rename = "c")]
     Customer(Name, Customer),
-    /// Whether a data centre is out of service.
+    /// A data centre and whether it is out of service.
     #[serde(rename = "d")]
     DataCentre(Name, bool),
-    /// A template, by customer and name.
+    /// A template: customer, name and value.
     #[serde(rename = "t")]
     Template(Name, Name, Box<Template>),
-    /// Whether a VM is out of service.
+    /// A VM and whether it is out of service.
     #[serde(rename = "v")]
     Vm(Name, bool),
 }
@@ -45,39 +45,39 @@
 /// A customer's account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Customer {
-    /// Hexadecimal digests of the customer's keys.
+    /// Hexadecimal SHA-256 digests of the customer's API keys.
     #[serde(rename = "k")]
     pub key_sha256: Vec<Name>,
-    /// Relative share of tokens.
+    /// Weight in fair sharing of tokens.
     #[serde(rename = "w")]
     pub weight: u32,
-    /// Most requests at once on one entry VM.
+    /// Maximum number of concurrent requests on one entry VM.
     #[serde(rename = "r")]
     pub max_running: u32,
 }
 
-/// One customer's template; what has its usual value is left out.
+/// One customer's template; fields with their default value are omitted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Template {
-    /// Model or plain service.
+    /// Model or plain service that runs the request.
     #[serde(rename = "m")]
     pub model: Name,
     /// Model version.
     #[serde(rename = "v", default, skip_serializing_if = "Name::is_empty")]
     pub version: Name,
-    /// Adapter.
+    /// Adapter of the model.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<Name>,
-    /// Whether it is a call to a plain service.
+    /// Whether requests are calls to a plain service, not generations.
     #[serde(rename = "c", default, skip_serializing_if = "is_false")]
     pub is_call: bool,
-    /// Whether the answer is delivered as one body.
+    /// Whether the answer is delivered as one body, not streamed.
     #[serde(rename = "b", default, skip_serializing_if = "is_false")]
     pub is_whole: bool,
     /// Scheduling priority.
     #[serde(rename = "p", default, skip_serializing_if = "is_zero")]
     pub priority: u8,
-    /// Whether running a request twice does harm.
+    /// Whether a request must not run twice.
     #[serde(rename = "n", default, skip_serializing_if = "is_false")]
     pub non_idempotent: bool,
     /// Text placed before the parameters.
@@ -86,33 +86,33 @@
     /// Names of the parameters.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
     pub parameters: Vec<Name>,
-    /// Most tokens of a generation.
+    /// Maximum number of tokens of a generation.
     #[serde(rename = "x")]
     pub max_tokens: u32,
-    /// Longest wait for a target, in milliseconds.
+    /// Maximum wait for a target, in milliseconds.
     #[serde(rename = "l")]
     pub max_wait_ms: u64,
-    /// Relative share of tokens.
+    /// Weight in fair sharing of tokens.
     #[serde(rename = "w")]
     pub weight: u32,
 }
 
-/// One accepted change.
+/// One accepted change of a setting.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Place in the order of changes.
+    /// Revision that the change created.
     #[serde(rename = "r")]
     pub revision: u64,
-    /// Identity of the change.
+    /// Identifies the change across retries.
     #[serde(rename = "i")]
     pub id: u64,
-    /// Who changed it.
+    /// Operator who made the change.
     #[serde(rename = "b")]
     pub by: Name,
-    /// When, in Unix time.
+    /// When the change was made, in milliseconds of Unix time.
     #[serde(rename = "t")]
     pub at_ms: u64,
-    /// The new value.
+    /// The setting with its new value.
     #[serde(rename = "s")]
     pub setting: Setting,
 }
