--- a/filbertpaddle-wire/tests/claim.rs
+++ b/filbertpaddle-wire/tests/claim.rs
@@ -1,4 +1,4 @@
-//! Changes of claims as they travel to a committer.
+//! Round trips and sizes of claim changes sent to a committer.
 
 use filbertpaddle_core::claim::FinalResult;
 use filbertpaddle_core::claim::Id;
@@ -23,7 +23,7 @@
         state,
     };
     Change {
-        // Neither this nor the tries are sent.
+        // Not encoded, and neither is `tries`.
         attempt: Name::default(),
         id: Id {
             customer: "school-1".into(),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn changes_survive_a_frame() {
+fn changes_are_equal_after_a_round_trip() {
     let finished = State::Finished(FinalResult {
         outcome: Outcome::Complete { tokens: 1 },
         answer: StoredAnswer::Inline("done".into()),
@@ -55,11 +55,17 @@
 }
 
 #[test]
-fn claim_takes_less_than_240_bytes() {
+fn each_claim_in_a_commit_takes_less_than_240_bytes() {
     let one = frame::encode(&[commit(vec![change(State::Claimed)])]);
     let two = frame::encode(&[commit(vec![change(State::Claimed), change(State::Claimed)])]);
-    let (one, two) = (one.map(|b| b.len()).ok(), two.map(|b| b.len()).ok());
-    let more = two.zip(one).map(|(two, one)| two - one);
-    println!("{more:?} bytes for each claim");
-    assert!(more.is_some_and(|bytes| bytes < 240), "{more:?}");
+    let (one, two) = (
+        one.map(|bytes| bytes.len()).ok(),
+        two.map(|bytes| bytes.len()).ok(),
+    );
+    let bytes_per_claim = two.zip(one).map(|(two, one)| two - one);
+    println!("{bytes_per_claim:?} bytes per claim");
+    assert!(
+        bytes_per_claim.is_some_and(|bytes| bytes < 240),
+        "{bytes_per_claim:?}"
+    );
 }
--- a/filbertpaddle-wire/tests/config.rs
+++ b/filbertpaddle-wire/tests/config.rs
@@ -1,4 +1,4 @@
-//! Round trips and sizes of configuration messages.
+//! Round trips and sizes of configuration replication messages.
 
 #![expect(clippy::unwrap_used, reason = "a failed encoding fails the test")]
 
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn messages_survive_the_wire() {
+fn messages_are_equal_after_a_round_trip() {
     let changes: Vec<_> = settings().into_iter().map(change).collect();
     let page = Page {
         head: Revision(7),
@@ -148,31 +148,36 @@
     assert!(bytes.len() < frame::MAX_FRAME_BYTES);
 }
 
-/// A node's share of the control budget for configuration, in bytes a second.
-const BUDGET_BYTES: usize = 16 * 1024;
+/// A node's control budget for configuration, in bytes per second.
+const BUDGET_BYTES_PER_S: usize = 16 * 1024;
 
 #[test]
-fn a_change_a_second_stays_far_below_the_budget() {
+fn one_change_per_second_takes_less_than_half_of_the_budget() {
     let push_bytes = encode(gossip::Message::Push(change(settings().remove(0)))).len();
-    let ask_bytes = encode(gossip::Message::PullRequest {
+    let request_bytes = encode(gossip::Message::PullRequest {
         seq: 1_000_000,
         head: Revision(1_234_567),
         age_ms: Some(Millis(1_500)),
     })
     .len();
-    let answer_bytes = encode(gossip::Message::PullResponse {
+    let response_bytes = encode(gossip::Message::PullResponse {
         seq: 1_000_000,
         head: Revision(1_234_567),
         age_ms: Some(Millis(1_500)),
         changes: Vec::new(),
     })
     .len();
-    // A change comes once and goes on to at most `FAN_OUT` members.
-    let pushes = (1 + relay::FAN_OUT) * push_bytes;
-    // Sixty-one members ask their relay every one and a half seconds.
-    let asks = 61 * (ask_bytes + answer_bytes) * 2 / 3;
-    println!("push {push_bytes} B, ask {ask_bytes} B, answer {answer_bytes} B");
-    println!("member {} B/s", pushes + (ask_bytes + answer_bytes) * 2 / 3);
-    println!("relay {} B/s", pushes + asks);
-    assert!(pushes + asks < BUDGET_BYTES / 2);
+    // A node receives each change once and forwards it to at most `FAN_OUT` members.
+    let push_bytes_per_s = (1 + relay::FAN_OUT) * push_bytes;
+    // 61 members send a pull request to their relay every 1.5 s.
+    let pull_bytes_per_s = 61 * (request_bytes + response_bytes) * 2 / 3;
+    println!(
+        "push {push_bytes} B, pull request {request_bytes} B, pull response {response_bytes} B"
+    );
+    println!(
+        "member {} B/s",
+        push_bytes_per_s + (request_bytes + response_bytes) * 2 / 3
+    );
+    println!("relay {} B/s", push_bytes_per_s + pull_bytes_per_s);
+    assert!(push_bytes_per_s + pull_bytes_per_s < BUDGET_BYTES_PER_S / 2);
 }
--- a/filbertpaddle-wire/tests/control.rs
+++ b/filbertpaddle-wire/tests/control.rs
@@ -1,5 +1,5 @@
-//! Bytes of membership and grants for one node at the target size, as the
-//! process writes them; headers of TCP and IP come on top.
+//! Control traffic of one node at the target size: heartbeats and slot messages,
+//! including WebSocket headers but not those of TCP and IP.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -16,26 +16,26 @@
 use filbertpaddle_wire::member;
 use filbertpaddle_wire::message::Message;
 
-/// The stated bound on one node's control traffic.
+/// Bound on the control traffic of one node.
 const BOUND_BYTES_PER_S: f64 = 16_000.0;
 const MEMBERS: usize = 62;
-/// 42,000 requests a second over 740 nodes.
+/// 42,000 requests per second over 740 nodes.
 const REQUESTS_PER_S: f64 = 57.0;
-const BEATS_PER_S: f64 = 0.5;
-/// Header of a WebSocket frame with a mask, one for each message.
-const HEADER_BYTES: f64 = 6.0;
+const HEARTBEATS_PER_S: f64 = 0.5;
+/// Size of the header of a masked WebSocket frame; each message is sent in a frame of its own.
+const WEBSOCKET_HEADER_BYTES: f64 = 6.0;
 
 fn bytes(message: Message) -> f64 {
-    frame::encode(&[message]).unwrap().len() as f64 + HEADER_BYTES
+    frame::encode(&[message]).unwrap().len() as f64 + WEBSOCKET_HEADER_BYTES
 }
 
 fn pool() -> Name {
     "teacher".into()
 }
 
-/// Returns the bytes of one request's messages: ask, grant and release.
+/// Returns the size of one request's messages: slot request, grant and release.
 fn request_bytes() -> f64 {
-    let ask = grant::Message::SlotRequest(
+    let request = grant::Message::SlotRequest(
         pool(),
         grant::SlotRequest {
             number: 4_000_000_000,
@@ -75,13 +75,13 @@
         tokens: 900,
     };
     let release = grant::Message::Release(pool(), used, end);
-    [ask, granted, release]
+    [request, granted, release]
         .into_iter()
         .map(|message| bytes(Message::Grant(message)))
         .sum()
 }
 
-fn beat_bytes() -> f64 {
+fn heartbeat_bytes() -> f64 {
     bytes(Message::Member(member::Message::Heartbeat(Heartbeat {
         sent_ms: Millis(4_000_000_000),
         echo_ms: Some(Millis(4_000_000_000)),
@@ -103,14 +103,14 @@
 #[test]
 fn membership_and_grants_of_a_member_fit_the_bound() {
     // Each message is sent by one node and received by another, and each node
-    // asks as much as it grants.
+    // requests as many slots as it grants.
     let grants = REQUESTS_PER_S * request_bytes() * 2.0;
-    let member = BEATS_PER_S * (beat_bytes() + answer_bytes());
+    let member = HEARTBEATS_PER_S * (heartbeat_bytes() + answer_bytes());
     println!("grants {grants:.0} B/s, heartbeats of a member {member:.0} B/s");
     println!(
-        "a request {:.0} B, a beat {:.0} B, an answer {:.0} B",
+        "request {:.0} B, heartbeat {:.0} B, answer {:.0} B",
         request_bytes(),
-        beat_bytes(),
+        heartbeat_bytes(),
         answer_bytes()
     );
     let relay = member * MEMBERS as f64;
