--- a/filbertpaddle/tests/soak/cluster.rs
+++ b/filbertpaddle/tests/soak/cluster.rs
@@ -24,21 +24,21 @@
 use tokio::task::JoinHandle;
 use tokio::task::block_in_place;
 
+use crate::history::ChangeKind;
+use crate::history::Component;
 use crate::history::History;
-use crate::history::Life;
-use crate::history::Place;
-use crate::history::What;
-use crate::promises;
-use crate::promises::GRACE_SEC;
+use crate::history::TargetIncarnation;
+use crate::invariants;
+use crate::invariants::GRACE_SEC;
 use crate::schedule::DATA_CENTRES;
 use crate::schedule::Size;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_filbertpaddle");
-const EVENT_MS: u64 = 20;
-const WORK_MS: u64 = 15;
-const COLD: Duration = Duration::from_secs(1);
+const NODE_PROGRAM: &str = env!("CARGO_BIN_EXE_filbertpaddle");
+const EVENT_INTERVAL_MS: u64 = 20;
+const PLAIN_REQUEST_MS: u64 = 15;
+const COLD_PERIOD: Duration = Duration::from_secs(1);
 /// How long a target is down that a request has crashed.
-const DOWN: Duration = Duration::from_secs(1);
+const CRASH_DOWNTIME: Duration = Duration::from_secs(1);
 /// How much longer than its grace a stopping node may live.
 const STOP_SLACK: Duration = Duration::from_secs(1);
 
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Addresses {
     addresses: Arc<Vec<Mutex<SocketAddr>>>,
-    key: Arc<AtomicU64>,
+    key_version: Arc<AtomicU64>,
 }
 
 impl Addresses {
@@ -58,17 +58,17 @@
         self.addresses.len()
     }
 
-    pub(crate) fn key(&self) -> u64 {
-        self.key.load(Ordering::Relaxed)
+    pub(crate) fn key_version(&self) -> u64 {
+        self.key_version.load(Ordering::Relaxed)
     }
 }
 
 /// A process and the links to it.
 #[derive(Debug)]
-pub(crate) struct Running {
+pub(crate) struct RunningNode {
     pub(crate) node: Node,
-    pub(crate) life: usize,
-    is_frozen: bool,
+    pub(crate) incarnation: usize,
+    is_paused: bool,
     pub(crate) callers: Proxy,
     pub(crate) peers: Proxy,
 }
@@ -77,30 +77,30 @@
 #[derive(Debug)]
 pub(crate) struct Vm {
     pub(crate) to_store: Proxy,
-    pub(crate) running: Option<Running>,
-    lives: usize,
+    pub(crate) running: Option<RunningNode>,
+    incarnations: usize,
 }
 
 /// A process that was told to stop.
 #[derive(Debug)]
-struct Stopping {
+struct StoppingNode {
     vm: usize,
     since: Instant,
-    running: Running,
+    running: RunningNode,
 }
 
 /// Where one life of a target follows another.
 #[derive(Debug)]
-pub(crate) struct TargetSlot {
+pub(crate) struct TargetHost {
     pub(crate) options: target::Options,
-    pub(crate) life: Option<LiveTarget>,
+    pub(crate) running: Option<RunningTarget>,
     /// When a target that a request crashed comes back, and the disruption.
-    revival: Option<(Instant, usize)>,
+    restart: Option<(Instant, usize)>,
 }
 
 /// A target and the link to it.
 #[derive(Debug)]
-pub(crate) struct LiveTarget {
+pub(crate) struct RunningTarget {
     pub(crate) target: Target,
     pub(crate) link: Proxy,
 }
@@ -113,10 +113,10 @@
     pub(crate) history: History,
     pub(crate) addresses: Addresses,
     pub(crate) vms: Vec<Vm>,
-    pub(crate) target_slots: Vec<TargetSlot>,
+    pub(crate) target_hosts: Vec<TargetHost>,
     /// Callers that resend what crashes targets.
-    pub(crate) senders: Vec<JoinHandle<()>>,
-    stopping: Vec<Stopping>,
+    pub(crate) poison_senders: Vec<JoinHandle<()>>,
+    stopping: Vec<StoppingNode>,
     copies: Copies,
     folder: PathBuf,
 }
@@ -135,25 +135,25 @@
             history: History::default(),
             addresses: Addresses {
                 addresses: Arc::new(addresses),
-                key: Arc::default(),
+                key_version: Arc::default(),
             },
             vms: Vec::new(),
-            target_slots: Vec::new(),
-            senders: Vec::new(),
+            target_hosts: Vec::new(),
+            poison_senders: Vec::new(),
             stopping: Vec::new(),
             copies: Copies::default(),
             folder,
         };
-        cluster.replace_key();
+        cluster.rotate_key();
         for number in 0..2 * size.targets {
-            cluster.add_target_slot(number).await;
+            cluster.add_target_host(number).await;
         }
         for number in 0..size.nodes {
             let to_store = Proxy::start(cluster.store.address).await.unwrap();
             cluster.vms.push(Vm {
                 to_store,
                 running: None,
-                lives: 0,
+                incarnations: 0,
             });
             cluster.start_node(number).await;
         }
@@ -161,21 +161,21 @@
     }
 
     /// Replaces the customer's key.
-    pub(crate) fn replace_key(&mut self) {
-        let version = self.addresses.key() + 1;
+    pub(crate) fn rotate_key(&mut self) {
+        let version = self.addresses.key_version() + 1;
         let configuration = Configuration {
             version,
-            keys: vec![promises::key(version)],
-            stream_timeout_ms: promises::STREAM_TIMEOUT_MS,
-            plain_timeout_ms: promises::PLAIN_TIMEOUT_MS,
-            cold_per_sec: promises::COLD_PER_SEC,
+            keys: vec![invariants::api_key(version)],
+            stream_timeout_ms: invariants::STREAM_TIMEOUT_MS,
+            plain_timeout_ms: invariants::PLAIN_TIMEOUT_MS,
+            cold_per_sec: invariants::COLD_PER_SEC,
         };
         self.store.put_configuration(&configuration.to_json());
-        self.history.change(What::Key(version));
-        self.addresses.key.store(version, Ordering::Relaxed);
+        self.history.record_change(ChangeKind::KeyRotated(version));
+        self.addresses.key_version.store(version, Ordering::Relaxed);
     }
 
-    async fn add_target_slot(&mut self, number: usize) {
+    async fn add_target_host(&mut self, number: usize) {
         let service = if number.is_multiple_of(2) {
             ENGINE
         } else {
@@ -185,82 +185,88 @@
             id: format!("target-{number}"),
             service: service.to_owned(),
             data_centre: DATA_CENTRES[number / 2 % DATA_CENTRES.len()].to_owned(),
-            event_ms: EVENT_MS,
-            work_ms: WORK_MS,
+            event_ms: EVENT_INTERVAL_MS,
+            work_ms: PLAIN_REQUEST_MS,
             cold_ms: 0,
             life: 1,
         };
-        let slot = self.start_target(options).await;
-        self.target_slots.push(slot);
+        let host = self.start_target(options).await;
+        self.target_hosts.push(host);
     }
 
-    async fn start_target(&self, options: target::Options) -> TargetSlot {
+    async fn start_target(&self, options: target::Options) -> TargetHost {
         let (ledger, copies) = (self.ledger.clone(), self.copies.clone());
         let target = Target::start(options.clone(), ledger, copies)
             .await
             .unwrap();
         let link = Proxy::start(target.address).await.unwrap();
-        self.history.events().lives.push(Life {
-            id: options.id.clone(),
-            data_centre: options.data_centre.clone(),
-            number: options.life,
-            from: Instant::now(),
-            cold: Duration::from_millis(options.cold_ms),
-        });
+        self.history
+            .events()
+            .target_incarnations
+            .push(TargetIncarnation {
+                id: options.id.clone(),
+                data_centre: options.data_centre.clone(),
+                number: options.life,
+                from: Instant::now(),
+                cold: Duration::from_millis(options.cold_ms),
+            });
         let entry = target.announce(link.address);
         self.store.put_target(&options.id, &entry);
-        TargetSlot {
+        TargetHost {
             options,
-            life: Some(LiveTarget { target, link }),
-            revival: None,
+            running: Some(RunningTarget { target, link }),
+            restart: None,
         }
     }
 
     /// Writes the entries of all targets again.
-    pub(crate) fn announce_all(&self) {
-        for slot in &self.target_slots {
-            if let Some(life) = &slot.life {
-                let entry = life.target.announce(life.link.address);
-                self.store.put_target(&slot.options.id, &entry);
+    pub(crate) fn announce_all_targets(&self) {
+        for host in &self.target_hosts {
+            if let Some(running) = &host.running {
+                let entry = running.target.announce(running.link.address);
+                self.store.put_target(&host.options.id, &entry);
             }
         }
     }
 
     /// Closes a target, if it runs.
     pub(crate) async fn crash_target(&mut self, number: usize) {
-        if let Some(life) = self.target_slots[number].life.take() {
-            life.target.close();
-            life.link.close().await;
+        if let Some(running) = self.target_hosts[number].running.take() {
+            running.target.close();
+            running.link.close().await;
         }
     }
 
     /// Starts another life of a target that was closed, on another address.
-    pub(crate) async fn revive_target(&mut self, number: usize) {
-        if self.target_slots[number].life.is_some() {
+    pub(crate) async fn restart_target(&mut self, number: usize) {
+        if self.target_hosts[number].running.is_some() {
             return;
         }
-        let mut options = self.target_slots[number].options.clone();
+        let mut options = self.target_hosts[number].options.clone();
         options.life += 1;
-        options.cold_ms = u64::try_from(COLD.as_millis()).unwrap();
-        self.target_slots[number] = self.start_target(options).await;
+        options.cold_ms = u64::try_from(COLD_PERIOD.as_millis()).unwrap();
+        self.target_hosts[number] = self.start_target(options).await;
     }
 
     /// Takes down targets that a request has crashed, and brings them back.
-    async fn watch_targets(&mut self) {
-        for number in 0..self.target_slots.len() {
-            let slot = &mut self.target_slots[number];
-            let crashed_at = slot.life.as_ref().and_then(|life| life.target.crashed_at());
+    async fn restart_crashed_targets(&mut self) {
+        for number in 0..self.target_hosts.len() {
+            let host = &mut self.target_hosts[number];
+            let crashed_at = host
+                .running
+                .as_ref()
+                .and_then(|running| running.target.crashed_at());
             if let Some(at) = crashed_at {
-                let place = Place::Target(slot.options.id.clone());
-                let disruption = self.history.disrupt_since(at, place);
-                slot.revival = Some((at + DOWN, disruption));
+                let component = Component::Target(host.options.id.clone());
+                let disruption = self.history.begin_disruption_at(at, component);
+                host.restart = Some((at + CRASH_DOWNTIME, disruption));
                 self.crash_target(number).await;
-            } else if let Some((at, disruption)) = slot.revival
+            } else if let Some((at, disruption)) = host.restart
                 && at <= Instant::now()
             {
-                slot.revival = None;
-                self.revive_target(number).await;
-                self.history.calm(disruption);
+                host.restart = None;
+                self.restart_target(number).await;
+                self.history.end_disruption(disruption);
             }
         }
     }
@@ -271,19 +277,19 @@
         if vm.running.is_some() {
             return;
         }
-        vm.lives += 1;
-        let life = vm.lives;
+        vm.incarnations += 1;
+        let incarnation = vm.incarnations;
         let options = self.node_options(number);
-        let node = block_in_place(|| Node::start(Path::new(PROGRAM), &self.folder, &options));
+        let node = block_in_place(|| Node::start(Path::new(NODE_PROGRAM), &self.folder, &options));
         let node = node.unwrap();
         let callers = Proxy::start(node.addresses.callers).await.unwrap();
         let peers = Proxy::start(node.addresses.peers).await.unwrap();
         self.store.readdress(node.addresses.peers, peers.address);
         *self.addresses.addresses[number].lock().unwrap() = callers.address;
-        self.vms[number].running = Some(Running {
+        self.vms[number].running = Some(RunningNode {
             node,
-            life,
-            is_frozen: false,
+            incarnation,
+            is_paused: false,
             callers,
             peers,
         });
@@ -293,7 +299,7 @@
         let vm = &self.vms[number];
         let running = self.vms.iter().filter_map(|vm| vm.running.as_ref());
         node::Options {
-            name: format!("node-{number}-{}", vm.lives),
+            name: format!("node-{number}-{}", vm.incarnations),
             data_centre: DATA_CENTRES[number % DATA_CENTRES.len()].to_owned(),
             store: vm.to_store.address,
             seeds: running.map(|running| running.peers.address).collect(),
@@ -311,7 +317,7 @@
     pub(crate) fn terminate_node(&mut self, number: usize) {
         if let Some(running) = self.vms[number].running.take() {
             running.node.process.terminate().unwrap();
-            self.stopping.push(Stopping {
+            self.stopping.push(StoppingNode {
                 vm: number,
                 since: Instant::now(),
                 running,
@@ -320,39 +326,39 @@
     }
 
     /// Freezes the process of a VM; returns its life unless it is frozen already.
-    pub(crate) fn freeze(&mut self, number: usize) -> Option<usize> {
+    pub(crate) fn pause_node(&mut self, number: usize) -> Option<usize> {
         let running = self.vms[number].running.as_mut()?;
-        if running.is_frozen {
+        if running.is_paused {
             return None;
         }
         running.node.process.pause().unwrap();
-        running.is_frozen = true;
-        Some(running.life)
+        running.is_paused = true;
+        Some(running.incarnation)
     }
 
     /// Wakes a frozen process, if it still lives.
-    pub(crate) fn wake(&mut self, number: usize, life: usize) {
+    pub(crate) fn resume_node(&mut self, number: usize, incarnation: usize) {
         let running = self.vms[number].running.iter_mut();
         let stopping = self
             .stopping
             .iter_mut()
             .filter(|stopping| stopping.vm == number);
         let all = running.chain(stopping.map(|stopping| &mut stopping.running));
-        for running in all.filter(|running| running.life == life) {
+        for running in all.filter(|running| running.incarnation == incarnation) {
             running.node.process.wake().unwrap();
-            running.is_frozen = false;
+            running.is_paused = false;
         }
     }
 
     /// Looks at the processes: none ends unless told, all that are told do.
-    pub(crate) async fn watch(&mut self) {
-        self.watch_targets().await;
+    pub(crate) async fn check_processes(&mut self) {
+        self.restart_crashed_targets().await;
         for (number, vm) in self.vms.iter_mut().enumerate() {
             if let Some(running) = &mut vm.running
                 && running.node.process.has_ended().unwrap()
             {
                 self.history
-                    .broken(format!("node {number} ended by itself"));
+                    .record_violation(format!("node {number} ended by itself"));
                 vm.running = None;
             }
         }
@@ -366,28 +372,28 @@
     }
 
     /// Whether a process has not ended though its grace is over.
-    fn is_overdue(&self, stopping: &Stopping) -> bool {
+    fn is_overdue(&self, stopping: &StoppingNode) -> bool {
         let grace = Duration::from_secs(GRACE_SEC.into());
-        let place = Place::Node(stopping.vm);
+        let component = Component::Node(stopping.vm);
         let events = self.history.events();
         stopping.since.elapsed() > grace + STOP_SLACK
-            && events.is_calm(stopping.since, Instant::now(), |disruption| {
-                disruption.place == place && !disruption.is_planned
+            && events.is_undisrupted(stopping.since, Instant::now(), |disruption| {
+                disruption.component == component && !disruption.is_planned
             })
     }
 
     /// Whether all processes that were told to stop have ended, and all senders.
     pub(crate) fn is_settled(&self) -> bool {
-        self.stopping.is_empty() && self.senders.iter().all(JoinHandle::is_finished)
+        self.stopping.is_empty() && self.poison_senders.iter().all(JoinHandle::is_finished)
     }
 
     /// Whether no target runs a generation.
     pub(crate) fn is_idle(&self) -> bool {
-        let mut lives = self
-            .target_slots
+        let mut running = self
+            .target_hosts
             .iter()
-            .filter_map(|slot| slot.life.as_ref());
-        lives.all(|life| life.target.running().is_empty())
+            .filter_map(|host| host.running.as_ref());
+        running.all(|running| running.target.running().is_empty())
     }
 
     pub(crate) async fn close(self) {
@@ -400,31 +406,35 @@
         for stopping in self.stopping {
             stopping.running.close().await;
         }
-        for life in self.target_slots.into_iter().filter_map(|slot| slot.life) {
-            life.target.close();
-            life.link.close().await;
+        for running in self
+            .target_hosts
+            .into_iter()
+            .filter_map(|host| host.running)
+        {
+            running.target.close();
+            running.link.close().await;
         }
         self.store.close();
     }
 }
 
-impl Stopping {
+impl StoppingNode {
     async fn close(mut self, history: &History) {
         let vm = self.vm;
         let process = &mut self.running.node.process;
         if !process.has_ended().unwrap() {
-            history.broken(format!("node {vm} outlived its grace"));
+            history.record_violation(format!("node {vm} outlived its grace"));
         } else {
             let status = process.wait().unwrap();
             if !status.success() {
-                history.broken(format!("node {vm} stopped with {status}"));
+                history.record_violation(format!("node {vm} stopped with {status}"));
             }
         }
         self.running.close().await;
     }
 }
 
-impl Running {
+impl RunningNode {
     async fn close(self) {
         self.node.close().unwrap();
         self.callers.close().await;
--- a/filbertpaddle/tests/soak/fault.rs
+++ b/filbertpaddle/tests/soak/fault.rs
@@ -7,191 +7,202 @@
 use filbertpaddle_standins::proxy::Link;
 
 use crate::cluster::Cluster;
-use crate::cluster::LiveTarget;
-use crate::cluster::Running;
-use crate::history::Place;
-use crate::history::What;
+use crate::cluster::RunningNode;
+use crate::cluster::RunningTarget;
+use crate::history::ChangeKind;
+use crate::history::Component;
 use crate::schedule::DATA_CENTRES;
 use crate::schedule::Fault;
 use crate::traffic;
 
 /// How far the store's clock jumps.
-const JUMP_MS: u64 = 90_000;
+const CLOCK_JUMP_MS: u64 = 90_000;
 
 /// A fault that has begun, with what its end needs to know.
 #[derive(Debug)]
-pub(crate) struct Begun {
+pub(crate) struct ActiveFault {
     fault: Fault,
     disruption: Option<usize>,
     change: Option<usize>,
     /// Life of a process that was frozen.
-    frozen: Option<usize>,
+    paused_incarnation: Option<usize>,
 }
 
 /// Begins a fault.
-pub(crate) async fn begin(cluster: &mut Cluster, fault: Fault) -> Begun {
-    let disruption = place(cluster, fault).map(|place| {
+pub(crate) async fn begin(cluster: &mut Cluster, fault: Fault) -> ActiveFault {
+    let disruption = affected_component(cluster, fault).map(|component| {
         let is_planned = matches!(
             fault,
-            Fault::Terminate(_) | Fault::Reload(_) | Fault::TargetLeaves(_)
+            Fault::NodeTerminate(_) | Fault::NodeReload(_) | Fault::TargetDrain(_)
         );
-        cluster.history.disrupt(place, is_planned)
+        cluster.history.begin_disruption(component, is_planned)
     });
-    let mut begun = Begun {
+    let mut active = ActiveFault {
         fault,
         disruption,
         change: None,
-        frozen: None,
+        paused_incarnation: None,
     };
     match fault {
         Fault::Store(fault) => cluster.store.set_fault(fault),
-        Fault::StoreClock => cluster.store.advance_clock(JUMP_MS),
-        Fault::HistoryGone => cluster.store.drop_history(),
-        Fault::EntriesLapse => {
+        Fault::StoreClockJump => cluster.store.advance_clock(CLOCK_JUMP_MS),
+        Fault::StoreHistoryLoss => cluster.store.drop_history(),
+        Fault::TargetEntriesExpiry => {
             cluster.store.set_fault(store::Fault::Busy);
-            for slot in &cluster.target_slots {
-                cluster.store.remove_target(&slot.options.id);
+            for host in &cluster.target_hosts {
+                cluster.store.remove_target(&host.options.id);
             }
         }
         Fault::StoreLink(node, link) => cluster.vms[node].to_store.set_link(link),
-        Fault::PeerLink(node, link) => on_running(cluster, node, |running| {
+        Fault::PeerLink(node, link) => with_running_node(cluster, node, |running| {
             running.peers.set_link(link);
         }),
-        Fault::CallerLink(node, link) => on_running(cluster, node, |running| {
+        Fault::CallerLink(node, link) => with_running_node(cluster, node, |running| {
             running.callers.set_link(link);
         }),
         Fault::TargetLink(target, link) => {
-            on_target(cluster, target, |life| life.link.set_link(link));
+            with_running_target(cluster, target, |running| running.link.set_link(link));
         }
-        Fault::TargetDelay(target, delay_ms) => on_target(cluster, target, |life| {
-            life.link.set_faults(Faults {
+        Fault::TargetDelay(target, delay_ms) => with_running_target(cluster, target, |running| {
+            running.link.set_faults(Faults {
                 link: Link::Open,
                 delay_ms,
             });
         }),
-        Fault::Behaviour(target, behaviour) => {
-            on_target(cluster, target, |life| life.target.set_behaviour(behaviour));
+        Fault::TargetBehaviour(target, behaviour) => {
+            with_running_target(cluster, target, |running| {
+                running.target.set_behaviour(behaviour)
+            });
         }
         Fault::Poison => {
             let (addresses, history) = (cluster.addresses.clone(), cluster.history.clone());
-            let sender = tokio::spawn(traffic::poison(addresses, history));
-            cluster.senders.push(sender);
+            let sender = tokio::spawn(traffic::send_poison(addresses, history));
+            cluster.poison_senders.push(sender);
         }
         Fault::TargetCrash(target) => cluster.crash_target(target).await,
-        Fault::TargetLeaves(target) => begun.change = leave(cluster, target),
-        Fault::Pause(node) => begun.frozen = cluster.freeze(node),
-        Fault::Kill(node) => cluster.kill_node(node).await,
-        Fault::Terminate(node) => cluster.terminate_node(node),
-        Fault::Reload(node) => reload(cluster, node),
-        Fault::NewKey => cluster.replace_key(),
+        Fault::TargetDrain(target) => active.change = start_drain(cluster, target),
+        Fault::NodePause(node) => active.paused_incarnation = cluster.pause_node(node),
+        Fault::NodeKill(node) => cluster.kill_node(node).await,
+        Fault::NodeTerminate(node) => cluster.terminate_node(node),
+        Fault::NodeReload(node) => reload_settings(cluster, node),
+        Fault::KeyRotation => cluster.rotate_key(),
         Fault::DataCentreOut(number) => {
             let name = DATA_CENTRES[number];
             cluster.store.set_data_centre(name, true);
-            begun.change = Some(cluster.history.change(What::Out(name.to_owned())));
+            active.change = Some(
+                cluster
+                    .history
+                    .record_change(ChangeKind::DataCentreOut(name.to_owned())),
+            );
         }
     }
-    begun
+    active
 }
 
 /// Ends a fault.
-pub(crate) async fn end(cluster: &mut Cluster, begun: Begun) {
-    if let Some(change) = begun.change {
-        cluster.history.take_back(change);
+pub(crate) async fn end(cluster: &mut Cluster, active: ActiveFault) {
+    if let Some(change) = active.change {
+        cluster.history.end_change(change);
     }
-    match begun.fault {
+    match active.fault {
         Fault::Store(_) => cluster.store.set_fault(store::Fault::None),
-        Fault::EntriesLapse => {
+        Fault::TargetEntriesExpiry => {
             cluster.store.set_fault(store::Fault::None);
-            cluster.announce_all();
+            cluster.announce_all_targets();
         }
         Fault::StoreLink(node, _) => cluster.vms[node].to_store.heal(),
-        Fault::PeerLink(node, _) => on_running(cluster, node, |running| running.peers.heal()),
-        Fault::CallerLink(node, _) => on_running(cluster, node, |running| running.callers.heal()),
+        Fault::PeerLink(node, _) => {
+            with_running_node(cluster, node, |running| running.peers.heal())
+        }
+        Fault::CallerLink(node, _) => {
+            with_running_node(cluster, node, |running| running.callers.heal())
+        }
         Fault::TargetLink(target, _) | Fault::TargetDelay(target, _) => {
-            on_target(cluster, target, |life| life.link.heal());
+            with_running_target(cluster, target, |running| running.link.heal());
         }
-        Fault::Behaviour(target, _) => on_target(cluster, target, |life| {
-            life.target.set_behaviour(Behaviour::Good);
+        Fault::TargetBehaviour(target, _) => with_running_target(cluster, target, |running| {
+            running.target.set_behaviour(Behaviour::Good);
         }),
-        Fault::TargetCrash(target) => cluster.revive_target(target).await,
-        Fault::TargetLeaves(target) => {
+        Fault::TargetCrash(target) => cluster.restart_target(target).await,
+        Fault::TargetDrain(target) => {
             cluster
                 .store
-                .remove_target(&cluster.target_slots[target].options.id);
+                .remove_target(&cluster.target_hosts[target].options.id);
             cluster.crash_target(target).await;
-            cluster.revive_target(target).await;
+            cluster.restart_target(target).await;
         }
-        Fault::Pause(node) => {
-            if let Some(life) = begun.frozen {
-                cluster.wake(node, life);
+        Fault::NodePause(node) => {
+            if let Some(incarnation) = active.paused_incarnation {
+                cluster.resume_node(node, incarnation);
             }
         }
-        Fault::Kill(node) | Fault::Terminate(node) => cluster.start_node(node).await,
+        Fault::NodeKill(node) | Fault::NodeTerminate(node) => cluster.start_node(node).await,
         Fault::DataCentreOut(number) => cluster.store.set_data_centre(DATA_CENTRES[number], false),
-        Fault::StoreClock
-        | Fault::HistoryGone
-        | Fault::Reload(_)
-        | Fault::NewKey
+        Fault::StoreClockJump
+        | Fault::StoreHistoryLoss
+        | Fault::NodeReload(_)
+        | Fault::KeyRotation
         | Fault::Poison => {}
     }
-    if let Some(disruption) = begun.disruption {
-        cluster.history.calm(disruption);
+    if let Some(disruption) = active.disruption {
+        cluster.history.end_disruption(disruption);
     }
 }
 
 /// What a fault disrupts; links between nodes excuse nothing.
-fn place(cluster: &Cluster, fault: Fault) -> Option<Place> {
+fn affected_component(cluster: &Cluster, fault: Fault) -> Option<Component> {
     match fault {
-        Fault::Store(_) | Fault::StoreClock | Fault::HistoryGone | Fault::EntriesLapse => {
-            Some(Place::Store)
-        }
+        Fault::Store(_)
+        | Fault::StoreClockJump
+        | Fault::StoreHistoryLoss
+        | Fault::TargetEntriesExpiry => Some(Component::Store),
         Fault::StoreLink(node, _)
         | Fault::CallerLink(node, _)
-        | Fault::Pause(node)
-        | Fault::Kill(node)
-        | Fault::Terminate(node)
-        | Fault::Reload(node) => Some(Place::Node(node)),
+        | Fault::NodePause(node)
+        | Fault::NodeKill(node)
+        | Fault::NodeTerminate(node)
+        | Fault::NodeReload(node) => Some(Component::Node(node)),
         Fault::TargetLink(target, _)
         | Fault::TargetDelay(target, _)
-        | Fault::Behaviour(target, _)
+        | Fault::TargetBehaviour(target, _)
         | Fault::TargetCrash(target)
-        | Fault::TargetLeaves(target) => Some(Place::Target(
-            cluster.target_slots[target].options.id.clone(),
+        | Fault::TargetDrain(target) => Some(Component::Target(
+            cluster.target_hosts[target].options.id.clone(),
         )),
-        Fault::PeerLink(..) | Fault::NewKey | Fault::DataCentreOut(_) | Fault::Poison => None,
+        Fault::PeerLink(..) | Fault::KeyRotation | Fault::DataCentreOut(_) | Fault::Poison => None,
     }
 }
 
-fn on_running<F>(cluster: &Cluster, node: usize, act: F)
+fn with_running_node<F>(cluster: &Cluster, node: usize, act: F)
 where
-    F: FnOnce(&Running),
+    F: FnOnce(&RunningNode),
 {
     if let Some(running) = &cluster.vms[node].running {
         act(running);
     }
 }
 
-fn on_target<F>(cluster: &Cluster, target: usize, act: F)
+fn with_running_target<F>(cluster: &Cluster, target: usize, act: F)
 where
-    F: FnOnce(&LiveTarget),
+    F: FnOnce(&RunningTarget),
 {
-    if let Some(life) = &cluster.target_slots[target].life {
-        act(life);
+    if let Some(running) = &cluster.target_hosts[target].running {
+        act(running);
     }
 }
 
 /// Announces that a target leaves.
-fn leave(cluster: &Cluster, number: usize) -> Option<usize> {
-    let slot = &cluster.target_slots[number];
-    let life = slot.life.as_ref()?;
-    life.target.drain();
-    let entry = life.target.announce(life.link.address);
-    cluster.store.put_target(&slot.options.id, &entry);
-    let what = What::Leaves(slot.options.id.clone(), slot.options.life);
-    Some(cluster.history.change(what))
+fn start_drain(cluster: &Cluster, number: usize) -> Option<usize> {
+    let host = &cluster.target_hosts[number];
+    let running = host.running.as_ref()?;
+    running.target.drain();
+    let entry = running.target.announce(running.link.address);
+    cluster.store.put_target(&host.options.id, &entry);
+    let kind = ChangeKind::TargetDraining(host.options.id.clone(), host.options.life);
+    Some(cluster.history.record_change(kind))
 }
 
-fn reload(cluster: &Cluster, node: usize) {
+fn reload_settings(cluster: &Cluster, node: usize) {
     if let Some(running) = &cluster.vms[node].running {
         running.node.process.hang_up().unwrap();
     }
@@ -203,19 +214,19 @@
     for number in 0..cluster.vms.len() {
         cluster.vms[number].to_store.heal();
         cluster.start_node(number).await;
-        on_running(cluster, number, |running| {
+        with_running_node(cluster, number, |running| {
             running.callers.heal();
             running.peers.heal();
         });
     }
-    for number in 0..cluster.target_slots.len() {
-        on_target(cluster, number, |life| {
-            life.link.heal();
-            life.target.set_behaviour(Behaviour::Good);
+    for number in 0..cluster.target_hosts.len() {
+        with_running_target(cluster, number, |running| {
+            running.link.heal();
+            running.target.set_behaviour(Behaviour::Good);
         });
-        cluster.revive_target(number).await;
+        cluster.restart_target(number).await;
     }
-    cluster.announce_all();
+    cluster.announce_all_targets();
 }
 
 /// When a fault begins or ends.
@@ -226,12 +237,12 @@
 }
 
 /// Beginnings and ends in order of time.
-pub(crate) fn steps(events: &[crate::schedule::Event]) -> Vec<(Millis, Step)> {
-    let begins = events.iter().enumerate();
-    let ends = events.iter().enumerate();
+pub(crate) fn steps(faults: &[crate::schedule::ScheduledFault]) -> Vec<(Millis, Step)> {
+    let begins = faults.iter().enumerate();
+    let ends = faults.iter().enumerate();
     let mut steps: Vec<_> = begins
-        .map(|(number, event)| (event.at_ms, Step::Begin(number)))
-        .chain(ends.map(|(number, event)| (event.until_ms, Step::End(number))))
+        .map(|(number, fault)| (fault.start_ms, Step::Begin(number)))
+        .chain(ends.map(|(number, fault)| (fault.end_ms, Step::End(number))))
         .collect();
     steps.sort_by_key(|(at_ms, _)| *at_ms);
     steps
--- a/filbertpaddle/tests/soak/history.rs
+++ b/filbertpaddle/tests/soak/history.rs
@@ -11,13 +11,13 @@
 
 /// How often it is looked whether this process gets processor time, and how long
 /// it may have got none: half of what an answer may be late.
-const TICK: Duration = Duration::from_millis(20);
-const STALL: Duration = Duration::from_millis(250);
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 
 /// What a request is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
-pub(crate) enum Kind {
+pub(crate) enum RequestKind {
     /// Idempotent and short.
     Read,
     /// Short, and run at most once.
@@ -28,7 +28,7 @@
     Resumable,
 }
 
-impl Kind {
+impl RequestKind {
     pub(crate) fn is_idempotent(self) -> bool {
         matches!(self, Self::Read | Self::Resumable)
     }
@@ -42,25 +42,25 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Exchange {
     pub(crate) attempt: String,
-    pub(crate) kind: Kind,
+    pub(crate) kind: RequestKind,
     /// Events of a stream.
     pub(crate) events: u64,
     /// Number of the node.
     pub(crate) node: usize,
     /// Version of the configuration whose key was sent.
-    pub(crate) key: u64,
+    pub(crate) key_version: u64,
     pub(crate) sent: Instant,
     pub(crate) ended: Instant,
     /// Whether it went on a connection that had been used.
-    pub(crate) is_kept: bool,
+    pub(crate) is_connection_reused: bool,
     /// How long its caller waited.
-    pub(crate) patience_ms: u64,
-    pub(crate) got: Got,
+    pub(crate) caller_timeout_ms: u64,
+    pub(crate) answer: Got,
 }
 
 /// Where something was wrong.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Place {
+pub(crate) enum Component {
     Store,
     Node(usize),
     /// A target by its identity.
@@ -72,7 +72,7 @@
 /// A time in which something was wrong.
 #[derive(Clone, Debug)]
 pub(crate) struct Disruption {
-    pub(crate) place: Place,
+    pub(crate) component: Component,
     /// A stop or leave that was asked for, or settings that changed.
     pub(crate) is_planned: bool,
     pub(crate) from: Instant,
@@ -83,7 +83,7 @@
 /// A change that must be in force some time after it was made.
 #[derive(Clone, Debug)]
 pub(crate) struct Change {
-    pub(crate) what: What,
+    pub(crate) kind: ChangeKind,
     pub(crate) at: Instant,
     /// When it was taken back.
     pub(crate) to: Option<Instant>,
@@ -91,18 +91,18 @@
 
 /// What changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum What {
+pub(crate) enum ChangeKind {
     /// The key of this version replaced all before.
-    Key(u64),
+    KeyRotated(u64),
     /// Targets of this data centre are to get nothing.
-    Out(String),
+    DataCentreOut(String),
     /// This life of a target leaves; identity and life.
-    Leaves(String, u64),
+    TargetDraining(String, u64),
 }
 
 /// A life of a target.
 #[derive(Clone, Debug)]
-pub(crate) struct Life {
+pub(crate) struct TargetIncarnation {
     pub(crate) id: String,
     pub(crate) data_centre: String,
     pub(crate) number: u64,
@@ -115,9 +115,9 @@
     pub(crate) exchanges: Vec<Exchange>,
     pub(crate) disruptions: Vec<Disruption>,
     pub(crate) changes: Vec<Change>,
-    pub(crate) lives: Vec<Life>,
+    pub(crate) target_incarnations: Vec<TargetIncarnation>,
     /// Promises that were broken.
-    pub(crate) broken: Vec<String>,
+    pub(crate) violations: Vec<String>,
 }
 
 /// All that happened.
@@ -130,10 +130,10 @@
     }
 
     /// Notes that something is wrong from now on; returns its number.
-    pub(crate) fn disrupt(&self, place: Place, is_planned: bool) -> usize {
+    pub(crate) fn begin_disruption(&self, component: Component, is_planned: bool) -> usize {
         let mut events = self.events();
         events.disruptions.push(Disruption {
-            place,
+            component,
             is_planned,
             from: Instant::now(),
             to: None,
@@ -142,44 +142,44 @@
     }
 
     /// Notes that a target has been down since a moment; returns its number.
-    pub(crate) fn disrupt_since(&self, from: Instant, place: Place) -> usize {
-        let number = self.disrupt(place, false);
+    pub(crate) fn begin_disruption_at(&self, from: Instant, component: Component) -> usize {
+        let number = self.begin_disruption(component, false);
         self.events().disruptions[number].from = from;
         number
     }
 
     /// Watches whether this process gets processor time, until the history ends.
-    pub(crate) fn watch_machine(&self) {
+    pub(crate) fn watch_for_stalls(&self) {
         let events = Arc::downgrade(&self.0);
         std::thread::spawn(move || {
             let mut last = Instant::now();
             while let Some(events) = events.upgrade() {
                 let now = Instant::now();
-                if now - last > STALL {
-                    Self(events).stalled(last, now);
+                if now - last > STALL_THRESHOLD {
+                    Self(events).record_stall(last, now);
                 }
                 last = now;
-                std::thread::sleep(TICK);
+                std::thread::sleep(STALL_CHECK_INTERVAL);
             }
         });
     }
 
-    fn stalled(&self, from: Instant, to: Instant) {
+    fn record_stall(&self, from: Instant, to: Instant) {
         eprintln!("the machine stalled for {:?}", to - from);
-        let number = self.disrupt_since(from, Place::Machine);
+        let number = self.begin_disruption_at(from, Component::Machine);
         self.events().disruptions[number].to = Some(to);
     }
 
     /// Notes that it is no longer.
-    pub(crate) fn calm(&self, number: usize) {
+    pub(crate) fn end_disruption(&self, number: usize) {
         self.events().disruptions[number].to = Some(Instant::now());
     }
 
     /// Notes a change that was just made; returns its number.
-    pub(crate) fn change(&self, what: What) -> usize {
+    pub(crate) fn record_change(&self, kind: ChangeKind) -> usize {
         let mut events = self.events();
         events.changes.push(Change {
-            what,
+            kind,
             at: Instant::now(),
             to: None,
         });
@@ -187,26 +187,26 @@
     }
 
     /// Notes that a change is about to be taken back.
-    pub(crate) fn take_back(&self, number: usize) {
+    pub(crate) fn end_change(&self, number: usize) {
         self.events().changes[number].to = Some(Instant::now());
     }
 
-    pub(crate) fn broken(&self, what: String) {
-        eprintln!("broken: {what}");
-        self.events().broken.push(what);
+    pub(crate) fn record_violation(&self, violation: String) {
+        eprintln!("violation: {violation}");
+        self.events().violations.push(violation);
     }
 }
 
 impl Events {
     /// Whether nothing that `counts` was wrong between two moments.
-    pub(crate) fn is_calm<C>(&self, from: Instant, to: Instant, counts: C) -> bool
+    pub(crate) fn is_undisrupted<C>(&self, from: Instant, to: Instant, is_relevant: C) -> bool
     where
         C: Fn(&Disruption) -> bool,
     {
         !self.disruptions.iter().any(|disruption| {
             let is_over = disruption.to.is_some_and(|end| end < from);
-            let is_counted = disruption.place == Place::Machine || counts(disruption);
-            disruption.from <= to && !is_over && is_counted
+            let applies = disruption.component == Component::Machine || is_relevant(disruption);
+            disruption.from <= to && !is_over && applies
         })
     }
 }
--- a/filbertpaddle/tests/soak/main.rs
+++ b/filbertpaddle/tests/soak/main.rs
@@ -9,7 +9,7 @@
 mod cluster;
 mod fault;
 mod history;
-mod promises;
+mod invariants;
 mod schedule;
 mod traffic;
 
@@ -26,9 +26,9 @@
 use schedule::Size;
 use tokio::time::Instant;
 use tokio::time::sleep;
-use traffic::Traffic;
+use traffic::CallerContext;
 
-const USUAL: Size = Size {
+const DEFAULT_SIZE: Size = Size {
     nodes: 4,
     targets: 4,
     callers: 40,
@@ -36,112 +36,117 @@
     span_ms: Millis(10_000),
 };
 /// How often the processes are looked at.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// From the last fault until all must be served again.
-const RECOVERY: Duration = Duration::from_secs(6);
+const RECOVERY_TIME: Duration = Duration::from_secs(6);
 /// How long what must happen may take on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// Runs at the same time when many seeds are run by hand.
-const JOBS: usize = 4;
+const PARALLEL_RUNS: usize = 4;
 /// Requests to each node once all is calm.
-const PROBES: usize = 5;
+const PROBES_PER_NODE: usize = 5;
 
 /// Seeds that once failed, with the cause.
 const FAILED: [u64; 0] = [];
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_under_a_few_schedules() {
-    check(0..3, &USUAL).await;
+async fn invariants_hold_for_the_first_seeds() {
+    check_seeds(0..3, &DEFAULT_SIZE).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_under_schedules_that_once_failed() {
+async fn invariants_hold_for_previously_failed_seeds() {
     for seed in FAILED {
-        check(seed..seed + 1, &USUAL).await;
+        check_seeds(seed..seed + 1, &DEFAULT_SIZE).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 #[ignore = "minutes; run by hand with SOAK_SEEDS"]
-async fn promises_hold_under_many_schedules() {
+async fn invariants_hold_for_selected_seeds() {
     let seeds = std::env::var("SOAK_SEEDS").unwrap_or("0..50".to_owned());
     let (from, to) = seeds.split_once("..").unwrap();
-    let nodes = std::env::var("SOAK_NODES").map_or(USUAL.nodes, |text| text.parse().unwrap());
-    let factor = nodes / USUAL.nodes;
+    let nodes =
+        std::env::var("SOAK_NODES").map_or(DEFAULT_SIZE.nodes, |text| text.parse().unwrap());
+    let factor = nodes / DEFAULT_SIZE.nodes;
     let size = Size {
         nodes,
-        targets: USUAL.targets * factor.clamp(1, 4),
-        callers: USUAL.callers * factor,
-        faults: USUAL.faults * factor,
-        ..USUAL
+        targets: DEFAULT_SIZE.targets * factor.clamp(1, 4),
+        callers: DEFAULT_SIZE.callers * factor,
+        faults: DEFAULT_SIZE.faults * factor,
+        ..DEFAULT_SIZE
     };
-    let jobs = if factor > 1 { 1 } else { JOBS };
+    let jobs = if factor > 1 { 1 } else { PARALLEL_RUNS };
     let seeds: Vec<u64> = (from.parse().unwrap()..to.parse().unwrap()).collect();
-    for some in seeds.chunks(jobs) {
-        check(some[0]..some[some.len() - 1] + 1, &size).await;
+    for chunk in seeds.chunks(jobs) {
+        check_seeds(chunk[0]..chunk[chunk.len() - 1] + 1, &size).await;
     }
 }
 
 /// Runs the seeds side by side.
-async fn check(seeds: Range<u64>, size: &Size) {
+async fn check_seeds(seeds: Range<u64>, size: &Size) {
     let runs: Vec<_> = seeds
-        .map(|seed| (seed, tokio::spawn(run(seed, *size))))
+        .map(|seed| (seed, tokio::spawn(run_schedule(seed, *size))))
         .collect();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for (seed, run) in runs {
-        let found = run.await.unwrap();
-        broken.extend(found.into_iter().map(|what| format!("seed {seed}: {what}")));
+        let run_violations = run.await.unwrap();
+        violations.extend(
+            run_violations
+                .into_iter()
+                .map(|violation| format!("seed {seed}: {violation}")),
+        );
     }
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
 /// Runs one schedule; returns what was broken.
-async fn run(seed: u64, size: Size) -> Vec<String> {
+async fn run_schedule(seed: u64, size: Size) -> Vec<String> {
     let mut cluster = Cluster::start(&format!("soak-{seed}"), &size).await;
-    until_served(&cluster).await;
-    cluster.history.watch_machine();
-    let traffic = Traffic {
+    wait_until_served(&cluster).await;
+    cluster.history.watch_for_stalls();
+    let context = CallerContext {
         addresses: cluster.addresses.clone(),
         history: cluster.history.clone(),
         stop: Arc::new(AtomicBool::new(false)),
     };
     let callers: Vec<_> = (0..size.callers)
-        .map(|number| tokio::spawn(traffic::call(traffic.clone(), seed, number)))
+        .map(|number| tokio::spawn(traffic::run_caller(context.clone(), seed, number)))
         .collect();
-    play(&mut cluster, &schedule::draw(seed, &size)).await;
+    apply_schedule(&mut cluster, &schedule::generate(seed, &size)).await;
     fault::heal_all(&mut cluster).await;
-    look_for(&mut cluster, RECOVERY).await;
-    check_served(&cluster).await;
-    traffic.stop.store(true, Ordering::Relaxed);
+    watch_for(&mut cluster, RECOVERY_TIME).await;
+    check_recovered(&cluster).await;
+    context.stop.store(true, Ordering::Relaxed);
     for caller in callers {
         caller.await.unwrap();
     }
-    settle(&mut cluster).await;
-    promises::check_run(&cluster.history, &cluster.ledger.runs());
-    let broken = {
+    wait_until_settled(&mut cluster).await;
+    invariants::check_run(&cluster.history, &cluster.ledger.runs());
+    let violations = {
         let events = cluster.history.events();
-        println!("seed {seed}: {}", promises::tell(&events));
-        events.broken.clone()
+        println!("seed {seed}: {}", invariants::summary(&events));
+        events.violations.clone()
     };
     cluster.close().await;
-    broken
+    violations
 }
 
 /// Lets the faults of a schedule come and go.
-async fn play(cluster: &mut Cluster, events: &[schedule::Event]) {
+async fn apply_schedule(cluster: &mut Cluster, faults: &[schedule::ScheduledFault]) {
     let start = Instant::now();
-    let mut begun = HashMap::new();
-    for (at_ms, step) in fault::steps(events) {
+    let mut active_faults = HashMap::new();
+    for (at_ms, step) in fault::steps(faults) {
         let due = start + Duration::from_millis(at_ms.0);
-        look_for(cluster, due.saturating_duration_since(Instant::now())).await;
+        watch_for(cluster, due.saturating_duration_since(Instant::now())).await;
         match step {
             Step::Begin(number) => {
-                let fault = events[number].fault;
-                begun.insert(number, fault::begin(cluster, fault).await);
+                let fault = faults[number].fault;
+                active_faults.insert(number, fault::begin(cluster, fault).await);
             }
             Step::End(number) => {
-                if let Some(begun) = begun.remove(&number) {
-                    fault::end(cluster, begun).await;
+                if let Some(active) = active_faults.remove(&number) {
+                    fault::end(cluster, active).await;
                 }
             }
         }
@@ -149,51 +154,51 @@
 }
 
 /// Looks at the processes for a while.
-async fn look_for(cluster: &mut Cluster, span: Duration) {
+async fn watch_for(cluster: &mut Cluster, span: Duration) {
     let end = Instant::now() + span;
     while Instant::now() < end {
         let left = end.saturating_duration_since(Instant::now());
-        sleep(left.min(LOOK)).await;
-        cluster.watch().await;
+        sleep(left.min(POLL_INTERVAL)).await;
+        cluster.check_processes().await;
     }
 }
 
-async fn until_served(cluster: &Cluster) {
-    let end = Instant::now() + PATIENCE;
+async fn wait_until_served(cluster: &Cluster) {
+    let end = Instant::now() + WAIT_TIMEOUT;
     for node in 0..cluster.vms.len() {
         while traffic::probe(&cluster.addresses, node, 0).await.code() != 200 {
             assert!(Instant::now() < end, "node {node} never serves");
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
 /// Checks that all nodes serve again.
-async fn check_served(cluster: &Cluster) {
+async fn check_recovered(cluster: &Cluster) {
     for node in 0..cluster.vms.len() {
-        for number in 0..PROBES {
+        for number in 0..PROBES_PER_NODE {
             let code = traffic::probe(&cluster.addresses, node, number)
                 .await
                 .code();
             if code != 200 {
                 cluster
                     .history
-                    .broken(format!("node {node} does not serve again: {code}"));
+                    .record_violation(format!("node {node} does not serve again: {code}"));
             }
         }
     }
 }
 
 /// Waits until all that was told to stop has, and nothing runs for nobody.
-async fn settle(cluster: &mut Cluster) {
-    let end = Instant::now() + PATIENCE;
+async fn wait_until_settled(cluster: &mut Cluster) {
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !(cluster.is_settled() && cluster.is_idle()) {
         if Instant::now() > end {
             cluster
                 .history
-                .broken("generations run for nobody".to_owned());
+                .record_violation("generations run for nobody".to_owned());
             return;
         }
-        look_for(cluster, LOOK).await;
+        watch_for(cluster, POLL_INTERVAL).await;
     }
 }
--- a/filbertpaddle/tests/soak/schedule.rs
+++ b/filbertpaddle/tests/soak/schedule.rs
@@ -33,12 +33,12 @@
     /// The store fails.
     Store(store::Fault),
     /// The store's clock jumps.
-    StoreClock,
+    StoreClockJump,
     /// The store forgets what changed before.
-    HistoryGone,
+    StoreHistoryLoss,
     /// All targets' entries lapse while the store refuses calls, and are back
     /// a second after it is.
-    EntriesLapse,
+    TargetEntriesExpiry,
     /// The link from a node to the store.
     StoreLink(usize, Link),
     /// The links of other nodes to one.
@@ -50,64 +50,64 @@
     /// The same links, slow.
     TargetDelay(usize, Millis),
     /// A target treats requests badly.
-    Behaviour(usize, Behaviour),
+    TargetBehaviour(usize, Behaviour),
     /// A caller resends what crashes each target that runs it.
     Poison,
     /// A target crashes and comes back cold.
     TargetCrash(usize),
     /// A target leaves, and another life of it takes its place.
-    TargetLeaves(usize),
+    TargetDrain(usize),
     /// A node is frozen.
-    Pause(usize),
+    NodePause(usize),
     /// A node is killed and started again.
-    Kill(usize),
+    NodeKill(usize),
     /// A node is told to stop, and its successor starts.
-    Terminate(usize),
+    NodeTerminate(usize),
     /// A node is told to read its settings again.
-    Reload(usize),
+    NodeReload(usize),
     /// The customer's key is replaced.
-    NewKey,
+    KeyRotation,
     /// A data centre is taken out of service.
     DataCentreOut(usize),
 }
 
 /// A fault in time.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Event {
+pub(crate) struct ScheduledFault {
     /// When it begins, from the start of the run.
-    pub(crate) at_ms: Millis,
+    pub(crate) start_ms: Millis,
     /// When it ends.
-    pub(crate) until_ms: Millis,
+    pub(crate) end_ms: Millis,
     pub(crate) fault: Fault,
 }
 
 /// One seed gives one schedule.
-pub(crate) fn draw(seed: u64, size: &Size) -> Vec<Event> {
+pub(crate) fn generate(seed: u64, size: &Size) -> Vec<ScheduledFault> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut events: Vec<_> = (0..size.faults)
+    let mut faults: Vec<_> = (0..size.faults)
         .map(|_| {
-            let at_ms = rng.random_range(1_000..1_000 + size.span_ms.0);
-            let fault = draw_fault(&mut rng, size);
-            let for_ms = match fault {
+            let start_ms = rng.random_range(1_000..1_000 + size.span_ms.0);
+            let fault = random_fault(&mut rng, size);
+            let duration_ms = match fault {
                 // Long enough to be judged.
-                Fault::TargetLeaves(_) | Fault::DataCentreOut(_) => 8_000,
+                Fault::TargetDrain(_) | Fault::DataCentreOut(_) => 8_000,
                 _ => rng.random_range(200..4_000),
             };
-            Event {
-                at_ms: Millis(at_ms),
-                until_ms: Millis(at_ms + for_ms),
+            ScheduledFault {
+                start_ms: Millis(start_ms),
+                end_ms: Millis(start_ms + duration_ms),
                 fault,
             }
         })
         .collect();
-    events.sort_by_key(|event| event.at_ms);
-    events
+    faults.sort_by_key(|fault| fault.start_ms);
+    faults
 }
 
-fn draw_fault(rng: &mut StdRng, size: &Size) -> Fault {
+fn random_fault(rng: &mut StdRng, size: &Size) -> Fault {
     let node = rng.random_range(0..size.nodes);
     let target = rng.random_range(0..2 * size.targets);
-    let link = one_of(
+    let link = choose_one(
         rng,
         &[
             Link::Cut,
@@ -118,7 +118,7 @@
         ],
     );
     match rng.random_range(0..21) {
-        0 | 1 => Fault::Store(one_of(
+        0 | 1 => Fault::Store(choose_one(
             rng,
             &[
                 store::Fault::Busy,
@@ -128,17 +128,17 @@
                 store::Fault::Slow,
             ],
         )),
-        2 => Fault::StoreClock,
-        3 => Fault::HistoryGone,
-        4 => Fault::EntriesLapse,
+        2 => Fault::StoreClockJump,
+        3 => Fault::StoreHistoryLoss,
+        4 => Fault::TargetEntriesExpiry,
         5 => Fault::StoreLink(node, link),
         6 => Fault::PeerLink(node, link),
         7 => Fault::CallerLink(node, link),
         8 => Fault::TargetLink(target, link),
         9 => Fault::TargetDelay(target, Millis(rng.random_range(5..300))),
-        10 | 11 => Fault::Behaviour(
+        10 | 11 => Fault::TargetBehaviour(
             target,
-            one_of(
+            choose_one(
                 rng,
                 &[
                     Behaviour::Full,
@@ -152,17 +152,17 @@
         ),
         19 => Fault::Poison,
         12 => Fault::TargetCrash(target),
-        13 | 14 => Fault::TargetLeaves(target),
-        15 => Fault::Pause(node),
-        16 => Fault::Kill(node),
-        17 => Fault::Terminate(node),
-        18 => Fault::Reload(node),
-        _ if rng.random_bool(0.5) => Fault::NewKey,
+        13 | 14 => Fault::TargetDrain(target),
+        15 => Fault::NodePause(node),
+        16 => Fault::NodeKill(node),
+        17 => Fault::NodeTerminate(node),
+        18 => Fault::NodeReload(node),
+        _ if rng.random_bool(0.5) => Fault::KeyRotation,
         _ => Fault::DataCentreOut(rng.random_range(0..DATA_CENTRES.len())),
     }
 }
 
-fn one_of<T>(rng: &mut StdRng, list: &[T]) -> T
+fn choose_one<T>(rng: &mut StdRng, list: &[T]) -> T
 where
     T: Copy,
 {
--- a/filbertpaddle/tests/soak/traffic.rs
+++ b/filbertpaddle/tests/soak/traffic.rs
@@ -25,78 +25,79 @@
 use crate::cluster::Addresses;
 use crate::history::Exchange;
 use crate::history::History;
-use crate::history::Kind;
-use crate::promises;
+use crate::history::RequestKind;
+use crate::invariants;
 
 /// Between two requests of a caller.
-const PAUSE_MS: std::ops::Range<u64> = 5..150;
+const REQUEST_PAUSE_MS: std::ops::Range<u64> = 5..150;
 /// Share of callers that leave early.
-const LEAVE_SHARE: f64 = 0.03;
+const ABORT_SHARE: f64 = 0.03;
 /// Share of requests on a new connection.
-const NEW_SHARE: f64 = 0.1;
+const NEW_CONNECTION_SHARE: f64 = 0.1;
 /// How often a request that crashes targets is sent, and the pause between.
-const POISON_COUNT: usize = 30;
+const POISON_REQUESTS: usize = 30;
 const POISON_PAUSE: Duration = Duration::from_millis(400);
 /// How the attempts of probes begin.
-pub(crate) const PROBE: &str = "probe-";
-const MAX_EVENTS: u64 = 150;
+pub(crate) const PROBE_PREFIX: &str = "probe-";
+const MAX_STREAM_EVENTS: u64 = 150;
 const PROMPT_TOKENS: u32 = 1_000;
 
 /// What all callers share.
 #[derive(Clone, Debug)]
-pub(crate) struct Traffic {
+pub(crate) struct CallerContext {
     pub(crate) addresses: Addresses,
     pub(crate) history: History,
     pub(crate) stop: Arc<AtomicBool>,
 }
 
 /// Sends requests until told to stop.
-pub(crate) async fn call(traffic: Traffic, seed: u64, number: usize) {
+pub(crate) async fn run_caller(context: CallerContext, seed: u64, number: usize) {
     let mut rng = StdRng::seed_from_u64(seed ^ (number as u64 + 1) << 32);
-    let mut kept: Option<(usize, Connection)> = None;
+    let mut open: Option<(usize, Connection)> = None;
     let mut count = 0;
-    while !traffic.stop.load(Ordering::Relaxed) {
-        sleep(Duration::from_millis(rng.random_range(PAUSE_MS))).await;
+    while !context.stop.load(Ordering::Relaxed) {
+        sleep(Duration::from_millis(rng.random_range(REQUEST_PAUSE_MS))).await;
         count += 1;
-        let key = traffic.addresses.key();
-        let (kind, events, ask) = draw(&mut rng, format!("{seed}-{number}-{count}"), key);
-        if rng.random_bool(NEW_SHARE) {
-            kept = None;
+        let key_version = context.addresses.key_version();
+        let (kind, events, request) =
+            random_request(&mut rng, format!("{seed}-{number}-{count}"), key_version);
+        if rng.random_bool(NEW_CONNECTION_SHARE) {
+            open = None;
         }
-        let is_kept = match &mut kept {
+        let is_connection_reused = match &mut open {
             Some((_, connection)) => connection.is_open().await,
             None => false,
         };
-        if !is_kept {
-            let node = rng.random_range(0..traffic.addresses.count());
-            kept = open(&traffic.addresses, node).await;
+        if !is_connection_reused {
+            let node = rng.random_range(0..context.addresses.count());
+            open = connect(&context.addresses, node).await;
         }
-        let Some((node, connection)) = &mut kept else {
+        let Some((node, connection)) = &mut open else {
             continue;
         };
         let sent = Instant::now();
-        let got = connection.send(&ask).await;
+        let answer = connection.send(&request).await;
         let exchange = Exchange {
-            attempt: ask.attempt,
+            attempt: request.attempt,
             kind,
             events,
             node: *node,
-            key,
+            key_version,
             sent,
             ended: Instant::now(),
-            is_kept,
-            patience_ms: ask.deadline_ms,
-            got,
+            is_connection_reused,
+            caller_timeout_ms: request.deadline_ms,
+            answer,
         };
-        if !exchange.got.is_whole {
-            kept = None;
+        if !exchange.answer.is_whole {
+            open = None;
         }
-        promises::check_answer(&traffic.history, &exchange);
-        traffic.history.events().exchanges.push(exchange);
+        invariants::check_answer(&context.history, &exchange);
+        context.history.events().exchanges.push(exchange);
     }
 }
 
-async fn open(addresses: &Addresses, node: usize) -> Option<(usize, Connection)> {
+async fn connect(addresses: &Addresses, node: usize) -> Option<(usize, Connection)> {
     let opened = Connection::open(addresses.address(node));
     let connection = tokio::time::timeout(Duration::from_secs(1), opened).await;
     Some((node, connection.ok()??))
@@ -104,68 +105,68 @@
 
 /// Sends one request on a new connection, which is not judged with the others.
 pub(crate) async fn probe(addresses: &Addresses, node: usize, number: usize) -> Got {
-    let attempt = format!("{PROBE}{node}-{number}");
-    let ask = ask(Kind::Read, attempt, 0, addresses.key());
-    caller::send(addresses.address(node), &ask).await
+    let attempt = format!("{PROBE_PREFIX}{node}-{number}");
+    let request = build_request(RequestKind::Read, attempt, 0, addresses.key_version());
+    caller::send(addresses.address(node), &request).await
 }
 
 /// Resends through one node after another what crashes its targets.
-pub(crate) async fn poison(addresses: Addresses, history: History) {
-    for number in 0..POISON_COUNT {
+pub(crate) async fn send_poison(addresses: Addresses, history: History) {
+    for number in 0..POISON_REQUESTS {
         let node = number % addresses.count();
-        let key = addresses.key();
+        let key_version = addresses.key_version();
         let attempt = format!("{POISON}-{}", rand::random::<u64>());
-        let mut ask = ask(Kind::Write, attempt, 0, key);
-        ask.content = Some(POISON.to_owned());
+        let mut request = build_request(RequestKind::Write, attempt, 0, key_version);
+        request.content = Some(POISON.to_owned());
         let sent = Instant::now();
-        let got = caller::send(addresses.address(node), &ask).await;
+        let answer = caller::send(addresses.address(node), &request).await;
         history.events().exchanges.push(Exchange {
-            attempt: ask.attempt,
-            kind: Kind::Write,
+            attempt: request.attempt,
+            kind: RequestKind::Write,
             events: 0,
             node,
-            key,
+            key_version,
             sent,
             ended: Instant::now(),
-            is_kept: false,
-            patience_ms: ask.deadline_ms,
-            got,
+            is_connection_reused: false,
+            caller_timeout_ms: request.deadline_ms,
+            answer,
         });
         sleep(POISON_PAUSE).await;
     }
 }
 
-fn draw(rng: &mut StdRng, attempt: String, key: u64) -> (Kind, u64, Ask) {
+fn random_request(rng: &mut StdRng, attempt: String, key_version: u64) -> (RequestKind, u64, Ask) {
     let kind = match rng.random_range(0..10) {
-        0..3 => Kind::Read,
-        3..6 => Kind::Write,
-        6..8 => Kind::Stream,
-        _ => Kind::Resumable,
+        0..3 => RequestKind::Read,
+        3..6 => RequestKind::Write,
+        6..8 => RequestKind::Stream,
+        _ => RequestKind::Resumable,
     };
     let events = match kind.is_stream() {
-        true => rng.random_range(1..=MAX_EVENTS),
+        true => rng.random_range(1..=MAX_STREAM_EVENTS),
         false => 0,
     };
-    let mut ask = ask(kind, attempt, events, key);
-    if rng.random_bool(LEAVE_SHARE) {
-        ask.deadline_ms = rng.random_range(1..300);
+    let mut request = build_request(kind, attempt, events, key_version);
+    if rng.random_bool(ABORT_SHARE) {
+        request.deadline_ms = rng.random_range(1..300);
     }
-    (kind, events, ask)
+    (kind, events, request)
 }
 
-fn ask(kind: Kind, attempt: String, events: u64, key: u64) -> Ask {
+fn build_request(kind: RequestKind, attempt: String, events: u64, key_version: u64) -> Ask {
     let (method, path) = match kind {
-        Kind::Read => (Method::GET, READ),
-        Kind::Write => (Method::POST, WRITE),
-        Kind::Stream => (Method::POST, STREAM),
-        Kind::Resumable => (Method::POST, RESUMABLE),
+        RequestKind::Read => (Method::GET, READ),
+        RequestKind::Write => (Method::POST, WRITE),
+        RequestKind::Stream => (Method::POST, STREAM),
+        RequestKind::Resumable => (Method::POST, RESUMABLE),
     };
     let output = u32::try_from(events * EVENT_TOKENS).unwrap();
     Ask {
         attempt,
         method,
         path: path.to_owned(),
-        key: Some(promises::key(key)),
+        key: Some(invariants::api_key(key_version)),
         deadline_ms: if kind.is_stream() { 9_000 } else { 3_000 },
         content: None,
         tokens: kind.is_stream().then_some((PROMPT_TOKENS, output)),
