--- a/filbertpaddle/tests/soak/cluster.rs
+++ b/filbertpaddle/tests/soak/cluster.rs
@@ -1,4 +1,5 @@
-//! Nodes as processes, with a proxy on each link, a store and targets.
+//! The cluster under test: node processes, a proxy on each link, and stand-ins for
+//! the store and the targets.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -34,15 +35,18 @@
 use crate::schedule::Size;
 
 const NODE_PROGRAM: &str = env!("CARGO_BIN_EXE_filbertpaddle");
+/// Time between two events of a stream.
 const EVENT_INTERVAL_MS: u64 = 20;
+/// Time that a target takes for a plain request.
 const PLAIN_REQUEST_MS: u64 = 15;
+/// Time for which a restarted target is cold.
 const COLD_PERIOD: Duration = Duration::from_secs(1);
-/// How long a target is down that a request has crashed.
+/// Time after which a target that a request has crashed restarts.
 const CRASH_DOWNTIME: Duration = Duration::from_secs(1);
-/// How much longer than its grace a stopping node may live.
+/// Time beyond its grace period that a stopping node may run.
 const STOP_SLACK: Duration = Duration::from_secs(1);
 
-/// Where callers reach the nodes, and the key that they send.
+/// Addresses at which callers reach the nodes, and the version of the current API key.
 #[derive(Clone, Debug)]
 pub(crate) struct Addresses {
     addresses: Arc<Vec<Mutex<SocketAddr>>>,
@@ -63,7 +67,7 @@
     }
 }
 
-/// A process and the links to it.
+/// A running node process and the links to it.
 #[derive(Debug)]
 pub(crate) struct RunningNode {
     pub(crate) node: Node,
@@ -73,7 +77,7 @@
     pub(crate) peers: Proxy,
 }
 
-/// A VM, on which one process runs after another.
+/// A VM, on which successive node processes run.
 #[derive(Debug)]
 pub(crate) struct Vm {
     pub(crate) to_store: Proxy,
@@ -81,7 +85,7 @@
     incarnations: usize,
 }
 
-/// A process that was told to stop.
+/// A node process that was told to stop.
 #[derive(Debug)]
 struct StoppingNode {
     vm: usize,
@@ -89,23 +93,24 @@
     running: RunningNode,
 }
 
-/// Where one life of a target follows another.
+/// A host on which successive incarnations of a target run.
 #[derive(Debug)]
 pub(crate) struct TargetHost {
     pub(crate) options: target::Options,
     pub(crate) running: Option<RunningTarget>,
-    /// When a target that a request crashed comes back, and the disruption.
+    /// When a target that a request has crashed restarts, and the number of the
+    /// recorded disruption.
     restart: Option<(Instant, usize)>,
 }
 
-/// A target and the link to it.
+/// A running target and the link to it.
 #[derive(Debug)]
 pub(crate) struct RunningTarget {
     pub(crate) target: Target,
     pub(crate) link: Proxy,
 }
 
-/// All of it.
+/// A cluster of nodes and targets with its store, and the record of the run.
 #[derive(Debug)]
 pub(crate) struct Cluster {
     pub(crate) store: Store,
@@ -114,7 +119,7 @@
     pub(crate) addresses: Addresses,
     pub(crate) vms: Vec<Vm>,
     pub(crate) target_hosts: Vec<TargetHost>,
-    /// Callers that resend what crashes targets.
+    /// Tasks that resend requests that crash targets.
     pub(crate) poison_senders: Vec<JoinHandle<()>>,
     stopping: Vec<StoppingNode>,
     copies: Copies,
@@ -124,7 +129,7 @@
 impl Cluster {
     pub(crate) async fn start(name: &str, size: &Size) -> Self {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-        // Logs of an earlier run of the seed; there may be none.
+        // Removes the logs of an earlier run of the seed, if any.
         std::fs::remove_dir_all(&folder).ok();
         std::fs::create_dir_all(&folder).unwrap();
         let unset = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -160,7 +165,7 @@
         cluster
     }
 
-    /// Replaces the customer's key.
+    /// Replaces the customer's API key.
     pub(crate) fn rotate_key(&mut self) {
         let version = self.addresses.key_version() + 1;
         let configuration = Configuration {
@@ -219,7 +224,7 @@
         }
     }
 
-    /// Writes the entries of all targets again.
+    /// Writes the entries of all running targets to the store again.
     pub(crate) fn announce_all_targets(&self) {
         for host in &self.target_hosts {
             if let Some(running) = &host.running {
@@ -229,7 +234,7 @@
         }
     }
 
-    /// Closes a target, if it runs.
+    /// Stops a target without notice, if it runs.
     pub(crate) async fn crash_target(&mut self, number: usize) {
         if let Some(running) = self.target_hosts[number].running.take() {
             running.target.close();
@@ -237,7 +242,8 @@
         }
     }
 
-    /// Starts another life of a target that was closed, on another address.
+    /// Starts the next incarnation of a target that does not run, cold and at another
+    /// address.
     pub(crate) async fn restart_target(&mut self, number: usize) {
         if self.target_hosts[number].running.is_some() {
             return;
@@ -248,7 +254,7 @@
         self.target_hosts[number] = self.start_target(options).await;
     }
 
-    /// Takes down targets that a request has crashed, and brings them back.
+    /// Stops targets that a request has crashed, and restarts them after [`CRASH_DOWNTIME`].
     async fn restart_crashed_targets(&mut self) {
         for number in 0..self.target_hosts.len() {
             let host = &mut self.target_hosts[number];
@@ -271,7 +277,7 @@
         }
     }
 
-    /// Starts a process on a VM that has none.
+    /// Starts a node process on a VM that runs none.
     pub(crate) async fn start_node(&mut self, number: usize) {
         let vm = &mut self.vms[number];
         if vm.running.is_some() {
@@ -313,7 +319,7 @@
         }
     }
 
-    /// Tells the process of a VM to stop.
+    /// Tells the node process of a VM to stop.
     pub(crate) fn terminate_node(&mut self, number: usize) {
         if let Some(running) = self.vms[number].running.take() {
             running.node.process.terminate().unwrap();
@@ -325,7 +331,8 @@
         }
     }
 
-    /// Freezes the process of a VM; returns its life unless it is frozen already.
+    /// Pauses the node process of a VM; returns its incarnation, or `None` if none runs
+    /// or it is paused already.
     pub(crate) fn pause_node(&mut self, number: usize) -> Option<usize> {
         let running = self.vms[number].running.as_mut()?;
         if running.is_paused {
@@ -336,7 +343,7 @@
         Some(running.incarnation)
     }
 
-    /// Wakes a frozen process, if it still lives.
+    /// Resumes a paused node process, if it has not ended.
     pub(crate) fn resume_node(&mut self, number: usize, incarnation: usize) {
         let running = self.vms[number].running.iter_mut();
         let stopping = self
@@ -350,7 +357,8 @@
         }
     }
 
-    /// Looks at the processes: none ends unless told, all that are told do.
+    /// Checks that node processes end if, and only if, they were told to; restarts
+    /// crashed targets.
     pub(crate) async fn check_processes(&mut self) {
         self.restart_crashed_targets().await;
         for (number, vm) in self.vms.iter_mut().enumerate() {
@@ -358,7 +366,7 @@
                 && running.node.process.has_ended().unwrap()
             {
                 self.history
-                    .record_violation(format!("node {number} ended by itself"));
+                    .record_violation(format!("node {number} ended without being told to stop"));
                 vm.running = None;
             }
         }
@@ -371,7 +379,8 @@
         }
     }
 
-    /// Whether a process has not ended though its grace is over.
+    /// Returns whether a process still runs though its grace period is over and nothing
+    /// has disrupted it since it was told to stop.
     fn is_overdue(&self, stopping: &StoppingNode) -> bool {
         let grace = Duration::from_secs(GRACE_SEC.into());
         let component = Component::Node(stopping.vm);
@@ -382,18 +391,19 @@
             })
     }
 
-    /// Whether all processes that were told to stop have ended, and all senders.
+    /// Returns whether all processes that were told to stop and all poison senders have
+    /// ended.
     pub(crate) fn is_settled(&self) -> bool {
         self.stopping.is_empty() && self.poison_senders.iter().all(JoinHandle::is_finished)
     }
 
-    /// Whether no target runs a generation.
+    /// Returns whether no target runs a generation.
     pub(crate) fn is_idle(&self) -> bool {
-        let mut running = self
+        let mut running_targets = self
             .target_hosts
             .iter()
             .filter_map(|host| host.running.as_ref());
-        running.all(|running| running.target.running().is_empty())
+        running_targets.all(|running| running.target.running().is_empty())
     }
 
     pub(crate) async fn close(self) {
@@ -423,11 +433,15 @@
         let vm = self.vm;
         let process = &mut self.running.node.process;
         if !process.has_ended().unwrap() {
-            history.record_violation(format!("node {vm} outlived its grace"));
+            history.record_violation(format!(
+                "node {vm} still runs {STOP_SLACK:?} after its grace period of {GRACE_SEC} s"
+            ));
         } else {
             let status = process.wait().unwrap();
             if !status.success() {
-                history.record_violation(format!("node {vm} stopped with {status}"));
+                history.record_violation(format!(
+                    "node {vm} was told to stop and ended with {status}"
+                ));
             }
         }
         self.running.close().await;
--- a/filbertpaddle/tests/soak/fault.rs
+++ b/filbertpaddle/tests/soak/fault.rs
@@ -1,4 +1,4 @@
-//! Brings faults about and takes them away.
+//! Injects the faults of a schedule into a cluster and removes them.
 
 use filbertpaddle_adapter_standins::store;
 use filbertpaddle_adapter_standins::target::Behaviour;
@@ -15,20 +15,22 @@
 use crate::schedule::Fault;
 use crate::traffic;
 
-/// How far the store's clock jumps.
+/// Distance by which the store's clock jumps forward.
 const CLOCK_JUMP_MS: u64 = 90_000;
 
-/// A fault that has begun, with what its end needs to know.
+/// A fault that has begun, with the state needed to end it.
 #[derive(Debug)]
 pub(crate) struct ActiveFault {
     fault: Fault,
+    /// Number of the recorded disruption.
     disruption: Option<usize>,
+    /// Number of the recorded change.
     change: Option<usize>,
-    /// Life of a process that was frozen.
+    /// Incarnation of the node process that was paused.
     paused_incarnation: Option<usize>,
 }
 
-/// Begins a fault.
+/// Injects a fault and records the disruption.
 pub(crate) async fn begin(cluster: &mut Cluster, fault: Fault) -> ActiveFault {
     let disruption = affected_component(cluster, fault).map(|component| {
         let is_planned = matches!(
@@ -99,7 +101,7 @@
     active
 }
 
-/// Ends a fault.
+/// Removes a fault and records the end of the disruption.
 pub(crate) async fn end(cluster: &mut Cluster, active: ActiveFault) {
     if let Some(change) = active.change {
         cluster.history.end_change(change);
@@ -149,7 +151,8 @@
     }
 }
 
-/// What a fault disrupts; links between nodes excuse nothing.
+/// Returns the component that a fault disrupts; `None` for faults under which all
+/// invariants must hold, such as broken links between nodes.
 fn affected_component(cluster: &Cluster, fault: Fault) -> Option<Component> {
     match fault {
         Fault::Store(_)
@@ -191,7 +194,7 @@
     }
 }
 
-/// Announces that a target leaves.
+/// Announces that a target drains; returns the number of the recorded change.
 fn start_drain(cluster: &Cluster, number: usize) -> Option<usize> {
     let host = &cluster.target_hosts[number];
     let running = host.running.as_ref()?;
@@ -208,7 +211,7 @@
     }
 }
 
-/// Takes away what the ends of overlapping faults may have left.
+/// Removes all faults, including those that remain after overlapping faults have ended.
 pub(crate) async fn heal_all(cluster: &mut Cluster) {
     cluster.store.set_fault(store::Fault::None);
     for number in 0..cluster.vms.len() {
@@ -229,14 +232,14 @@
     cluster.announce_all_targets();
 }
 
-/// When a fault begins or ends.
+/// The start or end of the fault with this number.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Step {
     Begin(usize),
     End(usize),
 }
 
-/// Beginnings and ends in order of time.
+/// Returns the starts and ends of all faults in order of time.
 pub(crate) fn steps(faults: &[crate::schedule::ScheduledFault]) -> Vec<(Millis, Step)> {
     let begins = faults.iter().enumerate();
     let ends = faults.iter().enumerate();
--- a/filbertpaddle/tests/soak/history.rs
+++ b/filbertpaddle/tests/soak/history.rs
@@ -1,4 +1,4 @@
-//! What happened in a run, as callers and the faults' author saw it.
+//! Record of a run: requests with their answers, disruptions, changes and violations.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -9,20 +9,21 @@
 
 use filbertpaddle_adapter_standins::caller::Got;
 
-/// How often it is looked whether this process gets processor time, and how long
-/// it may have got none: half of what an answer may be late.
+/// Interval of the check whether this process gets processor time.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time without processor time that counts as a disruption: half of the lateness
+/// allowed for an answer.
 const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 
-/// What a request is.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub(crate) enum RequestKind {
-    /// Idempotent and short.
+    /// An idempotent plain request.
     Read,
-    /// Short, and run at most once.
+    /// A plain request that may run at most once.
     Write,
-    /// A generation that runs once.
+    /// A generation that may run at most once.
     Stream,
     /// A generation that may be resumed.
     Resumable,
@@ -38,69 +39,69 @@
     }
 }
 
-/// A request and what came of it.
+/// A request and its answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Exchange {
     pub(crate) attempt: String,
     pub(crate) kind: RequestKind,
-    /// Events of a stream.
+    /// Number of events of a stream; zero for a plain request.
     pub(crate) events: u64,
-    /// Number of the node.
+    /// Number of the node that received the request.
     pub(crate) node: usize,
-    /// Version of the configuration whose key was sent.
+    /// Version of the API key that was sent.
     pub(crate) key_version: u64,
     pub(crate) sent: Instant,
     pub(crate) ended: Instant,
-    /// Whether it went on a connection that had been used.
+    /// Whether the request was sent on a connection that was already open.
     pub(crate) is_connection_reused: bool,
-    /// How long its caller waited.
+    /// Time after which the caller aborts the request.
     pub(crate) caller_timeout_ms: u64,
     pub(crate) answer: Got,
 }
 
-/// Where something was wrong.
+/// A component that can be disrupted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Component {
     Store,
     Node(usize),
-    /// A target by its identity.
+    /// The target with this identity.
     Target(String),
-    /// The machine: this process itself got no processor time.
+    /// The machine that runs the test, when this process got no processor time.
     Machine,
 }
 
-/// A time in which something was wrong.
+/// A period in which a component was disrupted.
 #[derive(Clone, Debug)]
 pub(crate) struct Disruption {
     pub(crate) component: Component,
-    /// A stop or leave that was asked for, or settings that changed.
+    /// Whether it is a requested stop or drain, or a reload of settings.
     pub(crate) is_planned: bool,
     pub(crate) from: Instant,
-    /// `None` as long as it lasts.
+    /// End of the period; `None` while it lasts.
     pub(crate) to: Option<Instant>,
 }
 
-/// A change that must be in force some time after it was made.
+/// A change that must take effect within a limited time.
 #[derive(Clone, Debug)]
 pub(crate) struct Change {
     pub(crate) kind: ChangeKind,
     pub(crate) at: Instant,
-    /// When it was taken back.
+    /// When the change was reverted; `None` while it is in force.
     pub(crate) to: Option<Instant>,
 }
 
-/// What changed.
+/// Kind of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ChangeKind {
-    /// The key of this version replaced all before.
+    /// The API key of this version replaced all earlier ones.
     KeyRotated(u64),
-    /// Targets of this data centre are to get nothing.
+    /// This data centre is out of service; its targets must receive no requests.
     DataCentreOut(String),
-    /// This life of a target leaves; identity and life.
+    /// A target drains; its identity and the number of its incarnation.
     TargetDraining(String, u64),
 }
 
-/// A life of a target.
+/// One incarnation of a target.
 #[derive(Clone, Debug)]
 pub(crate) struct TargetIncarnation {
     pub(crate) id: String,
@@ -110,17 +111,18 @@
     pub(crate) cold: Duration,
 }
 
+/// Everything recorded in a run.
 #[derive(Debug, Default)]
 pub(crate) struct Events {
     pub(crate) exchanges: Vec<Exchange>,
     pub(crate) disruptions: Vec<Disruption>,
     pub(crate) changes: Vec<Change>,
     pub(crate) target_incarnations: Vec<TargetIncarnation>,
-    /// Promises that were broken.
+    /// Descriptions of violated invariants.
     pub(crate) violations: Vec<String>,
 }
 
-/// All that happened.
+/// Shared handle to the record of a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct History(Arc<Mutex<Events>>);
 
@@ -129,7 +131,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that something is wrong from now on; returns its number.
+    /// Records that a disruption begins now; returns its number.
     pub(crate) fn begin_disruption(&self, component: Component, is_planned: bool) -> usize {
         let mut events = self.events();
         events.disruptions.push(Disruption {
@@ -141,14 +143,15 @@
         events.disruptions.len() - 1
     }
 
-    /// Notes that a target has been down since a moment; returns its number.
+    /// Records an unplanned disruption that began at `from`; returns its number.
     pub(crate) fn begin_disruption_at(&self, from: Instant, component: Component) -> usize {
         let number = self.begin_disruption(component, false);
         self.events().disruptions[number].from = from;
         number
     }
 
-    /// Watches whether this process gets processor time, until the history ends.
+    /// Records periods in which this process gets no processor time, until the history
+    /// is dropped.
     pub(crate) fn watch_for_stalls(&self) {
         let events = Arc::downgrade(&self.0);
         std::thread::spawn(move || {
@@ -165,17 +168,20 @@
     }
 
     fn record_stall(&self, from: Instant, to: Instant) {
-        eprintln!("the machine stalled for {:?}", to - from);
+        eprintln!(
+            "no processor time for {:?}; recorded as a disruption of the machine",
+            to - from
+        );
         let number = self.begin_disruption_at(from, Component::Machine);
         self.events().disruptions[number].to = Some(to);
     }
 
-    /// Notes that it is no longer.
+    /// Records that a disruption ends now.
     pub(crate) fn end_disruption(&self, number: usize) {
         self.events().disruptions[number].to = Some(Instant::now());
     }
 
-    /// Notes a change that was just made; returns its number.
+    /// Records a change that was just made; returns its number.
     pub(crate) fn record_change(&self, kind: ChangeKind) -> usize {
         let mut events = self.events();
         events.changes.push(Change {
@@ -186,7 +192,7 @@
         events.changes.len() - 1
     }
 
-    /// Notes that a change is about to be taken back.
+    /// Records that a change is about to be reverted.
     pub(crate) fn end_change(&self, number: usize) {
         self.events().changes[number].to = Some(Instant::now());
     }
@@ -198,7 +204,8 @@
 }
 
 impl Events {
-    /// Whether nothing that `counts` was wrong between two moments.
+    /// Returns whether no relevant disruption overlaps the period; disruptions of the
+    /// machine are always relevant.
     pub(crate) fn is_undisrupted<C>(&self, from: Instant, to: Instant, is_relevant: C) -> bool
     where
         C: Fn(&Disruption) -> bool,
--- a/filbertpaddle/tests/soak/invariants.rs
+++ b/filbertpaddle/tests/soak/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold, judged by what callers and targets saw.
+//! Invariants of a run, checked against what callers received and what targets ran.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,52 +18,74 @@
 use crate::history::RequestKind;
 use crate::traffic::PROBE_PREFIX;
 
-// Bounds of the users' deployments.
-/// A machine is judged by the clock once nothing has disrupted it for this long.
+// Bounds that the users' deployments require.
+/// Time after a disruption for which its effects are still tolerated.
 const RECOVERY_GRACE: Duration = Duration::from_secs(4);
+/// Time within which a new API key must be in force on all nodes.
 const MAX_CONFIGURATION_DELAY: Duration = Duration::from_secs(3);
+/// Time within which a draining target must stop receiving requests.
 const MAX_DRAIN_DELAY: Duration = Duration::from_secs(3);
+/// Time within which a data centre that is out of service must stop receiving requests.
 const MAX_DATA_CENTRE_OUT_DELAY: Duration = Duration::from_secs(5);
+/// Time beyond its timeout by which a request must have ended.
 const MAX_LATENESS: Duration = Duration::from_millis(500);
+/// Maximum number of times that an idempotent request may run.
 const MAX_ATTEMPTS: usize = 2;
+/// Retries allowed in a window, as a share of its requests.
 const RETRY_RATIO: f64 = 0.2;
+/// Number of retries allowed in a window beyond that share.
 const RETRY_SLACK: f64 = 58.0;
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
+/// Factor by which all nodes together may exceed the request rate for a cold target.
 const COLD_RATE_FACTOR: f64 = 1.5;
+/// Number of requests in a second allowed beyond that.
 const COLD_RATE_SLACK: f64 = 5.0;
-/// Crashes after which a request is known for what it is, and how often it may
-/// still be run once all nodes had time to learn it.
+/// Number of crashes after which a request must be quarantined.
 const POISON_CRASHES: usize = 3;
+/// Number of times that a quarantined request may still run once all nodes have had
+/// time to receive its crash record.
 const MAX_RUNS_AFTER_QUARANTINE: usize = 3;
 
-/// Time that generations and plain requests may take.
+/// Timeout of a generation.
 pub(crate) const STREAM_TIMEOUT_MS: u64 = 8_000;
+/// Timeout of a plain request.
 pub(crate) const PLAIN_TIMEOUT_MS: u64 = 2_000;
+/// Configured rate of requests to a cold target.
 pub(crate) const COLD_PER_SEC: f64 = 1.0;
+/// Grace period of a node that is told to stop.
 pub(crate) const GRACE_SEC: u32 = 4;
 
-/// The customer's key of a version of the configuration.
+/// Returns the customer's API key in a version of the configuration.
 pub(crate) fn api_key(version: u64) -> String {
     format!("key-{version}")
 }
 
-/// Checks an answer by itself, as soon as it is there.
+/// Checks what can be judged from one answer alone.
 pub(crate) fn check_answer(history: &History, exchange: &Exchange) {
     let answer = &exchange.answer;
     let is_success = answer.status.is_some_and(|status| status.is_success());
     let expected = expected_body(exchange);
     if is_success && !answer.is_sealed() {
-        history.record_violation(format!("unsealed success of {}", exchange.attempt));
+        history.record_violation(format!(
+            "successful answer to {} lacks the response seal",
+            exchange.attempt
+        ));
     }
     if is_success && !expected.starts_with(&answer.body) {
-        history.record_violation(format!("wrong bytes for {}", exchange.attempt));
+        history.record_violation(format!(
+            "successful answer to {} contains wrong bytes",
+            exchange.attempt
+        ));
     }
     if is_success && answer.is_whole && answer.body != expected {
-        history.record_violation(format!("short answer to {} looks whole", exchange.attempt));
+        history.record_violation(format!(
+            "truncated answer to {} ended like a complete one",
+            exchange.attempt
+        ));
     }
     if matches!(answer.code(), 429 | 503) && answer.retry_after_sec().is_none() {
         let attempt = &exchange.attempt;
-        history.record_violation(format!("refusal of {attempt} says not when to come back"));
+        history.record_violation(format!("refusal of {attempt} lacks a retry-after header"));
     }
 }
 
@@ -76,7 +98,7 @@
         .collect()
 }
 
-/// Checks all that can be judged only by the whole run.
+/// Checks what can be judged only from the record of the whole run.
 pub(crate) fn check_run(history: &History, runs: &[Run]) {
     let mut violations = Vec::new();
     {
@@ -96,7 +118,9 @@
         for (attempt, runs) in &by_attempt {
             match sent.get(attempt) {
                 Some(exchange) => check_execution(exchange, runs, &mut violations),
-                None => violations.push(format!("{attempt} ran but was not sent")),
+                None => {
+                    violations.push(format!("{attempt} ran at a target, but no caller sent it"))
+                }
             }
         }
         for exchange in &events.exchanges {
@@ -117,13 +141,16 @@
         .for_each(|violation| history.record_violation(violation));
 }
 
+/// Checks that a request ran no more often than allowed, and only for its customer.
 fn check_execution(exchange: &Exchange, runs: &[&Run], violations: &mut Vec<String>) {
     let attempt = &exchange.attempt;
     if runs
         .iter()
         .any(|run| run.customer.as_deref() != Some(CUSTOMER))
     {
-        violations.push(format!("{attempt} ran for another customer"));
+        violations.push(format!(
+            "{attempt} ran for a customer other than {CUSTOMER}"
+        ));
     }
     let first_runs = runs.iter().filter(|run| !run.is_moved).count();
     let most = match exchange.kind.is_idempotent() {
@@ -131,15 +158,18 @@
         false => 1,
     };
     if first_runs > most {
-        violations.push(format!("{attempt} ran {first_runs} times"));
+        violations.push(format!(
+            "{attempt} ran {first_runs} times; at most {most} allowed"
+        ));
     }
     let is_refused = matches!(exchange.answer.code(), 408 | 421 | 429 | 503);
     if is_refused && !exchange.kind.is_idempotent() {
-        violations.push(format!("{attempt} was refused as not run, and ran"));
+        violations.push(format!("{attempt} was refused as not run, but had run"));
     }
 }
 
-/// Whether the node of a request was in touch with all until a moment.
+/// Returns whether neither the store nor the node was disrupted in the period and
+/// shortly before it.
 fn is_connected(events: &Events, node: usize, from: Instant, to: Instant) -> bool {
     events.is_undisrupted(from - RECOVERY_GRACE, to, |disruption| {
         match &disruption.component {
@@ -150,7 +180,8 @@
     })
 }
 
-/// Checks that a request got an answer, in time, where nothing excuses.
+/// Checks that a request was answered correctly and in time, unless a disruption
+/// excuses it.
 fn check_outcome(
     events: &Events,
     exchange: &Exchange,
@@ -177,14 +208,16 @@
         },
     );
     if is_node_undisrupted && took > timeout + MAX_LATENESS {
-        violations.push(format!("{attempt} had no end after {took:?}"));
+        violations.push(format!(
+            "{attempt} took {took:?}; its timeout is {timeout:?}"
+        ));
     }
     let is_path_undisrupted = events.is_undisrupted(
         exchange.sent - RECOVERY_GRACE,
         exchange.ended,
         |disruption| {
             match &disruption.component {
-                // An outage of the store alone excuses no plain request.
+                // An outage of the store alone must not affect plain requests.
                 Component::Store => kind.is_stream(),
                 Component::Node(node) => *node == exchange.node && !disruption.is_planned,
                 Component::Target(id) => runs.iter().any(|run| run.target == *id),
@@ -197,7 +230,7 @@
     if is_path_undisrupted && !has_caller_left && !answer.is_whole && !runs.is_empty() {
         let code = answer.code();
         violations.push(format!(
-            "{attempt} ran and its answer was lost ({code}, kept: {})",
+            "{attempt} ran, but its answer was lost (status {code}, reused connection: {})",
             exchange.is_connection_reused
         ));
     }
@@ -205,12 +238,15 @@
         && matches!(answer.code(), 401 | 403 | 404)
         && !is_key_replaced(events, exchange);
     if is_wrongly_denied {
-        violations.push(format!("{attempt} was denied with {}", answer.code()));
+        violations.push(format!(
+            "{attempt} was denied with {} although its key was valid",
+            answer.code()
+        ));
     }
 }
 
-/// Whether the key of a request may have been replaced before its end, or may
-/// not have been in force yet.
+/// Returns whether the key of a request may have been replaced before the request
+/// ended, or may not have been in force yet.
 fn is_key_replaced(events: &Events, exchange: &Exchange) -> bool {
     events.changes.iter().any(|change| match change.kind {
         ChangeKind::KeyRotated(version) if version == exchange.key_version => {
@@ -223,7 +259,8 @@
     })
 }
 
-/// Checks that no request ran as if a change had not been made.
+/// Checks that no request ran in contradiction to a change once the change had to be
+/// in force.
 fn check_change(
     events: &Events,
     change: &Change,
@@ -244,7 +281,7 @@
         if !is_later || !contradicts_change(events, change, run, exchange) {
             continue;
         }
-        // The node may have sent it as early as the request came.
+        // The node checks the key on arrival, which may be as early as the request was sent.
         let since = match change.kind {
             ChangeKind::KeyRotated(_) => exchange.sent,
             _ => run.at,
@@ -262,12 +299,13 @@
         }
         let late = run.at - change.at;
         violations.push(format!(
-            "{} ran at {} by node {}, {late:?} after {:?}",
+            "{} ran at {} through node {}, {late:?} after {:?}; at most {bound:?} allowed",
             run.attempt, run.target, exchange.node, change.kind
         ));
     }
 }
 
+/// Returns whether a run should not have happened once the change was in force.
 fn contradicts_change(events: &Events, change: &Change, run: &Run, exchange: &Exchange) -> bool {
     let incarnation = events
         .target_incarnations
@@ -286,7 +324,7 @@
     }
 }
 
-/// Checks that all nodes together keep to the budget of retries.
+/// Checks that all nodes together stay within the retry budget.
 fn check_retries(events: &Events, runs: &HashMap<&str, Vec<&Run>>, violations: &mut Vec<String>) {
     for is_stream in [true, false] {
         let sent: Vec<_> = events
@@ -305,14 +343,16 @@
             let count = retries.iter().filter(|at| is_in(at)).count();
             let requests = sent.iter().filter(|exchange| is_in(&exchange.sent)).count();
             if count as f64 > RETRY_RATIO * requests as f64 + RETRY_SLACK {
-                violations.push(format!("{count} retries of {requests} requests"));
+                violations.push(format!(
+                    "{count} retries of {requests} requests within {RETRY_WINDOW:?}"
+                ));
                 break;
             }
         }
     }
 }
 
-/// Checks that all nodes together spare a cold target.
+/// Checks that all nodes together limit the request rate to a cold target.
 fn check_cold_targets(events: &Events, runs: &[Run], violations: &mut Vec<String>) {
     let most = COLD_PER_SEC * COLD_RATE_FACTOR + COLD_RATE_SLACK;
     for incarnation in &events.target_incarnations {
@@ -327,7 +367,7 @@
             let count = arrivals.iter().filter(is_in).count();
             if count as f64 > most {
                 violations.push(format!(
-                    "{} got {count} in a second while cold",
+                    "{} received {count} requests in a second while cold; at most {most} allowed",
                     incarnation.id
                 ));
                 break;
@@ -336,7 +376,7 @@
     }
 }
 
-/// Checks that what crashes targets is stopped, through whichever nodes it comes.
+/// Checks that a request that crashes targets is quarantined on all nodes.
 fn check_quarantine(runs: &[Run], violations: &mut Vec<String>) {
     let mut poison = runs.iter().filter(|run| run.attempt.starts_with(POISON));
     let Some(threshold_crash) = poison.nth(POISON_CRASHES - 1) else {
@@ -346,11 +386,14 @@
         .filter(|run| run.at > threshold_crash.at + RECOVERY_GRACE)
         .count();
     if count > MAX_RUNS_AFTER_QUARANTINE {
-        violations.push(format!("{count} targets more were crashed by one request"));
+        violations.push(format!(
+            "a request crashed {count} more targets after it had to be quarantined; \
+             at most {MAX_RUNS_AFTER_QUARANTINE} allowed"
+        ));
     }
 }
 
-/// Shares of requests by outcome, for the report of a run.
+/// Returns the number of requests of each kind: complete with 200, then all others.
 pub(crate) fn summary(events: &Events) -> String {
     let count = |kind: RequestKind, is_good: bool| {
         let is_whole = |exchange: &&Exchange| {
--- a/filbertpaddle/tests/soak/main.rs
+++ b/filbertpaddle/tests/soak/main.rs
@@ -1,8 +1,9 @@
-//! Random faults from outside on real processes, and the promises that hold.
+//! Soak test: runs real node processes under a random schedule of injected faults
+//! and checks the invariants of [`invariants`].
 //!
 //! `SOAK_SEEDS=0..50 cargo test --release -p filbertpaddle --test soak -- --ignored`
-//! runs more seeds; `SOAK_NODES` sets the number of nodes of each run. Logs of
-//! the nodes lie in the target folder's `tmp/soak-SEED`.
+//! runs more seeds; `SOAK_NODES` sets the number of nodes of each run. The nodes
+//! write their logs to `tmp/soak-SEED` in the target folder.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -35,18 +36,18 @@
     faults: 14,
     span_ms: Millis(10_000),
 };
-/// How often the processes are looked at.
+/// Interval between two checks of the processes.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// From the last fault until all must be served again.
+/// Time after the last fault within which all nodes must serve again.
 const RECOVERY_TIME: Duration = Duration::from_secs(6);
-/// How long what must happen may take on a busy machine.
+/// Timeout for start-up and settling, long enough for a busy machine.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
-/// Runs at the same time when many seeds are run by hand.
+/// Number of concurrent runs when many seeds are run by hand.
 const PARALLEL_RUNS: usize = 4;
-/// Requests to each node once all is calm.
+/// Number of requests to each node after the recovery time.
 const PROBES_PER_NODE: usize = 5;
 
-/// Seeds that once failed, with the cause.
+/// Seeds that failed in the past, each with the cause.
 const FAILED: [u64; 0] = [];
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -83,7 +84,7 @@
     }
 }
 
-/// Runs the seeds side by side.
+/// Runs the schedules of all seeds concurrently and checks that no invariant is violated.
 async fn check_seeds(seeds: Range<u64>, size: &Size) {
     let runs: Vec<_> = seeds
         .map(|seed| (seed, tokio::spawn(run_schedule(seed, *size))))
@@ -100,7 +101,7 @@
     assert!(violations.is_empty(), "{violations:#?}");
 }
 
-/// Runs one schedule; returns what was broken.
+/// Runs the schedule of one seed; returns the violations.
 async fn run_schedule(seed: u64, size: Size) -> Vec<String> {
     let mut cluster = Cluster::start(&format!("soak-{seed}"), &size).await;
     wait_until_served(&cluster).await;
@@ -132,7 +133,7 @@
     violations
 }
 
-/// Lets the faults of a schedule come and go.
+/// Begins and ends each fault of a schedule at its time.
 async fn apply_schedule(cluster: &mut Cluster, faults: &[schedule::ScheduledFault]) {
     let start = Instant::now();
     let mut active_faults = HashMap::new();
@@ -153,7 +154,7 @@
     }
 }
 
-/// Looks at the processes for a while.
+/// Checks the processes regularly for a while.
 async fn watch_for(cluster: &mut Cluster, span: Duration) {
     let end = Instant::now() + span;
     while Instant::now() < end {
@@ -167,13 +168,16 @@
     let end = Instant::now() + WAIT_TIMEOUT;
     for node in 0..cluster.vms.len() {
         while traffic::probe(&cluster.addresses, node, 0).await.code() != 200 {
-            assert!(Instant::now() < end, "node {node} never serves");
+            assert!(
+                Instant::now() < end,
+                "node {node} did not answer a probe with 200 within {WAIT_TIMEOUT:?}"
+            );
             sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// Checks that all nodes serve again.
+/// Checks that all nodes serve requests again.
 async fn check_recovered(cluster: &Cluster) {
     for node in 0..cluster.vms.len() {
         for number in 0..PROBES_PER_NODE {
@@ -181,22 +185,24 @@
                 .await
                 .code();
             if code != 200 {
-                cluster
-                    .history
-                    .record_violation(format!("node {node} does not serve again: {code}"));
+                cluster.history.record_violation(format!(
+                    "node {node} answered a probe with {code} after all faults had ended"
+                ));
             }
         }
     }
 }
 
-/// Waits until all that was told to stop has, and nothing runs for nobody.
+/// Waits until all terminated nodes and poison senders have ended and no target runs
+/// a generation: no caller is left that waits for one.
 async fn wait_until_settled(cluster: &mut Cluster) {
     let end = Instant::now() + WAIT_TIMEOUT;
     while !(cluster.is_settled() && cluster.is_idle()) {
         if Instant::now() > end {
-            cluster
-                .history
-                .record_violation("generations run for nobody".to_owned());
+            cluster.history.record_violation(
+                "timed out waiting for generations, terminated nodes and poison senders to end"
+                    .to_owned(),
+            );
             return;
         }
         watch_for(cluster, POLL_INTERVAL).await;
--- a/filbertpaddle/tests/soak/schedule.rs
+++ b/filbertpaddle/tests/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! What a seed makes go wrong, and when.
+//! Random fault schedules: which faults a seed injects, and when.
 
 use filbertpaddle_adapter_standins::store;
 use filbertpaddle_adapter_standins::target::Behaviour;
@@ -9,79 +9,80 @@
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 
-/// Data centres of a cluster.
+/// Names of the cluster's data centres.
 pub(crate) const DATA_CENTRES: [&str; 2] = ["dc-a", "dc-b"];
 
-/// Sizes of the cluster and the load on it.
+/// Size of the cluster, its load and its fault schedule.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Size {
-    /// Nodes, each a process.
+    /// Number of nodes, each a process.
     pub(crate) nodes: usize,
-    /// Targets of each service.
+    /// Number of targets of each service.
     pub(crate) targets: usize,
-    /// Callers, each with one request at a time.
+    /// Number of callers, each with one request at a time.
     pub(crate) callers: usize,
-    /// Faults.
+    /// Number of faults.
     pub(crate) faults: usize,
-    /// From the first to the last fault's beginning.
+    /// Time span in which faults begin.
     pub(crate) span_ms: Millis,
 }
 
-/// What goes wrong, and where: a number of a node or of a target.
+/// An injected fault. A `usize` is the number of a node, a target or a data centre.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Fault {
-    /// The store fails.
+    /// Calls to the store fail, hang or are slow.
     Store(store::Fault),
-    /// The store's clock jumps.
+    /// The store's clock jumps forward.
     StoreClockJump,
-    /// The store forgets what changed before.
+    /// The store loses its change history.
     StoreHistoryLoss,
-    /// All targets' entries lapse while the store refuses calls, and are back
-    /// a second after it is.
+    /// The store refuses calls and loses the entries of all targets, which are
+    /// written again when it recovers.
     TargetEntriesExpiry,
-    /// The link from a node to the store.
+    /// The link from a node to the store fails.
     StoreLink(usize, Link),
-    /// The links of other nodes to one.
+    /// The links from other nodes to a node fail.
     PeerLink(usize, Link),
-    /// The links of callers to a node.
+    /// The links from callers to a node fail.
     CallerLink(usize, Link),
-    /// The links of nodes to a target.
+    /// The links from nodes to a target fail.
     TargetLink(usize, Link),
-    /// The same links, slow.
+    /// The links from nodes to a target are slow.
     TargetDelay(usize, Millis),
-    /// A target treats requests badly.
+    /// A target mishandles requests.
     TargetBehaviour(usize, Behaviour),
-    /// A caller resends what crashes each target that runs it.
+    /// A caller resends a request that crashes each target that runs it.
     Poison,
-    /// A target crashes and comes back cold.
+    /// A target crashes and restarts cold.
     TargetCrash(usize),
-    /// A target leaves, and another life of it takes its place.
+    /// A target drains and stops; its next incarnation replaces it.
     TargetDrain(usize),
-    /// A node is frozen.
+    /// A node's process is paused.
     NodePause(usize),
-    /// A node is killed and started again.
+    /// A node is killed and restarted.
     NodeKill(usize),
-    /// A node is told to stop, and its successor starts.
+    /// A node is told to stop, and a new process starts on its VM.
     NodeTerminate(usize),
-    /// A node is told to read its settings again.
+    /// A node is told to reload its settings.
     NodeReload(usize),
-    /// The customer's key is replaced.
+    /// The customer's API key is replaced.
     KeyRotation,
     /// A data centre is taken out of service.
     DataCentreOut(usize),
 }
 
-/// A fault in time.
+/// A fault with its start and end.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ScheduledFault {
-    /// When it begins, from the start of the run.
+    /// Time from the start of the run to the start of the fault.
     pub(crate) start_ms: Millis,
-    /// When it ends.
+    /// Time from the start of the run to the end of the fault.
     pub(crate) end_ms: Millis,
     pub(crate) fault: Fault,
 }
 
-/// One seed gives one schedule.
+/// Returns the schedule of a seed, sorted by start; a seed always gives the same
+/// schedule.
 pub(crate) fn generate(seed: u64, size: &Size) -> Vec<ScheduledFault> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut faults: Vec<_> = (0..size.faults)
@@ -89,7 +90,7 @@
             let start_ms = rng.random_range(1_000..1_000 + size.span_ms.0);
             let fault = random_fault(&mut rng, size);
             let duration_ms = match fault {
-                // Long enough to be judged.
+                // Long enough to check whether requests still reach the targets.
                 Fault::TargetDrain(_) | Fault::DataCentreOut(_) => 8_000,
                 _ => rng.random_range(200..4_000),
             };
--- a/filbertpaddle/tests/soak/traffic.rs
+++ b/filbertpaddle/tests/soak/traffic.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their connections open until the node is gone.
+//! Simulated callers, which send random requests over connections that they reuse.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -28,21 +28,22 @@
 use crate::history::RequestKind;
 use crate::invariants;
 
-/// Between two requests of a caller.
+/// Pause between two requests of a caller.
 const REQUEST_PAUSE_MS: std::ops::Range<u64> = 5..150;
-/// Share of callers that leave early.
+/// Share of requests that their caller may abort early.
 const ABORT_SHARE: f64 = 0.03;
-/// Share of requests on a new connection.
+/// Share of requests sent on a new connection.
 const NEW_CONNECTION_SHARE: f64 = 0.1;
-/// How often a request that crashes targets is sent, and the pause between.
+/// Number of times that a request that crashes targets is sent.
 const POISON_REQUESTS: usize = 30;
+/// Pause between two such requests.
 const POISON_PAUSE: Duration = Duration::from_millis(400);
-/// How the attempts of probes begin.
+/// Prefix of the attempt names of probes.
 pub(crate) const PROBE_PREFIX: &str = "probe-";
 const MAX_STREAM_EVENTS: u64 = 150;
 const PROMPT_TOKENS: u32 = 1_000;
 
-/// What all callers share.
+/// State shared by all callers.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerContext {
     pub(crate) addresses: Addresses,
@@ -50,7 +51,7 @@
     pub(crate) stop: Arc<AtomicBool>,
 }
 
-/// Sends requests until told to stop.
+/// Sends requests one after another until told to stop.
 pub(crate) async fn run_caller(context: CallerContext, seed: u64, number: usize) {
     let mut rng = StdRng::seed_from_u64(seed ^ (number as u64 + 1) << 32);
     let mut open: Option<(usize, Connection)> = None;
@@ -103,14 +104,14 @@
     Some((node, connection.ok()??))
 }
 
-/// Sends one request on a new connection, which is not judged with the others.
+/// Sends one request on a new connection. Probes are not recorded in the history.
 pub(crate) async fn probe(addresses: &Addresses, node: usize, number: usize) -> Got {
     let attempt = format!("{PROBE_PREFIX}{node}-{number}");
     let request = build_request(RequestKind::Read, attempt, 0, addresses.key_version());
     caller::send(addresses.address(node), &request).await
 }
 
-/// Resends through one node after another what crashes its targets.
+/// Sends a request that crashes targets through one node after another.
 pub(crate) async fn send_poison(addresses: Addresses, history: History) {
     for number in 0..POISON_REQUESTS {
         let node = number % addresses.count();
