--- a/filbertpaddle/src/claim_actor.rs
+++ b/filbertpaddle/src/claim_actor.rs
@@ -161,7 +161,7 @@
             Action::Read(ids) => self.read(ids, address),
             Action::SendQuery { holder, query } => self.query_status(&holder, query, address),
             Action::SendReply { to, reply } => {
-                let message = Message::Claim(claim::Message::Tell(reply));
+                let message = Message::Claim(claim::Message::StatusReply(reply));
                 self.peers.send(&to, message);
             }
             Action::Decide { attempt, decision } => self.decide(&attempt, decision, address),
@@ -203,7 +203,7 @@
             attempt: query.attempt.clone(),
             status: Status::Gone,
         };
-        let message = Message::Claim(claim::Message::Ask(query));
+        let message = Message::Claim(claim::Message::StatusQuery(query));
         let wait = match self.peers.send(holder, message) {
             true => STATUS_QUERY_TIMEOUT,
             false => Duration::ZERO,
--- a/filbertpaddle/src/claims.rs
+++ b/filbertpaddle/src/claims.rs
@@ -339,12 +339,12 @@
     while let Some(Incoming { peer, message }) = inbox.recv().await {
         let from = peer.name;
         let sent = match message {
-            Message::Ask(query) => {
+            Message::StatusQuery(query) => {
                 actor
                     .send(CoreEvent(Event::QueryReceived { from, query }))
                     .await
             }
-            Message::Tell(reply) => actor.send(CoreEvent(Event::ReplyReceived(reply))).await,
+            Message::StatusReply(reply) => actor.send(CoreEvent(Event::ReplyReceived(reply))).await,
             Message::Commit { sequence, changes } => {
                 let change_set = ChangeSet {
                     from,
@@ -353,7 +353,10 @@
                 };
                 committer.send(Submit(change_set)).await
             }
-            Message::Committed { sequence, answer } => {
+            Message::Committed {
+                sequence,
+                result: answer,
+            } => {
                 let settled = TransactionSettled {
                     committer: from,
                     sequence,
--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -181,7 +181,7 @@
             !must_share,
         );
         if let Some((relay, beat)) = beat {
-            self.send_member(now, &relay.id, wire::Message::Beat(beat));
+            self.send_member(now, &relay.id, wire::Message::Heartbeat(beat));
         }
     }
 
@@ -342,7 +342,7 @@
 
     pub(crate) fn on_member(&mut self, now: Millis, from: &NodeId, message: wire::Message) {
         match message {
-            wire::Message::Beat(beat) => {
+            wire::Message::Heartbeat(beat) => {
                 let roster = &self.record.roster;
                 let answer = self.relay.on_heartbeat(now, from, &beat, roster);
                 if beat.version < roster.version {
@@ -389,7 +389,7 @@
 
     pub(crate) fn on_grant_message(&mut self, now: Millis, from: &NodeId, message: grant::Message) {
         let name = match &message {
-            grant::Message::Ask(name, _)
+            grant::Message::SlotRequest(name, _)
             | grant::Message::Stamp(name, _)
             | grant::Message::Withdraw(name, _)
             | grant::Message::Grant(name, _)
@@ -397,8 +397,8 @@
             | grant::Message::Release(name, _, _)
             | grant::Message::Deny(name, _, _)
             | grant::Message::Suspect(name, _, _)
-            | grant::Message::Collect(name, _)
-            | grant::Message::Holding(name, _) => name.clone(),
+            | grant::Message::CollectRequest(name, _)
+            | grant::Message::CollectReply(name, _) => name.clone(),
         };
         if let Some(pool) = self.pools.get_mut(&name) {
             pool.on_message(now, from, message);
--- a/filbertpaddle/tests/soak/history.rs
+++ b/filbertpaddle/tests/soak/history.rs
@@ -1,4 +1,4 @@
-//! What happened in a run, as callers and the faults' author saw it.
+//! Record of a run: requests with their answers, disruptions, changes and violations.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -9,26 +9,27 @@
 
 use filbertpaddle_adapter_standins::caller::ReceivedAnswer;
 
-/// How often it is looked whether this process gets processor time, and how long
-/// it may have got none: half of what an answer may be late.
-const TICK: Duration = Duration::from_millis(20);
-const STALL: Duration = Duration::from_millis(250);
+/// Interval of the check whether this process gets processor time.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time without processor time that counts as a disruption: half of the lateness
+/// allowed for an answer.
+const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 
-/// What a request is.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
-pub(crate) enum Kind {
-    /// Idempotent and short.
+pub(crate) enum RequestKind {
+    /// An idempotent plain request.
     Read,
-    /// Short, and run at most once.
+    /// A plain request that may run at most once.
     Write,
-    /// A generation that runs once.
+    /// A generation that may run at most once.
     Stream,
     /// A generation that may be resumed.
     Resumable,
 }
 
-impl Kind {
+impl RequestKind {
     pub(crate) fn is_idempotent(self) -> bool {
         matches!(self, Self::Read | Self::Resumable)
     }
@@ -38,71 +39,71 @@
     }
 }
 
-/// A request and what came of it.
+/// A request and its answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Exchange {
     pub(crate) attempt: String,
-    pub(crate) kind: Kind,
-    /// Events of a stream.
+    pub(crate) kind: RequestKind,
+    /// Number of events of a stream; zero for a plain request.
     pub(crate) events: u64,
-    /// Number of the node.
+    /// Number of the node that received the request.
     pub(crate) node: usize,
-    /// Version of the configuration whose key was sent.
-    pub(crate) key: u64,
+    /// Version of the API key that was sent.
+    pub(crate) key_version: u64,
     pub(crate) sent: Instant,
     pub(crate) ended: Instant,
-    /// Whether it went on a connection that had been used.
-    pub(crate) is_kept: bool,
-    /// How long its caller waited.
-    pub(crate) patience_ms: u64,
-    pub(crate) got: ReceivedAnswer,
+    /// Whether the request was sent on a connection that was already open.
+    pub(crate) is_connection_reused: bool,
+    /// Time after which the caller aborts the request.
+    pub(crate) caller_timeout_ms: u64,
+    pub(crate) answer: ReceivedAnswer,
 }
 
-/// Where something was wrong.
+/// A component that can be disrupted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Place {
+pub(crate) enum Component {
     Store,
     Node(usize),
-    /// A target by its identity.
+    /// The target with this identity.
     Target(String),
-    /// The machine: this process itself got no processor time.
+    /// The machine that runs the test, when this process got no processor time.
     Machine,
 }
 
-/// A time in which something was wrong.
+/// A period in which a component was disrupted.
 #[derive(Clone, Debug)]
 pub(crate) struct Disruption {
-    pub(crate) place: Place,
-    /// A stop or leave that was asked for, or settings that changed.
+    pub(crate) component: Component,
+    /// Whether it is a requested stop or drain, or a reload of settings.
     pub(crate) is_planned: bool,
     pub(crate) from: Instant,
-    /// `None` as long as it lasts.
+    /// End of the period; `None` while it lasts.
     pub(crate) to: Option<Instant>,
 }
 
-/// A change that must be in force some time after it was made.
+/// A change that must take effect within a limited time.
 #[derive(Clone, Debug)]
 pub(crate) struct Change {
-    pub(crate) what: What,
+    pub(crate) kind: ChangeKind,
     pub(crate) at: Instant,
-    /// When it was taken back.
+    /// When the change was reverted; `None` while it is in force.
     pub(crate) to: Option<Instant>,
 }
 
-/// What changed.
+/// Kind of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum What {
-    /// The key of this version replaced all before.
-    Key(u64),
-    /// Targets of this data centre are to get nothing.
-    Out(String),
-    /// This life of a target leaves; identity and life.
-    Leaves(String, u64),
+pub(crate) enum ChangeKind {
+    /// The API key of this version replaced all earlier ones.
+    KeyRotated(u64),
+    /// This data centre is out of service; its targets must receive no requests.
+    DataCentreOut(String),
+    /// A target drains; its identity and the number of its incarnation.
+    TargetDraining(String, u64),
 }
 
-/// A life of a target.
+/// One incarnation of a target.
 #[derive(Clone, Debug)]
-pub(crate) struct Life {
+pub(crate) struct TargetIncarnation {
     pub(crate) id: String,
     pub(crate) data_centre: String,
     pub(crate) number: u64,
@@ -110,17 +111,18 @@
     pub(crate) cold: Duration,
 }
 
+/// Everything recorded in a run.
 #[derive(Debug, Default)]
 pub(crate) struct Events {
     pub(crate) exchanges: Vec<Exchange>,
     pub(crate) disruptions: Vec<Disruption>,
     pub(crate) changes: Vec<Change>,
-    pub(crate) lives: Vec<Life>,
-    /// Promises that were broken.
-    pub(crate) broken: Vec<String>,
+    pub(crate) target_incarnations: Vec<TargetIncarnation>,
+    /// Descriptions of violated invariants.
+    pub(crate) violations: Vec<String>,
 }
 
-/// All that happened.
+/// Shared handle to the record of a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct History(Arc<Mutex<Events>>);
 
@@ -129,11 +131,11 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that something is wrong from now on; returns its number.
-    pub(crate) fn disrupt(&self, place: Place, is_planned: bool) -> usize {
+    /// Records that a disruption begins now; returns its number.
+    pub(crate) fn begin_disruption(&self, component: Component, is_planned: bool) -> usize {
         let mut events = self.events();
         events.disruptions.push(Disruption {
-            place,
+            component,
             is_planned,
             from: Instant::now(),
             to: None,
@@ -141,72 +143,77 @@
         events.disruptions.len() - 1
     }
 
-    /// Notes that a target has been down since a moment; returns its number.
-    pub(crate) fn disrupt_since(&self, from: Instant, place: Place) -> usize {
-        let number = self.disrupt(place, false);
+    /// Records an unplanned disruption that began at `from`; returns its number.
+    pub(crate) fn begin_disruption_at(&self, from: Instant, component: Component) -> usize {
+        let number = self.begin_disruption(component, false);
         self.events().disruptions[number].from = from;
         number
     }
 
-    /// Watches whether this process gets processor time, until the history ends.
-    pub(crate) fn watch_machine(&self) {
+    /// Records periods in which this process gets no processor time, until the history
+    /// is dropped.
+    pub(crate) fn watch_for_stalls(&self) {
         let events = Arc::downgrade(&self.0);
         std::thread::spawn(move || {
             let mut last = Instant::now();
             while let Some(events) = events.upgrade() {
                 let now = Instant::now();
-                if now - last > STALL {
-                    Self(events).stalled(last, now);
+                if now - last > STALL_THRESHOLD {
+                    Self(events).record_stall(last, now);
                 }
                 last = now;
-                std::thread::sleep(TICK);
+                std::thread::sleep(STALL_CHECK_INTERVAL);
             }
         });
     }
 
-    fn stalled(&self, from: Instant, to: Instant) {
-        eprintln!("the machine stalled for {:?}", to - from);
-        let number = self.disrupt_since(from, Place::Machine);
+    fn record_stall(&self, from: Instant, to: Instant) {
+        eprintln!(
+            "no processor time for {:?}; recorded as a disruption of the machine",
+            to - from
+        );
+        let number = self.begin_disruption_at(from, Component::Machine);
         self.events().disruptions[number].to = Some(to);
     }
 
-    /// Notes that it is no longer.
-    pub(crate) fn calm(&self, number: usize) {
+    /// Records that a disruption ends now.
+    pub(crate) fn end_disruption(&self, number: usize) {
         self.events().disruptions[number].to = Some(Instant::now());
     }
 
-    /// Notes a change that was just made; returns its number.
-    pub(crate) fn change(&self, what: What) -> usize {
+    /// Records a change that was just made; returns its number.
+    pub(crate) fn record_change(&self, kind: ChangeKind) -> usize {
         let mut events = self.events();
         events.changes.push(Change {
-            what,
+            kind,
             at: Instant::now(),
             to: None,
         });
         events.changes.len() - 1
     }
 
-    /// Notes that a change is about to be taken back.
-    pub(crate) fn take_back(&self, number: usize) {
+    /// Records that a change is about to be reverted.
+    pub(crate) fn end_change(&self, number: usize) {
         self.events().changes[number].to = Some(Instant::now());
     }
 
-    pub(crate) fn broken(&self, what: String) {
-        eprintln!("broken: {what}");
-        self.events().broken.push(what);
+    pub(crate) fn record_violation(&self, violation: String) {
+        eprintln!("violation: {violation}");
+        self.events().violations.push(violation);
     }
 }
 
 impl Events {
-    /// Whether nothing that `counts` was wrong between two moments.
-    pub(crate) fn is_calm<C>(&self, from: Instant, to: Instant, counts: C) -> bool
+    /// Returns whether no relevant disruption overlaps the period; disruptions of the
+    /// machine are always relevant.
+    pub(crate) fn is_undisrupted<C>(&self, from: Instant, to: Instant, is_relevant: C) -> bool
     where
         C: Fn(&Disruption) -> bool,
     {
         !self.disruptions.iter().any(|disruption| {
             let is_over = disruption.to.is_some_and(|end| end < from);
-            let is_counted = disruption.place == Place::Machine || counts(disruption);
-            disruption.from <= to && !is_over && is_counted
+            let applies = disruption.component == Component::Machine || is_relevant(disruption);
+            disruption.from <= to && !is_over && applies
         })
     }
 }
--- a/filbertpaddle/tests/soak/schedule.rs
+++ b/filbertpaddle/tests/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! What a seed makes go wrong, and when.
+//! Random fault schedules: which faults a seed injects, and when.
 
 use filbertpaddle_adapter_standins::store;
 use filbertpaddle_adapter_standins::target::Behaviour;
@@ -9,105 +9,106 @@
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 
-/// Data centres of a cluster.
+/// Names of the cluster's data centres.
 pub(crate) const DATA_CENTRES: [&str; 2] = ["dc-a", "dc-b"];
 
-/// Sizes of the cluster and the load on it.
+/// Size of the cluster, its load and its fault schedule.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Size {
-    /// Nodes, each a process.
+    /// Number of nodes, each a process.
     pub(crate) nodes: usize,
-    /// Targets of each service.
+    /// Number of targets of each service.
     pub(crate) targets: usize,
-    /// Callers, each with one request at a time.
+    /// Number of callers, each with one request at a time.
     pub(crate) callers: usize,
-    /// Faults.
+    /// Number of faults.
     pub(crate) faults: usize,
-    /// From the first to the last fault's beginning.
+    /// Time span in which faults begin.
     pub(crate) span_ms: Millis,
 }
 
-/// What goes wrong, and where: a number of a node or of a target.
+/// An injected fault. A `usize` is the number of a node, a target or a data centre.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Fault {
-    /// The store fails.
+    /// Calls to the store fail, hang or are slow.
     Store(store::Fault),
-    /// The store's clock jumps.
-    StoreClock,
-    /// The store forgets what changed before.
-    HistoryGone,
-    /// All targets' entries lapse while the store refuses calls, and are back
-    /// a second after it is.
-    EntriesLapse,
-    /// The link from a node to the store.
+    /// The store's clock jumps forward.
+    StoreClockJump,
+    /// The store loses its change history.
+    StoreHistoryLoss,
+    /// The store refuses calls and loses the entries of all targets, which are
+    /// written again when it recovers.
+    TargetEntriesExpiry,
+    /// The link from a node to the store fails.
     StoreLink(usize, Link),
-    /// The links of other nodes to one.
+    /// The links from other nodes to a node fail.
     PeerLink(usize, Link),
-    /// The links of callers to a node.
+    /// The links from callers to a node fail.
     CallerLink(usize, Link),
-    /// The links of nodes to a target.
+    /// The links from nodes to a target fail.
     TargetLink(usize, Link),
-    /// The same links, slow.
+    /// The links from nodes to a target are slow.
     TargetDelay(usize, Millis),
-    /// A target treats requests badly.
-    Behaviour(usize, Behaviour),
-    /// A caller resends what crashes each target that runs it.
+    /// A target mishandles requests.
+    TargetBehaviour(usize, Behaviour),
+    /// A caller resends a request that crashes each target that runs it.
     Poison,
-    /// A target crashes and comes back cold.
+    /// A target crashes and restarts cold.
     TargetCrash(usize),
-    /// A target leaves, and another life of it takes its place.
-    TargetLeaves(usize),
-    /// A node is frozen.
-    Pause(usize),
-    /// A node is killed and started again.
-    Kill(usize),
-    /// A node is told to stop, and its successor starts.
-    Terminate(usize),
-    /// A node is told to read its settings again.
-    Reload(usize),
-    /// The customer's key is replaced.
-    NewKey,
+    /// A target drains and stops; its next incarnation replaces it.
+    TargetDrain(usize),
+    /// A node's process is paused.
+    NodePause(usize),
+    /// A node is killed and restarted.
+    NodeKill(usize),
+    /// A node is told to stop, and a new process starts on its VM.
+    NodeTerminate(usize),
+    /// A node is told to reload its settings.
+    NodeReload(usize),
+    /// The customer's API key is replaced.
+    KeyRotation,
     /// A data centre is taken out of service.
     DataCentreOut(usize),
 }
 
-/// A fault in time.
+/// A fault with its start and end.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Event {
-    /// When it begins, from the start of the run.
-    pub(crate) at_ms: Millis,
-    /// When it ends.
-    pub(crate) until_ms: Millis,
+pub(crate) struct ScheduledFault {
+    /// Time from the start of the run to the start of the fault.
+    pub(crate) start_ms: Millis,
+    /// Time from the start of the run to the end of the fault.
+    pub(crate) end_ms: Millis,
     pub(crate) fault: Fault,
 }
 
-/// One seed gives one schedule.
-pub(crate) fn draw(seed: u64, size: &Size) -> Vec<Event> {
+/// Returns the schedule of a seed, sorted by start; a seed always gives the same
+/// schedule.
+pub(crate) fn generate(seed: u64, size: &Size) -> Vec<ScheduledFault> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut events: Vec<_> = (0..size.faults)
+    let mut faults: Vec<_> = (0..size.faults)
         .map(|_| {
-            let at_ms = rng.random_range(1_000..1_000 + size.span_ms.0);
-            let fault = draw_fault(&mut rng, size);
-            let for_ms = match fault {
-                // Long enough to be judged.
-                Fault::TargetLeaves(_) | Fault::DataCentreOut(_) => 8_000,
+            let start_ms = rng.random_range(1_000..1_000 + size.span_ms.0);
+            let fault = random_fault(&mut rng, size);
+            let duration_ms = match fault {
+                // Long enough to check whether requests still reach the targets.
+                Fault::TargetDrain(_) | Fault::DataCentreOut(_) => 8_000,
                 _ => rng.random_range(200..4_000),
             };
-            Event {
-                at_ms: Millis(at_ms),
-                until_ms: Millis(at_ms + for_ms),
+            ScheduledFault {
+                start_ms: Millis(start_ms),
+                end_ms: Millis(start_ms + duration_ms),
                 fault,
             }
         })
         .collect();
-    events.sort_by_key(|event| event.at_ms);
-    events
+    faults.sort_by_key(|fault| fault.start_ms);
+    faults
 }
 
-fn draw_fault(rng: &mut StdRng, size: &Size) -> Fault {
+fn random_fault(rng: &mut StdRng, size: &Size) -> Fault {
     let node = rng.random_range(0..size.nodes);
     let target = rng.random_range(0..2 * size.targets);
-    let link = one_of(
+    let link = choose_one(
         rng,
         &[
             Link::Cut,
@@ -118,7 +119,7 @@
         ],
     );
     match rng.random_range(0..21) {
-        0 | 1 => Fault::Store(one_of(
+        0 | 1 => Fault::Store(choose_one(
             rng,
             &[
                 store::Fault::Unavailable,
@@ -128,17 +129,17 @@
                 store::Fault::Slow,
             ],
         )),
-        2 => Fault::StoreClock,
-        3 => Fault::HistoryGone,
-        4 => Fault::EntriesLapse,
+        2 => Fault::StoreClockJump,
+        3 => Fault::StoreHistoryLoss,
+        4 => Fault::TargetEntriesExpiry,
         5 => Fault::StoreLink(node, link),
         6 => Fault::PeerLink(node, link),
         7 => Fault::CallerLink(node, link),
         8 => Fault::TargetLink(target, link),
         9 => Fault::TargetDelay(target, Millis(rng.random_range(5..300))),
-        10 | 11 => Fault::Behaviour(
+        10 | 11 => Fault::TargetBehaviour(
             target,
-            one_of(
+            choose_one(
                 rng,
                 &[
                     Behaviour::Full,
@@ -152,17 +153,17 @@
         ),
         19 => Fault::Poison,
         12 => Fault::TargetCrash(target),
-        13 | 14 => Fault::TargetLeaves(target),
-        15 => Fault::Pause(node),
-        16 => Fault::Kill(node),
-        17 => Fault::Terminate(node),
-        18 => Fault::Reload(node),
-        _ if rng.random_bool(0.5) => Fault::NewKey,
+        13 | 14 => Fault::TargetDrain(target),
+        15 => Fault::NodePause(node),
+        16 => Fault::NodeKill(node),
+        17 => Fault::NodeTerminate(node),
+        18 => Fault::NodeReload(node),
+        _ if rng.random_bool(0.5) => Fault::KeyRotation,
         _ => Fault::DataCentreOut(rng.random_range(0..DATA_CENTRES.len())),
     }
 }
 
-fn one_of<T>(rng: &mut StdRng, list: &[T]) -> T
+fn choose_one<T>(rng: &mut StdRng, list: &[T]) -> T
 where
     T: Copy,
 {
