--- a/filbertpaddle-standins/examples/placement/pool.rs
+++ b/filbertpaddle-standins/examples/placement/pool.rs
@@ -15,7 +15,7 @@
 use filbertpaddle_core::scheduler::SlotRequest;
 use filbertpaddle_core::scheduler::TargetView;
 use filbertpaddle_standins::batch::Step;
-use filbertpaddle_standins::scheduler as engine;
+use filbertpaddle_standins::batch_scheduler as engine;
 use indexmap::IndexMap;
 
 use crate::report::Report;
@@ -45,7 +45,7 @@
 }
 
 struct Target {
-    engine: engine::Scheduler,
+    engine: engine::BatchScheduler,
     step: Option<Step>,
     attempts: IndexMap<Name, Attempt>,
     late: VecDeque<Load>,
@@ -274,7 +274,7 @@
 
 impl Target {
     fn new(settings: engine::Settings) -> Self {
-        let mut engine = engine::Scheduler::new(settings, 0);
+        let mut engine = engine::BatchScheduler::new(settings, 0);
         engine.turn_warm(0);
         Self {
             engine,
--- a/filbertpaddle-standins/src/scheduler.rs
+++ b/filbertpaddle-standins/src/batch_scheduler.rs
@@ -99,7 +99,7 @@
 
 /// The batch, the queue and the memory of one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Scheduler {
+pub struct BatchScheduler {
     settings: Settings,
     running: Vec<Sequence>,
     waiting: BTreeMap<Rank, Sequence>,
@@ -111,7 +111,7 @@
     totals: Totals,
 }
 
-impl Scheduler {
+impl BatchScheduler {
     /// Creates a cold engine.
     pub fn new(settings: Settings, now_us: u64) -> Self {
         let warm_at_us = now_us + settings.warm_up_us;
--- a/filbertpaddle-standins/src/cluster.rs
+++ b/filbertpaddle-standins/src/cluster.rs
@@ -19,10 +19,10 @@
 
 use crate::child;
 use crate::child::Child;
-use crate::faults::Faults;
-use crate::faults::Outage;
 use crate::fleet::Fleet;
 use crate::node_settings;
+use crate::platform_faults::Faults;
+use crate::platform_faults::Outage;
 use crate::usage;
 use crate::usage::Usage;
 
--- a/filbertpaddle-standins/src/engine.rs
+++ b/filbertpaddle-standins/src/engine.rs
@@ -9,11 +9,11 @@
 use filbertpaddle_core::clock::Millis;
 use tokio::task::JoinHandle;
 
+use crate::batch_scheduler;
 use crate::engine_fault::Fault;
 use crate::engine_http;
 use crate::engine_state::Counters;
 use crate::engine_state::State;
-use crate::scheduler;
 use crate::server::Server;
 
 /// How often load snapshots are taken.
@@ -31,7 +31,7 @@
     /// How many times faster than real time the engine works.
     pub speed: f64,
     /// Memory, limits and pace.
-    pub scheduler: scheduler::Settings,
+    pub scheduler: batch_scheduler::Settings,
     /// Whether the engine starts warm.
     pub starts_warm: bool,
     /// Whether submissions and orders with an old fencing number are refused.
@@ -62,7 +62,7 @@
             control: any_port,
             seed: 1,
             speed: 1.0,
-            scheduler: scheduler::Settings::default(),
+            scheduler: batch_scheduler::Settings::default(),
             starts_warm: true,
             checks_fence: true,
             refuses_when_leaving: false,
--- a/filbertpaddle-standins/src/engine_state.rs
+++ b/filbertpaddle-standins/src/engine_state.rs
@@ -28,12 +28,12 @@
 use crate::batch::Submitted;
 use crate::batch::Totals;
 use crate::batch::Work;
+use crate::batch_scheduler::BatchScheduler;
+use crate::batch_scheduler::TOKEN_BYTES;
 use crate::engine::Settings;
 use crate::engine_fault::Fault;
 use crate::lengths;
 use crate::marker::marker;
-use crate::scheduler::Scheduler;
-use crate::scheduler::TOKEN_BYTES;
 
 /// Most attempts that are remembered after their end.
 const MAX_ENDED: usize = 8_192;
@@ -91,7 +91,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    scheduler: Scheduler,
+    scheduler: BatchScheduler,
     attempts: IndexMap<Name, Attempt>,
     ended: VecDeque<Name>,
     snapshots: VecDeque<Snapshot>,
@@ -123,7 +123,7 @@
 
 impl State {
     pub(crate) fn new(settings: Settings) -> Self {
-        let mut scheduler = Scheduler::new(settings.scheduler.clone(), 0);
+        let mut scheduler = BatchScheduler::new(settings.scheduler.clone(), 0);
         if settings.starts_warm {
             scheduler.turn_warm(0);
         }
@@ -350,7 +350,7 @@
         inner.ended.clear();
         inner.snapshots.clear();
         inner.past_totals = inner.all_totals();
-        inner.scheduler = Scheduler::new(self.settings.scheduler.clone(), self.now_us());
+        inner.scheduler = BatchScheduler::new(self.settings.scheduler.clone(), self.now_us());
         self.life.notify_one();
     }
 
@@ -358,7 +358,7 @@
     pub(crate) fn restart(&self) {
         let now_us = self.now_us();
         let mut inner = self.lock();
-        inner.scheduler = Scheduler::new(self.settings.scheduler.clone(), now_us);
+        inner.scheduler = BatchScheduler::new(self.settings.scheduler.clone(), now_us);
         inner.loaded = LoadedState::default();
         inner.incarnation += 1;
         inner.alive = true;
--- a/filbertpaddle-standins/src/platform.rs
+++ b/filbertpaddle-standins/src/platform.rs
@@ -25,14 +25,14 @@
 use serde::Serialize;
 use tokio::sync::watch;
 
-use crate::faults::Faults;
-use crate::faults::Loss;
-use crate::faults::Outage;
-use crate::limiter::Limiter;
+use crate::platform_faults::Faults;
+use crate::platform_faults::Loss;
+use crate::platform_faults::Outage;
 use crate::platform_http;
+use crate::rate_limiter::RateLimiter;
 use crate::server::Server;
 use crate::table::Table;
-use crate::vms::History;
+use crate::vm_list_history::VmListHistory;
 
 /// A running platform stand-in.
 ///
@@ -95,10 +95,10 @@
 struct Inner {
     table: Table,
     objects: HashMap<String, Bytes>,
-    vms: History,
-    writes: Limiter,
-    reads: Limiter,
-    loads: Limiter,
+    vms: VmListHistory,
+    writes: RateLimiter,
+    reads: RateLimiter,
+    loads: RateLimiter,
     counts: Counts,
 }
 
@@ -184,10 +184,10 @@
         let inner = Inner {
             table: Table::default(),
             objects: HashMap::new(),
-            vms: History::default(),
-            writes: Limiter::new(now),
-            reads: Limiter::new(now),
-            loads: Limiter::new(now),
+            vms: VmListHistory::default(),
+            writes: RateLimiter::new(now),
+            reads: RateLimiter::new(now),
+            loads: RateLimiter::new(now),
             counts: Counts::default(),
         };
         Self {
--- a/filbertpaddle-standins/src/platform_http.rs
+++ b/filbertpaddle-standins/src/platform_http.rs
@@ -17,10 +17,10 @@
 use warp::path::Tail;
 use warp::reply::Response;
 
-use crate::faults::Faults;
-use crate::faults::Loss;
 use crate::platform::Refusal;
 use crate::platform::State;
+use crate::platform_faults::Faults;
+use crate::platform_faults::Loss;
 
 /// Routes of the platform's protocol.
 pub(crate) fn platform(
--- a/filbertpaddle-standins/src/pool.rs
+++ b/filbertpaddle-standins/src/pool.rs
@@ -26,8 +26,8 @@
 use tokio::sync::oneshot;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::scheduler::BLOCK_TOKENS;
-use crate::scheduler::TOKEN_BYTES;
+use crate::batch_scheduler::BLOCK_TOKENS;
+use crate::batch_scheduler::TOKEN_BYTES;
 use crate::workload::Ask;
 
 /// Time between two load reports of a target.
--- a/filbertpaddle-standins/src/limiter.rs
+++ b/filbertpaddle-standins/src/rate_limiter.rs
@@ -4,12 +4,12 @@
 
 /// Allows a number of events a second, with a burst of one tenth of that or one event.
 #[derive(Clone, Debug)]
-pub struct Limiter {
+pub struct RateLimiter {
     allowance: f64,
     last: Instant,
 }
 
-impl Limiter {
+impl RateLimiter {
     /// Makes a limiter whose burst is unused.
     pub fn new(now: Instant) -> Self {
         Self {
--- a/filbertpaddle-standins/src/report.rs
+++ b/filbertpaddle-standins/src/report.rs
@@ -295,7 +295,7 @@
         .filter(|record| !record.ask.kind.is_call())
         .map(|record| record.ask.prompt().len())
         .sum();
-    let prompt_tokens = prompt_bytes / crate::scheduler::TOKEN_BYTES;
+    let prompt_tokens = prompt_bytes / crate::batch_scheduler::TOKEN_BYTES;
     totals.cached_tokens as f64 * 100.0 / prompt_tokens.max(1) as f64
 }
 
--- a/filbertpaddle-standins/src/vms.rs
+++ b/filbertpaddle-standins/src/vm_list_history.rs
@@ -6,18 +6,18 @@
 use filbertpaddle_platform::protocol::VmList;
 
 /// Past lists that are kept for answers that lag.
-const MAX_HISTORY: usize = 64;
+const MAX_LISTS: usize = 64;
 
 /// The list of VMs as it changed over time.
 #[derive(Clone, Debug, Default)]
-pub struct History {
+pub struct VmListHistory {
     lists: Vec<(Instant, VmList)>,
 }
 
-impl History {
+impl VmListHistory {
     /// Sets the list as of now.
     pub fn set(&mut self, list: VmList, now: Instant) {
-        if self.lists.len() == MAX_HISTORY {
+        if self.lists.len() == MAX_LISTS {
             self.lists.remove(0);
         }
         self.lists.push((now, list));
--- a/filbertpaddle-standins/tests/scheduler.rs
+++ b/filbertpaddle-standins/tests/batch_scheduler.rs
@@ -6,9 +6,9 @@
 use filbertpaddle_core::template::Priority;
 use filbertpaddle_standins::batch::Submitted;
 use filbertpaddle_standins::batch::Work;
-use filbertpaddle_standins::scheduler::BLOCK_TOKENS;
-use filbertpaddle_standins::scheduler::Scheduler;
-use filbertpaddle_standins::scheduler::Settings;
+use filbertpaddle_standins::batch_scheduler::BLOCK_TOKENS;
+use filbertpaddle_standins::batch_scheduler::BatchScheduler;
+use filbertpaddle_standins::batch_scheduler::Settings;
 use filbertpaddle_target::protocol::EndCause;
 use rand::Rng;
 use rand::RngExt;
@@ -38,8 +38,8 @@
     }
 }
 
-fn warm() -> Scheduler {
-    let mut scheduler = Scheduler::new(settings(), 0);
+fn warm() -> BatchScheduler {
+    let mut scheduler = BatchScheduler::new(settings(), 0);
     scheduler.turn_warm(0);
     scheduler
 }
@@ -64,7 +64,7 @@
 }
 
 /// Steps until nothing is left; returns the tokens of each attempt.
-fn run(scheduler: &mut Scheduler, mut now_us: u64) -> BTreeMap<Name, u32> {
+fn run(scheduler: &mut BatchScheduler, mut now_us: u64) -> BTreeMap<Name, u32> {
     let mut tokens = BTreeMap::new();
     while let Some(step) = scheduler.step(now_us) {
         now_us += step.duration_us;
@@ -165,7 +165,7 @@
 
 #[test]
 fn a_waiting_attempt_of_higher_priority_goes_first() {
-    let mut scheduler = Scheduler::new(
+    let mut scheduler = BatchScheduler::new(
         Settings {
             warm_limit: 1,
             ..settings()
@@ -182,7 +182,7 @@
 
 #[test]
 fn a_cold_engine_bears_its_limit_and_no_more() {
-    let mut scheduler = Scheduler::new(settings(), 0);
+    let mut scheduler = BatchScheduler::new(settings(), 0);
     assert_eq!(scheduler.submit(0, work("a", 1, 50)), Submitted::Waiting);
     assert_eq!(scheduler.submit(0, work("b", 1, 50)), Submitted::Waiting);
     assert_eq!(scheduler.submit(0, work("c", 1, 50)), Submitted::Collapsed);
@@ -196,7 +196,8 @@
         scheduler.submit(0, work(&format!("w{id}"), 1, 50));
     }
     scheduler.turn_cold(500);
-    let late = |scheduler: &mut Scheduler, now_us| scheduler.submit(now_us, work("late", 1, 5));
+    let late =
+        |scheduler: &mut BatchScheduler, now_us| scheduler.submit(now_us, work("late", 1, 5));
     assert_eq!(late(&mut scheduler, 600), Submitted::Waiting);
     assert_eq!(late(&mut scheduler, 200_000), Submitted::Collapsed);
     assert_eq!(scheduler.totals().cold_excess_in_grace, 1);
@@ -205,7 +206,7 @@
 #[test]
 fn a_cold_step_takes_longer() {
     let duration_us = |warm: bool| {
-        let mut scheduler = Scheduler::new(settings(), 0);
+        let mut scheduler = BatchScheduler::new(settings(), 0);
         if warm {
             scheduler.turn_warm(0);
         }
--- a/filbertpaddle-standins/tests/engine.rs
+++ b/filbertpaddle-standins/tests/engine.rs
@@ -7,10 +7,10 @@
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::template::Priority;
+use filbertpaddle_standins::batch_scheduler;
 use filbertpaddle_standins::engine;
 use filbertpaddle_standins::engine::Engine;
 use filbertpaddle_standins::engine_fault::Fault;
-use filbertpaddle_standins::scheduler;
 use filbertpaddle_standins::service;
 use filbertpaddle_standins::service::Service;
 use filbertpaddle_target::client;
@@ -211,10 +211,10 @@
 async fn a_cold_engine_collapses_beyond_its_limit() {
     let settings = engine::Settings {
         starts_warm: false,
-        scheduler: scheduler::Settings {
+        scheduler: batch_scheduler::Settings {
             cold_limit: 2,
             warm_up_us: 3_600_000_000,
-            ..scheduler::Settings::default()
+            ..batch_scheduler::Settings::default()
         },
         ..settings()
     };
--- a/filbertpaddle-standins/tests/platform.rs
+++ b/filbertpaddle-standins/tests/platform.rs
@@ -16,10 +16,10 @@
 use filbertpaddle_platform::protocol::Transaction;
 use filbertpaddle_platform::protocol::WeightLeaseRequest;
 use filbertpaddle_platform::protocol::Write;
-use filbertpaddle_standins::faults::Faults;
-use filbertpaddle_standins::faults::Loss;
-use filbertpaddle_standins::faults::Outage;
 use filbertpaddle_standins::platform::Platform;
+use filbertpaddle_standins::platform_faults::Faults;
+use filbertpaddle_standins::platform_faults::Loss;
+use filbertpaddle_standins::platform_faults::Outage;
 
 async fn start() -> (Platform, Client) {
     let platform = Platform::start(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))
--- a/filbertpaddle/tests/availability.rs
+++ b/filbertpaddle/tests/availability.rs
@@ -20,8 +20,8 @@
 use filbertpaddle_core::config::ServiceState;
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_standins::engine_state::Counters;
-use filbertpaddle_standins::faults::Faults;
-use filbertpaddle_standins::faults::Outage;
+use filbertpaddle_standins::platform_faults::Faults;
+use filbertpaddle_standins::platform_faults::Outage;
 
 /// Number of requests sent through all nodes while something is out of service.
 const REQUESTS: usize = 24;
--- a/filbertpaddle/tests/configuration.rs
+++ b/filbertpaddle/tests/configuration.rs
@@ -22,9 +22,9 @@
 use filbertpaddle_core::config::Setting;
 use filbertpaddle_core::revision::Revision;
 use filbertpaddle_core::template::Template;
-use filbertpaddle_standins::faults::Faults;
-use filbertpaddle_standins::faults::Loss;
-use filbertpaddle_standins::faults::Outage;
+use filbertpaddle_standins::platform_faults::Faults;
+use filbertpaddle_standins::platform_faults::Loss;
+use filbertpaddle_standins::platform_faults::Outage;
 use filbertpaddle_standins::proxy::Link;
 
 /// Path of the template that the tests change.
--- a/filbertpaddle/tests/operator_commands.rs
+++ b/filbertpaddle/tests/operator_commands.rs
@@ -17,8 +17,8 @@
 use expect_test::Expect;
 use expect_test::expect;
 use filbertpaddle::operator_api::Answer;
-use filbertpaddle_standins::faults::Faults;
-use filbertpaddle_standins::faults::Outage;
+use filbertpaddle_standins::platform_faults::Faults;
+use filbertpaddle_standins::platform_faults::Outage;
 
 /// Exit code and output of a command that has ended.
 struct CommandResult {
