--- a/filbertpaddle-standins/examples/placement/traffic.rs
+++ b/filbertpaddle-standins/examples/placement/traffic.rs
@@ -4,7 +4,7 @@
 
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::template::Priority;
-use filbertpaddle_standins::batch::Work;
+use filbertpaddle_standins::batch::EngineRequest;
 use filbertpaddle_standins::batch_scheduler::BLOCK_TOKENS;
 use filbertpaddle_standins::lengths;
 use rand::Rng;
@@ -46,7 +46,7 @@
     /// Digest of the shared prefix.
     pub(crate) prefix: u64,
     /// The work as the engine knows it.
-    pub(crate) work: Work,
+    pub(crate) work: EngineRequest,
 }
 
 /// Returns the arrivals of `secs` seconds at a mean of `rate` in a second.
@@ -89,7 +89,7 @@
         customer: Name::new(name),
         template: Name::new(format!("{name}/{word}")),
         prefix: blocks[1],
-        work: Work {
+        work: EngineRequest {
             attempt: Name::new(format!("{index}")),
             priority: Priority(priority),
             prompt_tokens: 2 * BLOCK_TOKENS + rng.random_range(20..500),
--- a/filbertpaddle-standins/src/balancer.rs
+++ b/filbertpaddle-standins/src/balancer.rs
@@ -8,11 +8,11 @@
 use std::time::Instant;
 
 /// Time during which a target that failed is passed over.
-const SUSPENSION: Duration = Duration::from_secs(1);
+const SUSPENSION_TIME: Duration = Duration::from_secs(1);
 
 /// How a target is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum BalancingPolicy {
     /// Each target in turn.
     RoundRobin,
     /// The target with the fewest requests in flight from this entry VM.
@@ -31,19 +31,19 @@
 struct Inner {
     targets: Vec<Target>,
     out: Option<usize>,
-    turn: usize,
+    rotation: usize,
 }
 
 /// The targets as one entry VM sees them.
 #[derive(Debug)]
 pub struct Balancer {
-    choice: Choice,
+    policy: BalancingPolicy,
     inner: Mutex<Inner>,
 }
 
 impl Balancer {
     /// Creates a balancer over targets, given with their data centres.
-    pub fn new(choice: Choice, targets: &[(SocketAddr, usize)], turn: usize) -> Self {
+    pub fn new(policy: BalancingPolicy, targets: &[(SocketAddr, usize)], rotation: usize) -> Self {
         let targets = targets.iter().map(|(address, data_centre)| Target {
             address: *address,
             data_centre: *data_centre,
@@ -53,10 +53,10 @@
         let inner = Inner {
             targets: targets.collect(),
             out: None,
-            turn,
+            rotation,
         };
         Self {
-            choice,
+            policy,
             inner: Mutex::new(inner),
         }
     }
@@ -75,25 +75,25 @@
         let now = Instant::now();
         let mut inner = self.lock();
         let out = inner.out;
-        inner.turn += 1;
-        let turn = inner.turn;
+        inner.rotation += 1;
+        let rotation = inner.rotation;
         let count = inner.targets.len();
         let open = |target: &Target| {
             Some(target.data_centre) != out && target.suspended_until.is_none_or(|end| end <= now)
         };
         // The search starts at another target each time, so that ties rotate.
         let mut candidates = (0..count)
-            .map(|step| (turn + step) % count)
+            .map(|step| (rotation + step) % count)
             .filter(|index| open(&inner.targets[*index]));
-        let index = match self.choice {
-            Choice::RoundRobin => candidates.next(),
-            Choice::LeastConnections => {
+        let index = match self.policy {
+            BalancingPolicy::RoundRobin => candidates.next(),
+            BalancingPolicy::LeastConnections => {
                 candidates.min_by_key(|index| inner.targets[*index].in_flight)
             }
         }?;
-        inner.turn = match self.choice {
-            Choice::RoundRobin => index,
-            Choice::LeastConnections => turn,
+        inner.rotation = match self.policy {
+            BalancingPolicy::RoundRobin => index,
+            BalancingPolicy::LeastConnections => rotation,
         };
         inner.targets[index].in_flight += 1;
         Some(inner.targets[index].address)
@@ -109,7 +109,7 @@
         let Some(target) = target else { return };
         target.in_flight = target.in_flight.saturating_sub(1);
         if failed {
-            target.suspended_until = Some(Instant::now() + SUSPENSION);
+            target.suspended_until = Some(Instant::now() + SUSPENSION_TIME);
         }
     }
 }
--- a/filbertpaddle-standins/src/batch.rs
+++ b/filbertpaddle-standins/src/batch.rs
@@ -10,7 +10,7 @@
 
 /// One generation as the engine alone knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Work {
+pub struct EngineRequest {
     /// Id of the attempt.
     pub attempt: Name,
     /// Scheduling priority.
@@ -29,7 +29,7 @@
 
 /// A generation that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct EndedAttempt {
     /// Id of the attempt.
     pub attempt: Name,
     /// Why it ended.
@@ -44,14 +44,14 @@
     /// Attempts that got their next token.
     pub tokens: Vec<Name>,
     /// Attempts that ended with this step.
-    pub ended: Vec<Ended>,
+    pub ended: Vec<EndedAttempt>,
     /// Whether the step crashed the engine.
     pub crashed: bool,
 }
 
 /// What became of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Submitted {
+pub enum SubmitOutcome {
     /// The work waits for the batch.
     Waiting,
     /// The work was more than the cold engine could bear; the engine is lost.
--- a/filbertpaddle-standins/src/batch_scheduler.rs
+++ b/filbertpaddle-standins/src/batch_scheduler.rs
@@ -9,11 +9,11 @@
 use filbertpaddle_target::protocol::EndCause;
 use filbertpaddle_target::protocol::Warmth;
 
-use crate::batch::Ended;
+use crate::batch::EndedAttempt;
+use crate::batch::EngineRequest;
 use crate::batch::Step;
-use crate::batch::Submitted;
+use crate::batch::SubmitOutcome;
 use crate::batch::Totals;
-use crate::batch::Work;
 use crate::prefix_cache::PrefixCache;
 
 /// Bytes of prompt that make up one token.
@@ -72,7 +72,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Sequence {
-    work: Work,
+    work: EngineRequest,
     order: u64,
     output_tokens: u32,
     pages: u32,
@@ -149,9 +149,9 @@
     }
 
     /// Queues work.
-    pub fn submit(&mut self, now_us: u64, work: Work) -> Submitted {
+    pub fn submit(&mut self, now_us: u64, work: EngineRequest) -> SubmitOutcome {
         if self.overloads(now_us) {
-            return Submitted::Collapsed;
+            return SubmitOutcome::Collapsed;
         }
         self.order += 1;
         let sequence = Sequence {
@@ -163,7 +163,7 @@
             work,
         };
         self.waiting.insert(sequence.rank(), sequence);
-        Submitted::Waiting
+        SubmitOutcome::Waiting
     }
 
     fn overloads(&mut self, now_us: u64) -> bool {
@@ -220,7 +220,7 @@
             }
             if self.running.is_empty() {
                 // It would not fit into the whole memory either.
-                step.ended.push(Ended {
+                step.ended.push(EndedAttempt {
                     attempt: sequence.work.attempt,
                     cause: EndCause::Length,
                 });
@@ -368,7 +368,7 @@
         let mut sequence = self.running.remove(index);
         self.free(now_us, &mut sequence);
         let attempt = sequence.work.attempt;
-        step.ended.push(Ended { attempt, cause });
+        step.ended.push(EndedAttempt { attempt, cause });
     }
 
     fn free(&mut self, now_us: u64, sequence: &mut Sequence) {
--- a/filbertpaddle-standins/src/engine_state.rs
+++ b/filbertpaddle-standins/src/engine_state.rs
@@ -24,16 +24,16 @@
 use tokio::sync::Notify;
 use tokio::sync::watch;
 
+use crate::batch::EngineRequest;
 use crate::batch::Step;
-use crate::batch::Submitted;
+use crate::batch::SubmitOutcome;
 use crate::batch::Totals;
-use crate::batch::Work;
 use crate::batch_scheduler::BatchScheduler;
 use crate::batch_scheduler::TOKEN_BYTES;
 use crate::engine::Settings;
 use crate::engine_fault::Fault;
 use crate::lengths;
-use crate::marker::marker;
+use crate::marker::find_marker;
 
 /// Most attempts that are remembered after their end.
 const MAX_ENDED: usize = 8_192;
@@ -192,7 +192,7 @@
         }
         self.check_fence(&mut inner, submit.fence)?;
         inner.counters.submitted_while_leaving += u64::from(inner.leaving);
-        if let Some(marker) = marker(&submit.prompt) {
+        if let Some(marker) = find_marker(&submit.prompt) {
             *inner.counters.executions.entry(marker).or_default() += 1;
         }
         let sender = watch::Sender::new(Progress::default());
@@ -203,7 +203,7 @@
         };
         inner.attempts.insert(submit.attempt.clone(), attempt);
         let work = self.work_of(submit);
-        if inner.scheduler.submit(now_us, work) == Submitted::Collapsed {
+        if inner.scheduler.submit(now_us, work) == SubmitOutcome::Collapsed {
             inner.counters.collapses += 1;
             self.end_life(&mut inner);
         }
@@ -211,9 +211,9 @@
         Ok(Admission { progress })
     }
 
-    fn work_of(&self, submit: &Submit) -> Work {
+    fn work_of(&self, submit: &Submit) -> EngineRequest {
         let poison = self.settings.poison.as_deref();
-        Work {
+        EngineRequest {
             attempt: submit.attempt.clone(),
             priority: submit.priority,
             prompt_tokens: submit.prompt.len().div_ceil(TOKEN_BYTES) as u32,
--- a/filbertpaddle-standins/src/experiment.rs
+++ b/filbertpaddle-standins/src/experiment.rs
@@ -18,7 +18,7 @@
 use tokio::task::JoinSet;
 
 use crate::balancer::Balancer;
-use crate::balancer::Choice;
+use crate::balancer::BalancingPolicy;
 use crate::caller;
 use crate::child;
 use crate::cluster;
@@ -228,8 +228,10 @@
             .build()?;
         let fleet = Fleet::start(&settings.fleet, http.clone()).await?;
         let front = match settings.way {
-            Way::DirectRoundRobin => alone(settings, &fleet, Choice::RoundRobin)?,
-            Way::DirectLeastConnections => alone(settings, &fleet, Choice::LeastConnections)?,
+            Way::DirectRoundRobin => alone(settings, &fleet, BalancingPolicy::RoundRobin)?,
+            Way::DirectLeastConnections => {
+                alone(settings, &fleet, BalancingPolicy::LeastConnections)?
+            }
             Way::PoolRoundRobin => pooled(settings, &fleet, Policy::RoundRobin)?,
             Way::PoolLeastConnections => pooled(settings, &fleet, Policy::LeastConnections)?,
             Way::PoolPredictive => pooled(settings, &fleet, Policy::Predictive)?,
@@ -316,7 +318,7 @@
     }
 }
 
-fn alone(settings: &Settings, fleet: &Fleet, choice: Choice) -> Result<Front, Error> {
+fn alone(settings: &Settings, fleet: &Fleet, choice: BalancingPolicy) -> Result<Front, Error> {
     let client = client()?;
     let chooser =
         |targets: &[Target], turn| Chooser::Alone(Balancer::new(choice, &addresses(targets), turn));
--- a/filbertpaddle-standins/src/marker.rs
+++ b/filbertpaddle-standins/src/marker.rs
@@ -1,20 +1,20 @@
 //! Markers by which the load tool recognises its requests at targets.
 
 /// What a marker starts with.
-pub const START: &str = "run-id=";
+pub const MARKER_PREFIX: &str = "run-id=";
 
 /// Returns the marker in a prompt or body, if there is one.
 ///
 /// # Examples
 ///
 /// ```
-/// use filbertpaddle_standins::marker::marker;
+/// use filbertpaddle_standins::marker::find_marker;
 ///
-/// assert_eq!(marker("menu run-id=7-12; week 3"), Some("7-12".to_owned()));
-/// assert_eq!(marker("menu"), None);
+/// assert_eq!(find_marker("menu run-id=7-12; week 3"), Some("7-12".to_owned()));
+/// assert_eq!(find_marker("menu"), None);
 /// ```
-pub fn marker(text: &str) -> Option<String> {
-    let (_, rest) = text.split_once(START)?;
+pub fn find_marker(text: &str) -> Option<String> {
+    let (_, rest) = text.split_once(MARKER_PREFIX)?;
     let end = rest.find(|c: char| !c.is_ascii_alphanumeric() && c != '-');
     Some(rest[..end.unwrap_or(rest.len())].to_owned())
 }
--- a/filbertpaddle-standins/src/workload.rs
+++ b/filbertpaddle-standins/src/workload.rs
@@ -210,7 +210,7 @@
         at_ms: Millis(at_ms + rng.random_range(0..SLICE_MS)),
         customer: customer.into(),
         kind: *pick(rng, settings.kinds, |kind| kind.share),
-        parameter: format!("{}{marker}; {filler}", marker::START),
+        parameter: format!("{}{marker}; {filler}", marker::MARKER_PREFIX),
         marker,
     }
 }
--- a/filbertpaddle-standins/tests/batch_scheduler.rs
+++ b/filbertpaddle-standins/tests/batch_scheduler.rs
@@ -4,8 +4,8 @@
 
 use filbertpaddle_core::name::Name;
 use filbertpaddle_core::template::Priority;
-use filbertpaddle_standins::batch::Submitted;
-use filbertpaddle_standins::batch::Work;
+use filbertpaddle_standins::batch::EngineRequest;
+use filbertpaddle_standins::batch::SubmitOutcome;
 use filbertpaddle_standins::batch_scheduler::BLOCK_TOKENS;
 use filbertpaddle_standins::batch_scheduler::BatchScheduler;
 use filbertpaddle_standins::batch_scheduler::Settings;
@@ -26,8 +26,8 @@
     }
 }
 
-fn work(attempt: &str, priority: u8, output_tokens: u32) -> Work {
-    Work {
+fn work(attempt: &str, priority: u8, output_tokens: u32) -> EngineRequest {
+    EngineRequest {
         attempt: attempt.into(),
         priority: Priority(priority),
         prompt_tokens: 20,
@@ -44,7 +44,7 @@
     scheduler
 }
 
-fn random_work<R>(rng: &mut R, id: u32) -> Work
+fn random_work<R>(rng: &mut R, id: u32) -> EngineRequest
 where
     R: Rng,
 {
@@ -52,7 +52,7 @@
     let blocks: Vec<u64> = (0..shared)
         .map(|block| u64::from(block) + 10 * rng.random_range(0..2))
         .collect();
-    Work {
+    EngineRequest {
         prompt_tokens: shared * BLOCK_TOKENS + rng.random_range(1..60),
         blocks,
         ..work(
@@ -87,7 +87,7 @@
         for id in 0..60 {
             let work = random_work(&mut rng, id);
             expected.insert(work.attempt.clone(), work.output_tokens);
-            assert_eq!(scheduler.submit(now_us, work), Submitted::Waiting);
+            assert_eq!(scheduler.submit(now_us, work), SubmitOutcome::Waiting);
             for _ in 0..rng.random_range(0..30) {
                 let Some(step) = scheduler.step(now_us) else {
                     break;
@@ -183,9 +183,18 @@
 #[test]
 fn a_cold_engine_bears_its_limit_and_no_more() {
     let mut scheduler = BatchScheduler::new(settings(), 0);
-    assert_eq!(scheduler.submit(0, work("a", 1, 50)), Submitted::Waiting);
-    assert_eq!(scheduler.submit(0, work("b", 1, 50)), Submitted::Waiting);
-    assert_eq!(scheduler.submit(0, work("c", 1, 50)), Submitted::Collapsed);
+    assert_eq!(
+        scheduler.submit(0, work("a", 1, 50)),
+        SubmitOutcome::Waiting
+    );
+    assert_eq!(
+        scheduler.submit(0, work("b", 1, 50)),
+        SubmitOutcome::Waiting
+    );
+    assert_eq!(
+        scheduler.submit(0, work("c", 1, 50)),
+        SubmitOutcome::Collapsed
+    );
     assert_eq!(scheduler.totals().cold_excess, 1);
 }
 
@@ -198,8 +207,8 @@
     scheduler.turn_cold(500);
     let late =
         |scheduler: &mut BatchScheduler, now_us| scheduler.submit(now_us, work("late", 1, 5));
-    assert_eq!(late(&mut scheduler, 600), Submitted::Waiting);
-    assert_eq!(late(&mut scheduler, 200_000), Submitted::Collapsed);
+    assert_eq!(late(&mut scheduler, 600), SubmitOutcome::Waiting);
+    assert_eq!(late(&mut scheduler, 200_000), SubmitOutcome::Collapsed);
     assert_eq!(scheduler.totals().cold_excess_in_grace, 1);
 }
 
@@ -219,7 +228,7 @@
 #[test]
 fn a_shared_prefix_is_computed_once_and_evicted_when_room_is_needed() {
     let mut scheduler = warm();
-    let shared = |attempt: &str, block: u64| Work {
+    let shared = |attempt: &str, block: u64| EngineRequest {
         prompt_tokens: BLOCK_TOKENS + 8,
         blocks: vec![block],
         ..work(attempt, 1, 5)
--- a/filbertpaddle-standins/tests/load.rs
+++ b/filbertpaddle-standins/tests/load.rs
@@ -4,7 +4,7 @@
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_standins::balancer::Balancer;
-use filbertpaddle_standins::balancer::Choice;
+use filbertpaddle_standins::balancer::BalancingPolicy;
 use filbertpaddle_standins::direct::Chooser;
 use filbertpaddle_standins::direct::Entry;
 use filbertpaddle_standins::engine;
@@ -56,7 +56,7 @@
     let asks = asks(3);
     let mut markers: Vec<String> = asks
         .iter()
-        .map(|ask| marker::marker(&ask.prompt()).unwrap())
+        .map(|ask| marker::find_marker(&ask.prompt()).unwrap())
         .collect();
     markers.sort();
     markers.dedup();
@@ -104,12 +104,12 @@
     let settings = engine::Settings {
         speed: 100.0,
         restart_ms: Millis(1),
-        poison: Some(marker::START.to_owned()),
+        poison: Some(marker::MARKER_PREFIX.to_owned()),
         ..engine::Settings::default()
     };
     let engine = Engine::start(settings).await.unwrap();
     let targets = [(engine.address, 0)];
-    let chooser = || Chooser::Alone(Balancer::new(Choice::RoundRobin, &targets, 0));
+    let chooser = || Chooser::Alone(Balancer::new(BalancingPolicy::RoundRobin, &targets, 0));
     let entry = Entry {
         client: Client::new(client::Settings::default()).unwrap(),
         engines: chooser(),
