--- a/filbertpaddle-standins/src/batch.rs
+++ b/filbertpaddle-standins/src/batch.rs
@@ -1,4 +1,4 @@
-//! What goes into an engine's batch and what comes out of it.
+//! Input and results of the batch scheduler of a simulated engine.
 
 use std::ops::Add;
 
@@ -8,26 +8,26 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One generation as the engine alone knows it.
+/// A generation request with its output length, which only the engine has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineRequest {
     /// Id of the attempt.
     pub attempt: Name,
     /// Scheduling priority.
     pub priority: Priority,
-    /// Length of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Digests of the prompt's whole blocks, shortest prefix first.
+    /// Digests of the prompt's prefixes that end with a full block, shortest first.
     pub blocks: Vec<u64>,
-    /// Tokens after which the model stops.
+    /// Output tokens after which the model stops by itself.
     pub output_tokens: u32,
-    /// Tokens after which the generation is cut.
+    /// Output tokens after which the generation is cut off.
     pub max_tokens: u32,
     /// Whether the prompt crashes the engine.
     pub poison: bool,
 }
 
-/// A generation that has ended.
+/// An attempt that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedAttempt {
     /// Id of the attempt.
@@ -36,44 +36,44 @@
     pub cause: EndCause,
 }
 
-/// What one step of the batch brought.
+/// Result of one step of the batch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Step {
-    /// How long the step takes.
+    /// Simulated duration of the step.
     pub duration_us: u64,
-    /// Attempts that got their next token.
+    /// Attempts that produced their next token.
     pub tokens: Vec<Name>,
-    /// Attempts that ended with this step.
+    /// Attempts that ended in this step.
     pub ended: Vec<EndedAttempt>,
     /// Whether the step crashed the engine.
     pub crashed: bool,
 }
 
-/// What became of a submission.
+/// Outcome of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// The work waits for the batch.
+    /// The request is queued for the batch.
     Waiting,
-    /// The work was more than the cold engine could bear; the engine is lost.
+    /// The request exceeded the limit of the cold engine, which crashes.
     Collapsed,
 }
 
-/// Totals since the engine started.
+/// Totals since the start of the scheduler.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Totals {
     /// Tokens generated.
     pub tokens: u64,
-    /// Attempts that lost their memory in mid-decode.
+    /// Times that an attempt lost its memory pages during decoding.
     pub preemptions: u64,
-    /// Tokens that had to be computed again.
+    /// Tokens that were computed again after preemptions.
     pub recomputed_tokens: u64,
-    /// Time that preempted attempts waited to run again, summed.
+    /// Total time that preempted attempts waited to run again.
     pub stall_us: u64,
-    /// Prompt tokens that the prefix cache saved.
+    /// Tokens that were not computed because the prefix cache held them.
     pub cached_tokens: u64,
-    /// Submissions to a cold engine beyond its limit.
+    /// Submissions to a cold engine above its limit.
     pub cold_excess: u64,
-    /// Those of them that came too soon after it turned cold to be avoided.
+    /// Submissions of `cold_excess` within the grace period after the engine turned cold.
     pub cold_excess_in_grace: u64,
 }
 
--- a/filbertpaddle-standins/src/engine.rs
+++ b/filbertpaddle-standins/src/engine.rs
@@ -13,32 +13,32 @@
 use crate::engine_fault::Fault;
 use crate::engine_http;
 use crate::engine_state::Counters;
-use crate::engine_state::State;
+use crate::engine_state::EngineState;
 use crate::server::Server;
 
-/// How often load snapshots are taken.
+/// Time between two load snapshots.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How an engine stand-in behaves.
+/// Settings of an engine stand-in.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Address to serve on; port zero picks one.
     pub listen: SocketAddr,
     /// Address of the control port; port zero picks one.
     pub control: SocketAddr,
-    /// Seed of the output lengths.
+    /// Seed of the drawn output lengths.
     pub seed: u64,
-    /// How many times faster than real time the engine works.
+    /// Factor by which simulated time runs faster than real time.
     pub speed: f64,
-    /// Memory, limits and pace.
+    /// Memory, limits and step times of the batch scheduler.
     pub scheduler: batch_scheduler::Settings,
     /// Whether the engine starts warm.
     pub starts_warm: bool,
-    /// Whether submissions and orders with an old fencing number are refused.
+    /// Whether submissions and orders with a stale fencing number are refused.
     pub checks_fence: bool,
-    /// Whether submissions are refused once the reclaim notice is given.
+    /// Whether submissions are refused after the reclaim notice.
     pub refuses_when_leaving: bool,
-    /// Prompts that contain this text crash the engine.
+    /// Text that crashes the engine when a prompt contains it.
     pub poison: Option<String>,
     /// Whether a crash ends the process instead of restarting the engine.
     pub exits_on_crash: bool,
@@ -48,10 +48,10 @@
     pub report_lag_ms: Millis,
     /// Age of cache events, in wall-clock time.
     pub cache_lag_ms: Millis,
-    /// One in this many cache events is lost; zero loses none.
-    pub cache_gap: u64,
-    /// Time without a reader after which an attempt is cancelled.
-    pub orphan_ms: Millis,
+    /// Every n-th cache event is lost; zero loses none.
+    pub cache_event_loss_interval: u64,
+    /// Time without a reader after which an attempt is cancelled, in wall-clock time.
+    pub orphan_timeout_ms: Millis,
 }
 
 impl Default for Settings {
@@ -71,8 +71,8 @@
             restart_ms: Millis(1_000),
             report_lag_ms: Millis(250),
             cache_lag_ms: Millis(1_000),
-            cache_gap: 20,
-            orphan_ms: Millis(20_000),
+            cache_event_loss_interval: 20,
+            orphan_timeout_ms: Millis(20_000),
         }
     }
 }
@@ -84,13 +84,13 @@
     pub address: SocketAddr,
     /// Address of its control port.
     pub control: SocketAddr,
-    state: Arc<State>,
+    state: Arc<EngineState>,
     control_server: Server,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Engine {
-    /// Starts an engine.
+    /// Starts an engine and its control port.
     ///
     /// # Errors
     ///
@@ -98,12 +98,13 @@
     pub async fn start(settings: Settings) -> io::Result<Self> {
         let listen = settings.listen;
         let control = settings.control;
-        let state = Arc::new(State::new(settings));
-        let server = Server::start(listen, engine_http::target(state.clone())).await?;
+        let state = Arc::new(EngineState::new(settings));
+        let server = Server::start(listen, engine_http::target_routes(state.clone())).await?;
         let address = server.address;
-        let control_server = Server::start(control, engine_http::control(state.clone())).await?;
+        let control_server =
+            Server::start(control, engine_http::control_routes(state.clone())).await?;
         let tasks = vec![
-            tokio::spawn(run_lives(state.clone(), server)),
+            tokio::spawn(run_incarnations(state.clone(), server)),
             tokio::spawn(run_steps(state.clone())),
             tokio::spawn(run_snapshots(state.clone())),
         ];
@@ -116,12 +117,12 @@
         })
     }
 
-    /// Brings about a fault.
-    pub fn fault(&self, fault: Fault) {
-        engine_http::apply(&self.state, fault);
+    /// Injects a fault.
+    pub fn inject(&self, fault: Fault) {
+        engine_http::inject(&self.state, fault);
     }
 
-    /// Returns what the engine has counted.
+    /// Returns the counters since the first start.
     pub fn counters(&self) -> Counters {
         self.state.counters()
     }
@@ -131,22 +132,22 @@
         self.state.stop();
         self.control_server.close().await;
         if !self.tasks.is_empty() {
-            let lives = self.tasks.remove(0);
+            let incarnations = self.tasks.remove(0);
             // The task ends by itself once the state is stopped.
-            let _ = lives.await;
+            let _ = incarnations.await;
         }
         self.tasks.iter().for_each(JoinHandle::abort);
     }
 }
 
-/// Serves one life of the engine after the other.
-async fn run_lives(state: Arc<State>, server: Server) {
+/// Serves the engine and restarts it after each crash, until it is stopped.
+async fn run_incarnations(state: Arc<EngineState>, server: Server) {
     let address = server.address;
     let mut server = server;
     loop {
-        state.life_ends().await;
+        state.wait_for_incarnation_end().await;
         server.close().await;
-        if state.is_over() {
+        if state.is_stopped() {
             return;
         }
         if state.settings.exits_on_crash {
@@ -155,7 +156,7 @@
         tokio::time::sleep(Duration::from_millis(state.settings.restart_ms.0)).await;
         state.restart();
         server = loop {
-            match Server::start(address, engine_http::target(state.clone())).await {
+            match Server::start(address, engine_http::target_routes(state.clone())).await {
                 Ok(server) => break server,
                 Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
             }
@@ -163,30 +164,31 @@
     }
 }
 
-async fn run_steps(state: Arc<State>) {
+/// Runs the steps of the batch, each for its simulated duration.
+async fn run_steps(state: Arc<EngineState>) {
     let mut due = tokio::time::Instant::now();
     loop {
-        let frozen = state.frozen_for();
+        let frozen = state.remaining_freeze();
         if !frozen.is_zero() {
             tokio::time::sleep(frozen).await;
         }
-        let Some(step) = state.begin_step() else {
-            state.wait_for_work().await;
+        let Some(step) = state.start_step() else {
+            state.wait_for_requests().await;
             due = tokio::time::Instant::now();
             continue;
         };
-        due += state.wall_clock(step.duration_us);
+        due += state.wall_time(step.duration_us);
         tokio::time::sleep_until(due).await;
-        // A pause must not be caught up with afterwards.
+        // After a pause the steps do not run faster to catch up.
         due = due.max(tokio::time::Instant::now() - Duration::from_millis(20));
         state.finish_step(step);
     }
 }
 
-async fn run_snapshots(state: Arc<State>) {
+async fn run_snapshots(state: Arc<EngineState>) {
     let mut interval = tokio::time::interval(SNAPSHOT_INTERVAL);
     loop {
         interval.tick().await;
-        state.snapshot();
+        state.take_snapshot();
     }
 }
--- a/filbertpaddle-standins/src/engine_fault.rs
+++ b/filbertpaddle-standins/src/engine_fault.rs
@@ -1,45 +1,45 @@
-//! Faults that the engine and service stand-ins bring about on demand.
+//! Faults that can be injected into an engine stand-in.
 
 use filbertpaddle_core::clock::Millis;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A fault of an engine or a plain service.
+/// A fault of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case")]
 pub enum Fault {
-    /// Loses every attempt and restarts cold.
+    /// The engine loses every attempt and restarts cold.
     Crash,
-    /// Stops working for a while; connections stay.
+    /// The engine makes no progress and sends nothing for a while; connections stay open.
     Freeze {
-        /// How long, in wall-clock time.
+        /// Length of the freeze in wall-clock time.
         duration_ms: Millis,
     },
-    /// Turns cold without warning.
+    /// The engine turns cold without warning.
     Cold,
-    /// Turns warm at once.
+    /// The engine turns warm at once.
     Warm,
-    /// Announces that it will be reclaimed, and then goes for good.
+    /// The engine announces its reclaim and stops permanently after the notice.
     Leave {
-        /// Time until it goes, in wall-clock time.
+        /// Time from the notice until the engine stops, in wall-clock time.
         notice_ms: Millis,
     },
-    /// Works at another pace from now on.
+    /// Steps take a different time from now on.
     Slow {
-        /// Length of a step in percent of the usual.
+        /// Duration of a step in percent of the normal one.
         percent: u32,
     },
-    /// Labels every n-th line with another attempt; zero stops it.
+    /// Every n-th token is sent an extra time with the id of another attempt; zero stops it.
     Cross {
-        /// Lines from one crossed line to the next.
+        /// Tokens from one such line to the next.
         every: u32,
     },
-    /// Repeats every n-th token; zero stops it.
+    /// Every n-th token is sent twice; zero stops it.
     Duplicate {
         /// Tokens from one repeated token to the next.
         every: u32,
     },
-    /// Delays every line; zero stops it.
+    /// Every write to a stream is delayed; zero stops it.
     Late {
         /// Delay in wall-clock time.
         delay_ms: Millis,
--- a/filbertpaddle-standins/src/engine_http.rs
+++ b/filbertpaddle-standins/src/engine_http.rs
@@ -26,30 +26,30 @@
 use warp::reply::Response;
 
 use crate::engine_fault::Fault;
-use crate::engine_state::Admission;
-use crate::engine_state::Shared;
+use crate::engine_state::SharedState;
+use crate::engine_state::Subscription;
 
-/// Lines buffered for a slow reader.
-const BUFFERED_CHUNKS: usize = 64;
+/// Chunks of lines that are buffered for a slow reader.
+const MAX_BUFFERED_CHUNKS: usize = 64;
 
-/// Bytes of the text that tells generations apart.
+/// Bytes of the digest of the attempt id at the start of a token's text.
 const TAG_BYTES: usize = 8;
 
 #[derive(Deserialize)]
-struct From {
+struct ResumeQuery {
     #[serde(default)]
     from: u32,
 }
 
 #[derive(Deserialize)]
-struct After {
+struct CacheQuery {
     #[serde(default)]
     after: u64,
 }
 
-/// Returns the interface for nodes.
-pub(crate) fn target(
-    state: Shared,
+/// Returns the routes of the target protocol.
+pub(crate) fn target_routes(
+    state: SharedState,
 ) -> impl Filter<Extract = (impl Reply,), Error = Rejection> + Clone + Send + Sync + 'static {
     let shared = warp::any().map(move || state.clone());
     let submit = warp::post()
@@ -69,15 +69,17 @@
     let load = warp::get()
         .and(warp::path!("v1" / "load"))
         .and(shared.clone())
-        .and_then(|state: Shared| async move {
-            thaw(&state).await;
-            Ok::<_, Infallible>(warp::reply::json(&state.load()))
+        .and_then(|state: SharedState| async move {
+            wait_while_frozen(&state).await;
+            Ok::<_, Infallible>(warp::reply::json(&state.load_report()))
         });
     let cache = warp::get()
         .and(warp::path!("v1" / "cache"))
         .and(warp::query())
         .and(shared.clone())
-        .map(|query: After, state: Shared| warp::reply::json(&state.cache(query.after)));
+        .map(|query: CacheQuery, state: SharedState| {
+            warp::reply::json(&state.cache_events(query.after))
+        });
     let orders = warp::post()
         .and(warp::path!("v1" / "orders"))
         .and(warp::body::json())
@@ -86,7 +88,7 @@
     let loaded = warp::get()
         .and(warp::path!("v1" / "state"))
         .and(shared)
-        .map(|state: Shared| warp::reply::json(&state.loaded()));
+        .map(|state: SharedState| warp::reply::json(&state.loaded()));
     submit
         .or(resume)
         .or(cancel)
@@ -96,29 +98,29 @@
         .or(loaded)
 }
 
-/// Returns the interface for tests and experiments.
-pub(crate) fn control(
-    state: Shared,
+/// Returns the routes of the control port, for tests and experiments.
+pub(crate) fn control_routes(
+    state: SharedState,
 ) -> impl Filter<Extract = (impl Reply,), Error = Rejection> + Clone + Send + Sync + 'static {
     let shared = warp::any().map(move || state.clone());
     let faults = warp::post()
         .and(warp::path!("control" / "faults"))
         .and(warp::body::json())
         .and(shared.clone())
-        .map(|fault: Fault, state: Shared| {
-            apply(&state, fault);
+        .map(|fault: Fault, state: SharedState| {
+            inject(&state, fault);
             StatusCode::OK
         });
     let counters = warp::get()
         .and(warp::path!("control" / "counters"))
         .and(shared)
-        .map(|state: Shared| warp::reply::json(&state.counters()));
+        .map(|state: SharedState| warp::reply::json(&state.counters()));
     faults.or(counters)
 }
 
-/// Brings about a fault; a reclaimed engine goes when its notice is over.
-pub(crate) fn apply(state: &Shared, fault: Fault) {
-    state.fault(fault);
+/// Injects a fault; a reclaimed engine stops when its notice has run out.
+pub(crate) fn inject(state: &SharedState, fault: Fault) {
+    state.inject(fault);
     if let Fault::Leave { notice_ms } = fault {
         let state = state.clone();
         tokio::spawn(async move {
@@ -128,28 +130,28 @@
     }
 }
 
-fn submit(submit: Submit, state: Shared) -> Response {
+fn submit(submit: Submit, state: SharedState) -> Response {
     match state.submit(&submit) {
-        Ok(admission) => stream(state, submit.attempt, 0, admission),
+        Ok(subscription) => stream(state, submit.attempt, 0, subscription),
         Err(cause) => refuse(cause),
     }
 }
 
-fn resume(attempt: String, query: From, state: Shared) -> Response {
-    match state.attach(&attempt) {
-        Some(admission) => stream(state, Name::new(attempt), query.from, admission),
+fn resume(attempt: String, query: ResumeQuery, state: SharedState) -> Response {
+    match state.subscribe(&attempt) {
+        Some(subscription) => stream(state, Name::new(attempt), query.from, subscription),
         None => refuse(RefusalCause::UnknownAttempt),
     }
 }
 
-fn cancel(attempt: String, state: Shared) -> Response {
+fn cancel(attempt: String, state: SharedState) -> Response {
     match state.cancel(&attempt) {
         Ok(()) => StatusCode::NO_CONTENT.into_response(),
         Err(cause) => refuse(cause),
     }
 }
 
-fn order(order: Order, state: Shared) -> Response {
+fn order(order: Order, state: SharedState) -> Response {
     match state.order(&order) {
         Ok(state) => json(&OrderAnswer { state }),
         Err(cause) => refuse(cause),
@@ -173,36 +175,36 @@
     warp::reply::with_status(body, status).into_response()
 }
 
-fn stream(state: Shared, attempt: Name, from: u32, admission: Admission) -> Response {
-    let (sender, receiver) = mpsc::channel(BUFFERED_CHUNKS);
+fn stream(state: SharedState, attempt: Name, from: u32, subscription: Subscription) -> Response {
+    let (sender, receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     tokio::spawn(async move {
-        write(&state, &attempt, from, admission, sender).await;
-        tokio::time::sleep(duration(state.settings.orphan_ms)).await;
-        state.cancel_orphan(&attempt);
+        write_events(&state, &attempt, from, subscription, sender).await;
+        tokio::time::sleep(duration(state.settings.orphan_timeout_ms)).await;
+        state.cancel_if_orphaned(&attempt);
     });
     warp::reply::stream(ReceiverStream::new(receiver)).into_response()
 }
 
-/// Writes lines until the attempt ends, the engine dies or the reader goes.
-async fn write(
-    state: &Shared,
+/// Writes events until the attempt ends, the engine crashes or the reader disconnects.
+async fn write_events(
+    state: &SharedState,
     attempt: &Name,
     from: u32,
-    admission: Admission,
+    subscription: Subscription,
     sender: mpsc::Sender<io::Result<Bytes>>,
 ) {
-    let mut progress = admission.progress;
+    let mut progress = subscription.progress;
     let mut next = from;
     loop {
-        let seen = *progress.borrow_and_update();
-        let chunk = lines(state, attempt, next, seen.tokens, seen.ended);
-        next = next.max(seen.tokens);
-        thaw(state).await;
-        tokio::time::sleep(duration(state.disturbance().late_ms)).await;
+        let current = *progress.borrow_and_update();
+        let chunk = encode_events(state, attempt, next, current.tokens, current.ended);
+        next = next.max(current.tokens);
+        wait_while_frozen(state).await;
+        tokio::time::sleep(duration(state.active_faults().line_delay_ms)).await;
         if !chunk.is_empty() && sender.send(Ok(chunk)).await.is_err() {
             return;
         }
-        if seen.ended.is_some() {
+        if current.ended.is_some() {
             return;
         }
         let changed = tokio::select! {
@@ -211,60 +213,67 @@
         };
         if changed.is_err() {
             let error = io::Error::from(io::ErrorKind::ConnectionReset);
-            // The reader may have gone as well.
+            // The reader may have disconnected as well.
             let _ = sender.send(Err(error)).await;
             return;
         }
     }
 }
 
-fn lines(state: &Shared, attempt: &Name, from: u32, to: u32, ended: Option<EndCause>) -> Bytes {
-    let disturbance = state.disturbance();
+fn encode_events(
+    state: &SharedState,
+    attempt: &Name,
+    from: u32,
+    to: u32,
+    ended: Option<EndCause>,
+) -> Bytes {
+    let active_faults = state.active_faults();
     let mut chunk = Vec::new();
     for index in from..to {
-        let text = text(attempt, index);
+        let text = token_text(attempt, index);
         let body = EventBody::Token { text };
-        if hits(index, disturbance.cross_every) {
+        if is_nth(index, active_faults.cross_every) {
             let other = Name::new(format!("{attempt}-crossed"));
-            push(&mut chunk, &other, index, body.clone());
+            push_event(&mut chunk, &other, index, body.clone());
         }
-        if hits(index, disturbance.duplicate_every) {
-            push(&mut chunk, attempt, index, body.clone());
+        if is_nth(index, active_faults.duplicate_every) {
+            push_event(&mut chunk, attempt, index, body.clone());
         }
-        push(&mut chunk, attempt, index, body);
+        push_event(&mut chunk, attempt, index, body);
     }
     if let Some(cause) = ended {
-        push(&mut chunk, attempt, to, EventBody::End { cause });
+        push_event(&mut chunk, attempt, to, EventBody::End { cause });
     }
     chunk.into()
 }
 
-fn push(chunk: &mut Vec<u8>, attempt: &Name, index: u32, body: EventBody) {
+fn push_event(chunk: &mut Vec<u8>, attempt: &Name, index: u32, body: EventBody) {
     let event = Event {
         attempt: attempt.clone(),
         index,
         body,
     };
-    // Writing plain data to memory cannot fail.
+    // Serializing plain data to memory does not fail.
     if serde_json::to_writer(&mut *chunk, &event).is_ok() {
         chunk.push(b'\n');
     }
 }
 
-/// Returns a token's text, which tells its generation and its index.
-fn text(attempt: &Name, index: u32) -> String {
+/// Returns a token's text: a digest of its attempt id and its index.
+fn token_text(attempt: &Name, index: u32) -> String {
     let digest = xxhash_rust::xxh3::xxh3_64(attempt.as_bytes());
     let mut tag = format!("{digest:016x}");
     tag.truncate(TAG_BYTES);
     format!("{tag}.{index} ")
 }
 
-fn hits(index: u32, every: u32) -> bool {
+/// Returns whether an index is the last of a group of `every`; zero matches none.
+fn is_nth(index: u32, every: u32) -> bool {
     every > 0 && index % every == every - 1
 }
 
-async fn thaw(state: &Shared) {
-    let frozen = state.frozen_for();
+async fn wait_while_frozen(state: &SharedState) {
+    let frozen = state.remaining_freeze();
     if !frozen.is_zero() {
         tokio::time::sleep(frozen).await;
     }
--- a/filbertpaddle-standins/src/engine_state.rs
+++ b/filbertpaddle-standins/src/engine_state.rs
@@ -1,4 +1,4 @@
-//! What an engine stand-in holds between requests.
+//! Shared state of an engine stand-in: attempts, scheduler, load snapshots and faults.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -35,44 +35,44 @@
 use crate::lengths;
 use crate::marker::find_marker;
 
-/// Most attempts that are remembered after their end.
-const MAX_ENDED: usize = 8_192;
+/// Ended attempts that are kept, so that repeats are recognised and streams can be resumed.
+const MAX_ENDED_ATTEMPTS: usize = 8_192;
 
-/// Load snapshots that are kept.
+/// Load snapshots that are kept, from which a delayed load report is taken.
 const MAX_SNAPSHOTS: usize = 400;
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
     /// Tokens generated.
     pub tokens: u32,
-    /// Why it ended, once it has.
+    /// Why the attempt ended; `None` while it runs or waits.
     pub ended: Option<EndCause>,
 }
 
-/// What an engine has counted since it first started.
+/// Counters of an engine since its first start, across restarts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
-    /// Totals of all lives.
+    /// Scheduler totals of all incarnations.
     pub totals: Totals,
-    /// Crashes, by fault or by poison.
+    /// Crashes caused by a fault or by a poison prompt.
     pub crashes: u64,
-    /// Crashes of a cold engine under too much load.
+    /// Crashes of a cold engine that got more attempts than its cold limit.
     pub collapses: u64,
     /// Submissions accepted after the reclaim notice.
     pub submitted_while_leaving: u64,
-    /// Submissions and orders obeyed although their fencing number was old.
+    /// Submissions and orders accepted despite a stale fencing number.
     pub stale_obeyed: u64,
-    /// Executions by the marker in the prompt.
+    /// Accepted submissions by the marker in their prompt.
     pub executions: IndexMap<String, u32>,
 }
 
-/// Faults that stay until they are changed.
+/// Faults that stay in force until they are changed.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Disturbance {
+pub(crate) struct ActiveFaults {
     pub(crate) cross_every: u32,
     pub(crate) duplicate_every: u32,
-    pub(crate) late_ms: Millis,
+    pub(crate) line_delay_ms: Millis,
     slow_percent: u32,
     frozen_until: Option<Instant>,
 }
@@ -96,41 +96,41 @@
     ended: VecDeque<Name>,
     snapshots: VecDeque<Snapshot>,
     counters: Counters,
-    past_totals: Totals,
+    earlier_totals: Totals,
     loaded: LoadedState,
     incarnation: u64,
     leaving: bool,
     alive: bool,
-    over: bool,
-    disturbance: Disturbance,
+    is_stopped: bool,
+    active_faults: ActiveFaults,
 }
 
-/// The state of one engine, shared by its tasks.
+/// State of one engine, shared by its tasks.
 #[derive(Debug)]
-pub(crate) struct State {
+pub(crate) struct EngineState {
     pub(crate) settings: Settings,
     started: Instant,
     inner: Mutex<Inner>,
-    work: Notify,
-    life: Notify,
+    requests_waiting: Notify,
+    incarnation_ended: Notify,
 }
 
-/// An accepted or known attempt, to be streamed.
+/// Subscription to the progress of an attempt.
 #[derive(Debug)]
-pub(crate) struct Admission {
+pub(crate) struct Subscription {
     pub(crate) progress: watch::Receiver<Progress>,
 }
 
-impl State {
+impl EngineState {
     pub(crate) fn new(settings: Settings) -> Self {
         let mut scheduler = BatchScheduler::new(settings.scheduler.clone(), 0);
         if settings.starts_warm {
             scheduler.turn_warm(0);
         }
-        let disturbance = Disturbance {
+        let active_faults = ActiveFaults {
             cross_every: 0,
             duplicate_every: 0,
-            late_ms: Millis::ZERO,
+            line_delay_ms: Millis::ZERO,
             slow_percent: 100,
             frozen_until: None,
         };
@@ -140,20 +140,20 @@
             ended: VecDeque::new(),
             snapshots: VecDeque::new(),
             counters: Counters::default(),
-            past_totals: Totals::default(),
+            earlier_totals: Totals::default(),
             loaded: LoadedState::default(),
             incarnation: 1,
             leaving: false,
             alive: true,
-            over: false,
-            disturbance,
+            is_stopped: false,
+            active_faults,
         };
         Self {
             settings,
             started: Instant::now(),
             inner: Mutex::new(inner),
-            work: Notify::new(),
-            life: Notify::new(),
+            requests_waiting: Notify::new(),
+            incarnation_ended: Notify::new(),
         }
     }
 
@@ -165,27 +165,28 @@
         (self.started.elapsed().as_secs_f64() * 1e6 * self.settings.speed) as u64
     }
 
-    /// Returns how long a simulated span takes.
-    pub(crate) fn wall_clock(&self, span_us: u64) -> Duration {
-        let percent = u64::from(self.lock().disturbance.slow_percent);
+    /// Returns the wall-clock time of a simulated span, at the current speed.
+    pub(crate) fn wall_time(&self, span_us: u64) -> Duration {
+        let percent = u64::from(self.lock().active_faults.slow_percent);
         let span_us = (span_us * percent / 100) as f64;
         Duration::from_secs_f64(span_us / 1e6 / self.settings.speed)
     }
 
-    pub(crate) fn submit(&self, submit: &Submit) -> Result<Admission, RefusalCause> {
+    /// Queues an attempt, or subscribes to it if the same submission is repeated.
+    pub(crate) fn submit(&self, submit: &Submit) -> Result<Subscription, RefusalCause> {
         let now_us = self.now_us();
         let mut inner = self.lock();
         if !inner.alive {
-            // The stream breaks off at once, as its sender is gone.
+            // Dropping the sender breaks the stream off at once.
             let (_, progress) = watch::channel(Progress::default());
-            return Ok(Admission { progress });
+            return Ok(Subscription { progress });
         }
         if let Some(attempt) = inner.attempts.get(&submit.attempt) {
             if attempt.prompt != submit.prompt {
                 return Err(RefusalCause::DuplicateAttempt);
             }
             let progress = attempt.progress.subscribe();
-            return Ok(Admission { progress });
+            return Ok(Subscription { progress });
         }
         if inner.leaving && self.settings.refuses_when_leaving {
             return Err(RefusalCause::Leaving);
@@ -202,16 +203,16 @@
             progress: sender,
         };
         inner.attempts.insert(submit.attempt.clone(), attempt);
-        let work = self.work_of(submit);
-        if inner.scheduler.submit(now_us, work) == SubmitOutcome::Collapsed {
+        let request = self.engine_request(submit);
+        if inner.scheduler.submit(now_us, request) == SubmitOutcome::Collapsed {
             inner.counters.collapses += 1;
-            self.end_life(&mut inner);
+            self.end_incarnation(&mut inner);
         }
-        self.work.notify_one();
-        Ok(Admission { progress })
+        self.requests_waiting.notify_one();
+        Ok(Subscription { progress })
     }
 
-    fn work_of(&self, submit: &Submit) -> EngineRequest {
+    fn engine_request(&self, submit: &Submit) -> EngineRequest {
         let poison = self.settings.poison.as_deref();
         EngineRequest {
             attempt: submit.attempt.clone(),
@@ -224,6 +225,7 @@
         }
     }
 
+    /// Refuses or counts a stale fencing number; records a newer one.
     fn check_fence(&self, inner: &mut Inner, fence: u64) -> Result<(), RefusalCause> {
         if fence >= inner.loaded.fence {
             inner.loaded.fence = fence;
@@ -236,11 +238,11 @@
         Ok(())
     }
 
-    pub(crate) fn attach(&self, attempt: &str) -> Option<Admission> {
+    pub(crate) fn subscribe(&self, attempt: &str) -> Option<Subscription> {
         let inner = self.lock();
         let attempt = inner.attempts.get(attempt)?;
         let progress = attempt.progress.subscribe();
-        Some(Admission { progress })
+        Some(Subscription { progress })
     }
 
     pub(crate) fn cancel(&self, attempt: &str) -> Result<(), RefusalCause> {
@@ -251,24 +253,25 @@
             return Err(RefusalCause::UnknownAttempt);
         }
         if inner.scheduler.cancel(now_us, &name) {
-            inner.end(&name, EndCause::Cancelled);
+            inner.end_attempt(&name, EndCause::Cancelled);
         }
         Ok(())
     }
 
-    /// Cancels an attempt that nobody reads any more.
-    pub(crate) fn cancel_orphan(&self, attempt: &str) {
-        let read = self
+    /// Cancels an attempt whose stream has no reader.
+    pub(crate) fn cancel_if_orphaned(&self, attempt: &str) {
+        let has_reader = self
             .lock()
             .attempts
             .get(attempt)
             .is_some_and(|attempt| attempt.progress.receiver_count() > 0);
-        if !read {
-            // It may have ended or been forgotten by now.
+        if !has_reader {
+            // The attempt may have ended or been removed by now.
             let _ = self.cancel(attempt);
         }
     }
 
+    /// Loads the ordered state; the engine turns cold.
     pub(crate) fn order(&self, order: &Order) -> Result<LoadedState, RefusalCause> {
         let now_us = self.now_us();
         let mut inner = self.lock();
@@ -286,75 +289,79 @@
         self.lock().loaded.clone()
     }
 
-    pub(crate) fn load(&self) -> LoadReport {
+    /// Returns the load as of the configured report lag.
+    pub(crate) fn load_report(&self) -> LoadReport {
         let lag = Duration::from_millis(self.settings.report_lag_ms.0);
         let inner = self.lock();
-        let old = inner
+        let delayed = inner
             .snapshots
             .iter()
             .rev()
             .find(|snapshot| snapshot.at.elapsed() >= lag)
             .or(inner.snapshots.front());
-        let Some(snapshot) = old else {
-            return inner.report(self.now_us());
+        let Some(snapshot) = delayed else {
+            return inner.current_load(self.now_us());
         };
         let mut report = snapshot.report.clone();
         report.age_ms = Millis(snapshot.at.elapsed().as_millis() as u64);
         report
     }
 
-    pub(crate) fn cache(&self, after: u64) -> CacheEvents {
+    /// Returns the cache events after a sequence number, delayed and with the configured losses.
+    pub(crate) fn cache_events(&self, after: u64) -> CacheEvents {
         let lag_us = (self.settings.cache_lag_ms.0 as f64 * 1e3 * self.settings.speed) as u64;
-        let known_us = self.now_us().saturating_sub(lag_us);
-        let gap = self.settings.cache_gap;
+        let visible_until_us = self.now_us().saturating_sub(lag_us);
+        let loss_interval = self.settings.cache_event_loss_interval;
         let inner = self.lock();
         let events = inner
             .scheduler
             .cache()
             .changes_after(after)
-            .filter(|change| change.at_us <= known_us)
+            .filter(|change| change.at_us <= visible_until_us)
             .map(|change| change.event.clone())
-            .filter(|event| gap == 0 || event.sequence % gap != 0)
+            .filter(|event| loss_interval == 0 || event.sequence % loss_interval != 0)
             .collect();
         CacheEvents { events }
     }
 
-    pub(crate) fn fault(&self, fault: Fault) {
+    /// Puts a fault into force.
+    pub(crate) fn inject(&self, fault: Fault) {
         let now_us = self.now_us();
         let mut inner = self.lock();
         match fault {
             Fault::Crash => self.crash(&mut inner),
             Fault::Freeze { duration_ms } => {
                 let until = Instant::now() + Duration::from_millis(duration_ms.0);
-                inner.disturbance.frozen_until = Some(until);
+                inner.active_faults.frozen_until = Some(until);
             }
             Fault::Cold => inner.scheduler.turn_cold(now_us),
             Fault::Warm => inner.scheduler.turn_warm(now_us),
             Fault::Leave { .. } => inner.leaving = true,
-            Fault::Slow { percent } => inner.disturbance.slow_percent = percent,
-            Fault::Cross { every } => inner.disturbance.cross_every = every,
-            Fault::Duplicate { every } => inner.disturbance.duplicate_every = every,
-            Fault::Late { delay_ms } => inner.disturbance.late_ms = delay_ms,
+            Fault::Slow { percent } => inner.active_faults.slow_percent = percent,
+            Fault::Cross { every } => inner.active_faults.cross_every = every,
+            Fault::Duplicate { every } => inner.active_faults.duplicate_every = every,
+            Fault::Late { delay_ms } => inner.active_faults.line_delay_ms = delay_ms,
         }
     }
 
     fn crash(&self, inner: &mut Inner) {
         inner.counters.crashes += 1;
-        self.end_life(inner);
+        self.end_incarnation(inner);
     }
 
-    fn end_life(&self, inner: &mut Inner) {
+    /// Marks the engine as down and drops its attempts; counters and totals stay.
+    fn end_incarnation(&self, inner: &mut Inner) {
         inner.alive = false;
-        // Dropping the senders breaks the streams off.
+        // Dropping the attempts drops their senders, which breaks the streams off.
         inner.attempts.clear();
         inner.ended.clear();
         inner.snapshots.clear();
-        inner.past_totals = inner.all_totals();
+        inner.earlier_totals = inner.all_totals();
         inner.scheduler = BatchScheduler::new(self.settings.scheduler.clone(), self.now_us());
-        self.life.notify_one();
+        self.incarnation_ended.notify_one();
     }
 
-    /// Starts the next life, cold and empty.
+    /// Starts the next incarnation, cold and empty.
     pub(crate) fn restart(&self) {
         let now_us = self.now_us();
         let mut inner = self.lock();
@@ -364,42 +371,42 @@
         inner.alive = true;
     }
 
-    /// Ends the engine for good.
+    /// Stops the engine permanently.
     pub(crate) fn stop(&self) {
         let mut inner = self.lock();
-        inner.over = true;
-        self.end_life(&mut inner);
+        inner.is_stopped = true;
+        self.end_incarnation(&mut inner);
     }
 
-    pub(crate) async fn life_ends(&self) {
-        self.life.notified().await;
+    pub(crate) async fn wait_for_incarnation_end(&self) {
+        self.incarnation_ended.notified().await;
     }
 
-    pub(crate) fn is_over(&self) -> bool {
-        self.lock().over
+    pub(crate) fn is_stopped(&self) -> bool {
+        self.lock().is_stopped
     }
 
-    pub(crate) fn disturbance(&self) -> Disturbance {
-        self.lock().disturbance
+    pub(crate) fn active_faults(&self) -> ActiveFaults {
+        self.lock().active_faults
     }
 
-    pub(crate) fn frozen_for(&self) -> Duration {
-        let until = self.lock().disturbance.frozen_until;
+    pub(crate) fn remaining_freeze(&self) -> Duration {
+        let until = self.lock().active_faults.frozen_until;
         until.map_or(Duration::ZERO, |until| {
             until.saturating_duration_since(Instant::now())
         })
     }
 
-    pub(crate) async fn wait_for_work(&self) {
-        self.work.notified().await;
+    pub(crate) async fn wait_for_requests(&self) {
+        self.requests_waiting.notified().await;
     }
 
-    pub(crate) fn begin_step(&self) -> Option<Step> {
+    pub(crate) fn start_step(&self) -> Option<Step> {
         let now_us = self.now_us();
         self.lock().scheduler.step(now_us)
     }
 
-    /// Makes the results of a step visible.
+    /// Publishes the results of a step to the streams, or crashes the engine.
     pub(crate) fn finish_step(&self, step: Step) {
         let mut inner = self.lock();
         if step.crashed {
@@ -414,17 +421,17 @@
             }
         }
         for ended in &step.ended {
-            inner.end(&ended.attempt, ended.cause);
+            inner.end_attempt(&ended.attempt, ended.cause);
         }
     }
 
-    pub(crate) fn snapshot(&self) {
+    pub(crate) fn take_snapshot(&self) {
         let now_us = self.now_us();
         let mut inner = self.lock();
         if !inner.alive {
             return;
         }
-        let report = inner.report(now_us);
+        let report = inner.current_load(now_us);
         let at = Instant::now();
         inner.snapshots.push_back(Snapshot { at, report });
         if inner.snapshots.len() > MAX_SNAPSHOTS {
@@ -441,15 +448,15 @@
 }
 
 impl Inner {
-    fn end(&mut self, attempt: &Name, cause: EndCause) {
-        let Some(known) = self.attempts.get(attempt) else {
+    fn end_attempt(&mut self, attempt: &Name, cause: EndCause) {
+        let Some(entry) = self.attempts.get(attempt) else {
             return;
         };
-        known
+        entry
             .progress
             .send_modify(|progress| progress.ended = Some(cause));
         self.ended.push_back(attempt.clone());
-        if self.ended.len() > MAX_ENDED
+        if self.ended.len() > MAX_ENDED_ATTEMPTS
             && let Some(oldest) = self.ended.pop_front()
         {
             self.attempts.swap_remove(&oldest);
@@ -457,10 +464,10 @@
     }
 
     fn all_totals(&self) -> Totals {
-        self.past_totals + self.scheduler.totals()
+        self.earlier_totals + self.scheduler.totals()
     }
 
-    fn report(&self, now_us: u64) -> LoadReport {
+    fn current_load(&self, now_us: u64) -> LoadReport {
         let scheduler = &self.scheduler;
         let settings = scheduler.settings();
         LoadReport {
@@ -485,5 +492,5 @@
     }
 }
 
-/// Shares an engine's state between its tasks.
-pub(crate) type Shared = Arc<State>;
+/// Engine state as shared between tasks.
+pub(crate) type SharedState = Arc<EngineState>;
--- a/filbertpaddle-standins/tests/engine.rs
+++ b/filbertpaddle-standins/tests/engine.rs
@@ -162,8 +162,8 @@
 #[tokio::test]
 async fn crossed_and_repeated_lines_are_told_apart() {
     let engine = Engine::start(settings()).await.unwrap();
-    engine.fault(Fault::Cross { every: 3 });
-    engine.fault(Fault::Duplicate { every: 4 });
+    engine.inject(Fault::Cross { every: 3 });
+    engine.inject(Fault::Duplicate { every: 4 });
     let client = client();
     let ask = submit("a1", "menu");
     let mut stream = client.submit(engine.address, &ask).await.unwrap();
