--- a/filbertpaddle-standins/src/balancer.rs
+++ b/filbertpaddle-standins/src/balancer.rs
@@ -1,4 +1,4 @@
-//! Baselines: entry VMs that choose targets by themselves.
+//! Baseline for the load tool: an entry VM that chooses targets without any coordination.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -7,10 +7,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Time during which a target that failed is passed over.
+/// Time for which a target is skipped after a failure.
 const SUSPENSION_TIME: Duration = Duration::from_secs(1);
 
-/// How a target is chosen.
+/// Policy by which a target is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BalancingPolicy {
     /// Each target in turn.
@@ -34,7 +34,7 @@
     rotation: usize,
 }
 
-/// The targets as one entry VM sees them.
+/// Targets as seen by one entry VM.
 #[derive(Debug)]
 pub struct Balancer {
     policy: BalancingPolicy,
@@ -42,7 +42,8 @@
 }
 
 impl Balancer {
-    /// Creates a balancer over targets, given with their data centres.
+    /// Creates a balancer over targets, given with their data centres; `rotation` is the index
+    /// before the first target tried.
     pub fn new(policy: BalancingPolicy, targets: &[(SocketAddr, usize)], rotation: usize) -> Self {
         let targets = targets.iter().map(|(address, data_centre)| Target {
             address: *address,
@@ -65,12 +66,12 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a data centre out, or brings all back.
+    /// Takes one data centre out of service, or with `None` returns all to service.
     pub fn set_out(&self, data_centre: Option<usize>) {
         self.lock().out = data_centre;
     }
 
-    /// Chooses a target and counts a request in flight; `None` if there is none.
+    /// Chooses a target and counts a request in flight; returns `None` if no target is available.
     pub fn choose(&self) -> Option<SocketAddr> {
         let now = Instant::now();
         let mut inner = self.lock();
@@ -78,13 +79,13 @@
         inner.rotation += 1;
         let rotation = inner.rotation;
         let count = inner.targets.len();
-        let open = |target: &Target| {
+        let available = |target: &Target| {
             Some(target.data_centre) != out && target.suspended_until.is_none_or(|end| end <= now)
         };
-        // The search starts at another target each time, so that ties rotate.
+        // The search starts at a different target each time, so that ties rotate.
         let mut candidates = (0..count)
             .map(|step| (rotation + step) % count)
-            .filter(|index| open(&inner.targets[*index]));
+            .filter(|index| available(&inner.targets[*index]));
         let index = match self.policy {
             BalancingPolicy::RoundRobin => candidates.next(),
             BalancingPolicy::LeastConnections => {
@@ -99,7 +100,7 @@
         Some(inner.targets[index].address)
     }
 
-    /// Counts a request as ended; a target that failed is passed over for a while.
+    /// Counts a request as ended; a failed target is skipped for `SUSPENSION_TIME`.
     pub fn release(&self, address: SocketAddr, failed: bool) {
         let mut inner = self.lock();
         let target = inner
--- a/filbertpaddle-standins/src/batch_scheduler.rs
+++ b/filbertpaddle-standins/src/batch_scheduler.rs
@@ -108,7 +108,7 @@
     waiting: BTreeMap<Rank, Sequence>,
     cache: PrefixCache,
     unshared_pages: u32,
-    arrival: u64,
+    arrivals: u64,
     cold_since_us: u64,
     warm_at_us: u64,
     totals: Totals,
@@ -124,7 +124,7 @@
             waiting: BTreeMap::new(),
             cache: PrefixCache::default(),
             unshared_pages: 0,
-            arrival: 0,
+            arrivals: 0,
             cold_since_us: 0,
             warm_at_us,
             totals: Totals::default(),
@@ -156,9 +156,9 @@
         if self.overloads(now_us) {
             return SubmitOutcome::Collapsed;
         }
-        self.arrival += 1;
+        self.arrivals += 1;
         let sequence = Sequence {
-            arrival: self.arrival,
+            arrival: self.arrivals,
             output_tokens: 0,
             pages: 0,
             pending_prefill_tokens: 0,
@@ -238,7 +238,7 @@
 
     /// Allocates memory for the context and the next token of a sequence.
     ///
-    /// Returns `false` without effect if there is too little memory.
+    /// Returns `false` if there is too little memory.
     fn allocate(&mut self, now_us: u64, sequence: &mut Sequence) -> bool {
         let pages = (sequence.unshared_tokens() + 1).div_ceil(self.settings.page_tokens);
         let hits = self.count_cached(&sequence.request.blocks);
@@ -277,9 +277,9 @@
             .count()
     }
 
-    /// Frees pages by evicting idle blocks; evicts nothing if that would not suffice.
+    /// Frees pages by evicting idle blocks; evicts nothing and returns `false` if that would not suffice.
     fn reserve(&mut self, now_us: u64, pages: u32) -> bool {
-        let idle_pages = self.cache.idle() as u32 * self.block_pages();
+        let idle_pages = self.cache.idle_blocks() as u32 * self.block_pages();
         if self.free_pages() + idle_pages < pages {
             return false;
         }
@@ -406,7 +406,7 @@
 
     /// Returns the used memory pages that cannot be evicted.
     pub fn pinned_pages(&self) -> u32 {
-        self.used_pages() - self.cache.idle() as u32 * self.block_pages()
+        self.used_pages() - self.cache.idle_blocks() as u32 * self.block_pages()
     }
 
     /// Returns the attempts in the batch.
--- a/filbertpaddle-standins/src/lib.rs
+++ b/filbertpaddle-standins/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for development: what surrounds the system, with faults on demand.
+//! Stand-ins of model engines, services and the platform with injectable faults, and a load tool.
 
 pub mod balancer;
 pub mod batch;
--- a/filbertpaddle-standins/src/marker.rs
+++ b/filbertpaddle-standins/src/marker.rs
@@ -1,6 +1,6 @@
-//! Markers by which the load tool recognises its requests at targets.
+//! Markers in prompts and bodies, by which the load tool recognises its requests at targets.
 
-/// What a marker starts with.
+/// Text directly before a marker.
 pub const MARKER_PREFIX: &str = "run-id=";
 
 /// Returns the marker in a prompt or body, if there is one.
--- a/filbertpaddle-standins/src/platform.rs
+++ b/filbertpaddle-standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform: table, objects, weight leases and VM list.
+//! Platform stand-in: table, objects, weight leases and VM list, with injected faults.
 
 use std::collections::HashMap;
 use std::io;
@@ -36,57 +36,57 @@
 
 /// A running platform stand-in.
 ///
-/// It loses everything when it is closed.
+/// Its data is kept in memory and lost when it is closed.
 #[derive(Debug)]
 pub struct Platform {
-    /// Address that serves the platform's protocol.
+    /// Address of the platform's protocol.
     pub address: SocketAddr,
-    /// Address that serves the control requests.
+    /// Address of the control port.
     pub control: SocketAddr,
-    state: State,
-    serving: Server,
-    controlling: Server,
+    state: PlatformState,
+    platform_server: Server,
+    control_server: Server,
 }
 
-/// Requests that took effect since the start.
+/// Counts of requests since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Transactions that were committed.
+    /// Committed transactions.
     pub commits: u64,
     /// Transactions that ended in a conflict.
     pub conflicts: u64,
-    /// Rows written by the commits.
+    /// Rows written or deleted by the committed transactions.
     pub rows: u64,
-    /// Reads and scans.
+    /// Reads of rows or objects, and scans.
     pub reads: u64,
     /// Objects written.
     pub objects: u64,
-    /// Requests turned away by a rate limit.
+    /// Requests refused by a rate limit.
     pub limited: u64,
 }
 
-/// Why no answer is given.
+/// Why a request gets no regular answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
-    /// The rate limit was hit and nothing was done.
-    Limited,
-    /// The service is down and nothing was done.
-    Down,
-    /// The answer is lost in the given way after the transaction took effect.
-    Lost(Loss),
+    /// A rate limit was exceeded; the request had no effect.
+    RateLimited,
+    /// The platform is unavailable; the request had no effect.
+    Unavailable,
+    /// The transaction took effect, but its answer is lost in the given way.
+    AnswerLost(Loss),
 }
 
-/// What a request needs from the rate limits.
+/// The rate limit that a request counts against.
 #[derive(Clone, Copy, Debug)]
-enum Cost {
-    Free,
+enum RateLimit {
+    Unlimited,
     Read,
     Write,
 }
 
 /// State shared between requests.
 #[derive(Clone, Debug)]
-pub(crate) struct State {
+pub(crate) struct PlatformState {
     inner: Arc<Mutex<Inner>>,
     faults: Arc<watch::Sender<Faults>>,
 }
@@ -96,14 +96,14 @@
     table: Table,
     objects: HashMap<String, Bytes>,
     vms: VmListHistory,
-    writes: RateLimiter,
-    reads: RateLimiter,
-    loads: RateLimiter,
+    write_limiter: RateLimiter,
+    read_limiter: RateLimiter,
+    load_limiter: RateLimiter,
     counts: Counts,
 }
 
 impl Platform {
-    /// Starts the platform at `address` and its control port beside it.
+    /// Starts the platform at `address` and its control port at any free local port.
     ///
     /// # Errors
     ///
@@ -119,44 +119,45 @@
     ///
     /// Returns an error if an address cannot be bound.
     pub async fn start_with_control(address: SocketAddr, control: SocketAddr) -> io::Result<Self> {
-        let state = State::new();
-        let serving = Server::start(address, platform_http::platform(&state)).await?;
-        let controlling = Server::start(control, platform_http::control(&state)).await?;
+        let state = PlatformState::new();
+        let platform_server =
+            Server::start(address, platform_http::platform_routes(&state)).await?;
+        let control_server = Server::start(control, platform_http::control_routes(&state)).await?;
         Ok(Self {
-            address: serving.address,
-            control: controlling.address,
+            address: platform_server.address,
+            control: control_server.address,
             state,
-            serving,
-            controlling,
+            platform_server,
+            control_server,
         })
     }
 
     /// Returns the base URL for clients.
-    pub fn base(&self) -> String {
+    pub fn base_url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Returns the faults that are switched on.
+    /// Returns the faults in force.
     pub fn faults(&self) -> Faults {
         self.state.faults()
     }
 
-    /// Replaces the faults that are switched on.
+    /// Replaces the faults in force.
     pub fn set_faults(&self, faults: Faults) {
         self.state.set_faults(faults);
     }
 
-    /// Replaces the list of VMs.
+    /// Replaces the VM list.
     pub fn set_vms(&self, list: VmList) {
         self.state.set_vms(list);
     }
 
-    /// Returns what took effect since the start.
+    /// Returns the counts of requests since the start.
     pub fn counts(&self) -> Counts {
         self.state.counts()
     }
 
-    /// Returns all rows whose key starts with `prefix`, whatever the faults.
+    /// Returns all rows whose key starts with `prefix`, regardless of the faults.
     pub fn rows(&self, prefix: &str) -> Vec<Row> {
         let scan = Scan {
             prefix: prefix.to_owned(),
@@ -166,28 +167,28 @@
         self.state.lock().table.scan(&scan).rows
     }
 
-    /// Performs a transaction, whatever the faults.
+    /// Performs a transaction, regardless of the faults.
     pub fn transact(&self, transaction: Transaction) -> TransactAnswer {
         self.state.lock().table.transact(transaction)
     }
 
     /// Stops serving.
     pub async fn close(self) {
-        self.serving.close().await;
-        self.controlling.close().await;
+        self.platform_server.close().await;
+        self.control_server.close().await;
     }
 }
 
-impl State {
+impl PlatformState {
     fn new() -> Self {
         let now = Instant::now();
         let inner = Inner {
             table: Table::default(),
             objects: HashMap::new(),
             vms: VmListHistory::default(),
-            writes: RateLimiter::new(now),
-            reads: RateLimiter::new(now),
-            loads: RateLimiter::new(now),
+            write_limiter: RateLimiter::new(now),
+            read_limiter: RateLimiter::new(now),
+            load_limiter: RateLimiter::new(now),
             counts: Counts::default(),
         };
         Self {
@@ -216,47 +217,47 @@
         &self,
         transaction: Transaction,
     ) -> Result<TransactAnswer, Refusal> {
-        self.admit(Cost::Write).await?;
+        self.admit(RateLimit::Write).await?;
         let answer = self.lock().transact(transaction);
-        if self.take_loss() {
-            return Err(Refusal::Lost(self.faults().loss));
+        if self.consume_lost_answer() {
+            return Err(Refusal::AnswerLost(self.faults().loss));
         }
         self.delay().await;
         Ok(answer)
     }
 
     pub(crate) async fn read(&self, read: Read) -> Result<Rows, Refusal> {
-        self.admit(Cost::Read).await?;
+        self.admit(RateLimit::Read).await?;
         let rows = self.lock().table.read(read);
         self.delay().await;
         Ok(rows)
     }
 
     pub(crate) async fn scan(&self, scan: Scan) -> Result<Rows, Refusal> {
-        self.admit(Cost::Read).await?;
+        self.admit(RateLimit::Read).await?;
         let rows = self.lock().table.scan(&scan);
         self.delay().await;
         Ok(rows)
     }
 
     pub(crate) async fn get_object(&self, key: &str) -> Result<Option<Bytes>, Refusal> {
-        self.admit(Cost::Read).await?;
+        self.admit(RateLimit::Read).await?;
         let bytes = self.lock().objects.get(key).cloned();
         self.delay().await;
         Ok(bytes)
     }
 
     pub(crate) async fn put_object(&self, key: String, bytes: Bytes) -> Result<(), Refusal> {
-        self.admit(Cost::Write).await?;
+        self.admit(RateLimit::Write).await?;
         self.lock().put_object(key, bytes);
         self.delay().await;
         Ok(())
     }
 
-    pub(crate) async fn ask_weights(&self) -> Result<WeightLeaseAnswer, Refusal> {
-        self.admit(Cost::Free).await?;
+    pub(crate) async fn request_weight_lease(&self) -> Result<WeightLeaseAnswer, Refusal> {
+        self.admit(RateLimit::Unlimited).await?;
         let per_sec = self.faults().loads_per_sec;
-        let granted = self.lock().loads.allow(per_sec, Instant::now());
+        let granted = self.lock().load_limiter.allow(per_sec, Instant::now());
         self.delay().await;
         let interval = per_sec.map_or(0, |per_sec| 1_000 / u64::from(per_sec.max(1)));
         Ok(WeightLeaseAnswer {
@@ -266,31 +267,32 @@
     }
 
     pub(crate) async fn vms(&self) -> Result<VmList, Refusal> {
-        self.admit(Cost::Free).await?;
+        self.admit(RateLimit::Unlimited).await?;
         let lag = Duration::from_millis(self.faults().vm_lag_ms.0);
         let list = self.lock().vms.get(lag, Instant::now());
         self.delay().await;
         Ok(list)
     }
 
-    async fn admit(&self, cost: Cost) -> Result<(), Refusal> {
+    /// Applies the outage and the rate limits to a request.
+    async fn admit(&self, limit: RateLimit) -> Result<(), Refusal> {
         let faults = self.faults();
         match faults.outage {
             Outage::None => {}
-            Outage::Refuse => return Err(Refusal::Down),
+            Outage::Refuse => return Err(Refusal::Unavailable),
             Outage::Stall => {
                 let mut changes = self.faults.subscribe();
-                // The sender lives in `self`, so the wait ends only by the condition.
+                // `self` holds the sender, so the wait ends only by the condition.
                 let _ = changes
                     .wait_for(|faults| faults.outage != Outage::Stall)
                     .await;
-                return Err(Refusal::Down);
+                return Err(Refusal::Unavailable);
             }
         }
-        if self.lock().allow(cost, &faults) {
+        if self.lock().allow(limit, &faults) {
             Ok(())
         } else {
-            Err(Refusal::Limited)
+            Err(Refusal::RateLimited)
         }
     }
 
@@ -301,8 +303,8 @@
         }
     }
 
-    /// Uses up one lost answer and returns whether there was one.
-    fn take_loss(&self) -> bool {
+    /// Returns whether this answer is to be lost, and counts it down.
+    fn consume_lost_answer(&self) -> bool {
         self.faults.send_if_modified(|faults| {
             let lost = faults.lose_answers > 0;
             faults.lose_answers = faults.lose_answers.saturating_sub(1);
@@ -316,17 +318,17 @@
 }
 
 impl Inner {
-    fn allow(&mut self, cost: Cost, faults: &Faults) -> bool {
+    fn allow(&mut self, limit: RateLimit, faults: &Faults) -> bool {
         let now = Instant::now();
-        let allowed = match cost {
-            Cost::Free => true,
-            Cost::Read => self.reads.allow(faults.reads_per_sec, now),
-            Cost::Write => self.writes.allow(faults.writes_per_sec, now),
+        let allowed = match limit {
+            RateLimit::Unlimited => true,
+            RateLimit::Read => self.read_limiter.allow(faults.reads_per_sec, now),
+            RateLimit::Write => self.write_limiter.allow(faults.writes_per_sec, now),
         };
-        match cost {
+        match limit {
             _ if !allowed => self.counts.limited += 1,
-            Cost::Read => self.counts.reads += 1,
-            Cost::Free | Cost::Write => {}
+            RateLimit::Read => self.counts.reads += 1,
+            RateLimit::Unlimited | RateLimit::Write => {}
         }
         allowed
     }
--- a/filbertpaddle-standins/src/platform_faults.rs
+++ b/filbertpaddle-standins/src/platform_faults.rs
@@ -1,41 +1,41 @@
-//! Faults of the platform stand-in that can be switched on.
+//! Faults that can be injected into the platform stand-in.
 
 use filbertpaddle_core::clock::Millis;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What is wrong with the platform at present; the default is nothing.
+/// Faults in force at the platform; the default is none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Whether requests are served.
+    /// Outage of the whole platform.
     pub outage: Outage,
-    /// Delay before each answer, after its effect.
+    /// Delay of each answer, after the request took effect.
     pub latency_ms: Millis,
-    /// Number of coming transactions whose answer is lost after they took effect.
+    /// Number of next transactions that take effect but whose answer is lost.
     pub lose_answers: u32,
     /// How those answers are lost.
     pub loss: Loss,
-    /// Transactions and object writes allowed a second.
+    /// Transactions and object writes allowed per second.
     pub writes_per_sec: Option<u32>,
-    /// Reads allowed a second.
+    /// Reads of rows or objects and scans allowed per second.
     pub reads_per_sec: Option<u32>,
-    /// Weight loads allowed a second.
+    /// Weight leases granted per second.
     pub loads_per_sec: Option<u32>,
-    /// Age of the VM list that is answered.
+    /// Age of the VM list in answers.
     pub vm_lag_ms: Millis,
 }
 
-/// How the platform treats all requests.
+/// How the platform handles requests during an outage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outage {
-    /// They are served.
+    /// Requests are served; there is no outage.
     #[default]
     None,
-    /// They are answered with status 503.
+    /// Requests are answered with status 503.
     Refuse,
-    /// They are held without effect and answered with status 503 when the outage ends.
+    /// Requests are held without effect and answered with status 503 when the outage ends.
     Stall,
 }
 
@@ -46,8 +46,8 @@
     /// The connection is dropped.
     #[default]
     Drop,
-    /// Status 500 is answered.
+    /// The answer is replaced by status 500.
     Status,
-    /// No answer is ever given.
+    /// The request never gets an answer.
     Hold,
 }
--- a/filbertpaddle-standins/src/pool.rs
+++ b/filbertpaddle-standins/src/pool.rs
@@ -1,6 +1,6 @@
-//! One pool of targets around the scheduler of the core, within the load tool.
+//! A pool of targets inside the load tool, run by the scheduler of `filbertpaddle_core`.
 //!
-//! Measures the scheduler by itself: no nodes, no owner, no leases.
+//! Measures that scheduler alone, without nodes, pool owners and leases.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -30,31 +30,31 @@
 use crate::batch_scheduler::TOKEN_BYTES;
 use crate::workload::Ask;
 
-/// Time between two load reports of a target.
+/// Time between two polls of a target for its load report and cache events.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Longest time between two looks at the queue.
-const WAKE_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum time between two rounds of placement.
+const MAX_PLACEMENT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest wait of a request for a target.
+/// Maximum wait of a request for a slot.
 const MAX_WAIT_MS: Millis = Millis(30_000);
 
-/// The right to use a target once.
+/// A granted slot: the right to send one request to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Where the target serves.
+    /// Address of the target.
     pub address: SocketAddr,
     slot: SlotId,
 }
 
-/// How the use of a grant ended.
+/// Return of a grant, with the outcome of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Release {
-    /// The grant.
+    /// Grant that is returned.
     pub grant: Grant,
     /// Tokens delivered.
     pub tokens: u32,
-    /// How it ended.
+    /// How the request ended.
     pub ending: Ending,
 }
 
@@ -63,10 +63,10 @@
     Release(Release),
     Report(usize, Option<LoadReport>),
     Cache(usize, CacheEvent),
-    Out(Option<usize>),
+    SetOut(Option<usize>),
 }
 
-/// Gives out the targets of one pool.
+/// Handle of a pool, which grants slots of its targets.
 #[derive(Clone, Debug)]
 pub struct Pool {
     commands: mpsc::UnboundedSender<Command>,
@@ -81,13 +81,18 @@
     ) -> Self {
         let (commands, received) = mpsc::unbounded_channel();
         for (index, (address, _)) in targets.iter().enumerate() {
-            tokio::spawn(watch(client.clone(), index, *address, commands.clone()));
+            tokio::spawn(poll_target(
+                client.clone(),
+                index,
+                *address,
+                commands.clone(),
+            ));
         }
         let targets = targets
             .iter()
             .map(|(address, data_centre)| Target::new(*address, *data_centre))
             .collect();
-        let owner = Owner {
+        let task = PoolTask {
             scheduler: Scheduler::new(settings),
             targets,
             waiting: IndexMap::new(),
@@ -96,16 +101,16 @@
             next_id: 0,
             started: Instant::now(),
         };
-        tokio::spawn(owner.run(received));
+        tokio::spawn(task.run(received));
         Self { commands }
     }
 
-    /// Waits for a target; `None` if none is granted in time.
+    /// Waits for a slot; returns `None` if none is granted in time.
     pub async fn acquire(&self, ask: &Ask) -> Option<Grant> {
         let (answer, granted) = oneshot::channel();
         let blocks = digests(&ask.kind.prefix(&ask.customer));
         let prompt = ask.prompt();
-        let ask = scheduler::SlotRequest {
+        let request = scheduler::SlotRequest {
             id: RequestId(0),
             customer: ask.customer.clone(),
             template: Name::new(format!("{}/{}", ask.customer, ask.kind.name)),
@@ -119,25 +124,26 @@
             arrived_ms: Millis::ZERO,
             deadline_ms: Millis::ZERO,
         };
-        let command = Command::Acquire(Box::new(ask), answer);
+        let command = Command::Acquire(Box::new(request), answer);
         self.commands.send(command).ok()?;
         granted.await.ok().flatten()
     }
 
-    /// Gives a grant back.
+    /// Returns a grant to the pool.
     pub fn release(&self, release: Release) {
-        // The pool only ends together with the run.
+        // Sending fails only when the pool has ended together with the run.
         let _ = self.commands.send(Command::Release(release));
     }
 
-    /// Takes a data centre out, or brings all back.
+    /// Takes one data centre out of service, or with `None` returns all to service.
     pub fn set_out(&self, data_centre: Option<usize>) {
-        // The pool only ends together with the run.
-        let _ = self.commands.send(Command::Out(data_centre));
+        // Sending fails only when the pool has ended together with the run.
+        let _ = self.commands.send(Command::SetOut(data_centre));
     }
 }
 
-async fn watch(
+/// Polls a target for load reports and cache events until the pool ends.
+async fn poll_target(
     client: Client,
     index: usize,
     address: SocketAddr,
@@ -152,7 +158,7 @@
         let changes = client.cache(address, sequence).await.unwrap_or_default();
         for event in changes.events {
             sequence = event.sequence;
-            // The next report notices that the pool has ended.
+            // If the pool has ended, sending the next report fails and ends the task.
             let _ = commands.send(Command::Cache(index, event));
         }
         tokio::time::sleep(REPORT_INTERVAL).await;
@@ -179,27 +185,29 @@
         }
     }
 
+    /// Returns the target as the scheduler sees it; without slots if it is leaving or out.
     fn view(&self, out: Option<usize>) -> TargetView {
-        let open = self
+        let usable = self
             .report
             .as_ref()
             .filter(|report| !report.leaving && Some(self.data_centre) != out);
-        let limit = open.map_or(0, |report| match report.warmth {
+        let limit = usable.map_or(0, |report| match report.warmth {
             Warmth::Cold => report.cold_limit,
             Warmth::Warm => report.warm_limit,
         });
         TargetView {
             name: self.name.clone(),
             free_slots: limit.saturating_sub(self.held),
-            capacity_tokens: open.map_or(0, |report| {
+            capacity_tokens: usable.map_or(0, |report| {
                 u64::from(report.total_pages) * u64::from(report.page_tokens)
             }),
-            warm: open.is_some_and(|report| report.warmth == Warmth::Warm),
+            warm: usable.is_some_and(|report| report.warmth == Warmth::Warm),
         }
     }
 }
 
-struct Owner {
+/// State of the task that owns the scheduler and its targets.
+struct PoolTask {
     scheduler: Scheduler,
     targets: Vec<Target>,
     waiting: IndexMap<RequestId, oneshot::Sender<Option<Grant>>>,
@@ -209,11 +217,11 @@
     started: Instant,
 }
 
-impl Owner {
+impl PoolTask {
     async fn run(mut self, mut commands: mpsc::UnboundedReceiver<Command>) {
         loop {
-            match tokio::time::timeout(WAKE_INTERVAL, commands.recv()).await {
-                Ok(Some(command)) => self.on(command),
+            match tokio::time::timeout(MAX_PLACEMENT_INTERVAL, commands.recv()).await {
+                Ok(Some(command)) => self.handle(command),
                 Ok(None) => return,
                 Err(_) => {}
             }
@@ -225,9 +233,9 @@
         Millis(self.started.elapsed().as_millis() as u64)
     }
 
-    fn on(&mut self, command: Command) {
+    fn handle(&mut self, command: Command) {
         match command {
-            Command::Acquire(ask, answer) => self.acquire(*ask, answer),
+            Command::Acquire(request, answer) => self.acquire(*request, answer),
             Command::Release(release) => self.release(release),
             Command::Report(index, report) => self.report(index, report),
             Command::Cache(index, event) => {
@@ -236,22 +244,26 @@
                 self.scheduler
                     .record_cache_event(now, name, event.prefix, event.held);
             }
-            Command::Out(data_centre) => self.out = data_centre,
+            Command::SetOut(data_centre) => self.out = data_centre,
         }
     }
 
-    fn acquire(&mut self, mut ask: scheduler::SlotRequest, answer: oneshot::Sender<Option<Grant>>) {
+    fn acquire(
+        &mut self,
+        mut request: scheduler::SlotRequest,
+        answer: oneshot::Sender<Option<Grant>>,
+    ) {
         let now = self.now();
         self.next_id += 1;
-        ask.id = RequestId(self.next_id);
-        ask.arrived_ms = now;
-        ask.deadline_ms = now + MAX_WAIT_MS;
-        let id = ask.id;
-        match self.scheduler.push(now, ask) {
+        request.id = RequestId(self.next_id);
+        request.arrived_ms = now;
+        request.deadline_ms = now + MAX_WAIT_MS;
+        let id = request.id;
+        match self.scheduler.push(now, request) {
             Ok(()) => {
                 self.waiting.insert(id, answer);
             }
-            // The asker may have gone.
+            // The requester may no longer wait.
             Err(_) => drop(answer.send(None)),
         }
     }
@@ -270,22 +282,24 @@
         let now = self.now();
         let target = &mut self.targets[index];
         let incarnation = |report: &LoadReport| report.incarnation;
-        let renewed = target.report.as_ref().map(incarnation) != report.as_ref().map(incarnation);
-        if renewed {
+        let incarnation_changed =
+            target.report.as_ref().map(incarnation) != report.as_ref().map(incarnation);
+        if incarnation_changed {
             self.scheduler.reset_target(now, &target.name);
         }
         if let Some(report) = &report {
-            let load = load(now, report);
+            let load = to_load(now, report);
             self.scheduler.record_load(now, &target.name, &load);
         }
         target.report = report;
     }
 
+    /// Answers refused requests and places waiting ones.
     fn place(&mut self) {
         let now = self.now();
         for refusal in self.scheduler.take_refusals(now) {
             if let Some(answer) = self.waiting.swap_remove(&refusal.id) {
-                // The asker may have gone.
+                // The requester may no longer wait.
                 let _ = answer.send(None);
             }
         }
@@ -301,8 +315,8 @@
     }
 
     fn grant(&mut self, now: Millis, placement: &scheduler::Placement) {
-        let chosen = |target: &Target| target.name == placement.target;
-        let Some(index) = self.targets.iter().position(chosen) else {
+        let matches = |target: &Target| target.name == placement.target;
+        let Some(index) = self.targets.iter().position(matches) else {
             return;
         };
         self.next_id += 1;
@@ -313,8 +327,8 @@
         let address = self.targets[index].address;
         let grant = Grant { address, slot };
         let answer = self.waiting.swap_remove(&placement.request.id);
-        let taken = answer.is_some_and(|answer| answer.send(Some(grant)).is_ok());
-        if !taken {
+        let delivered = answer.is_some_and(|answer| answer.send(Some(grant)).is_ok());
+        if !delivered {
             let ending = Ending::Unsent;
             let tokens = 0;
             self.release(Release {
@@ -326,7 +340,7 @@
     }
 }
 
-fn load(now: Millis, report: &LoadReport) -> Load {
+fn to_load(now: Millis, report: &LoadReport) -> Load {
     Load {
         taken_ms: Millis(now.since(report.age_ms).0),
         used_tokens: u64::from(report.used_pages) * u64::from(report.page_tokens),
--- a/filbertpaddle-standins/src/prefix_cache.rs
+++ b/filbertpaddle-standins/src/prefix_cache.rs
@@ -1,19 +1,19 @@
-//! The prefix cache of a simulated engine.
+//! Prefix cache of a simulated engine.
 
 use std::collections::VecDeque;
 
 use filbertpaddle_target::protocol::CacheEvent;
 use indexmap::IndexMap;
 
-/// Most changes that are remembered.
-const MAX_EVENTS: usize = 4_096;
+/// Changes that are kept.
+const MAX_CHANGES: usize = 4_096;
 
-/// A change and when it came about.
+/// A change of the cache with its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// Simulated time of the change, in microseconds.
     pub at_us: u64,
-    /// The change as it is published.
+    /// The change as published to nodes.
     pub event: CacheEvent,
 }
 
@@ -23,7 +23,7 @@
     used_at_us: u64,
 }
 
-/// Blocks of prompt prefixes; those without users may be evicted.
+/// Cached blocks of prompt prefixes; a block without users can be evicted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PrefixCache {
     blocks: IndexMap<u64, Block>,
@@ -32,30 +32,30 @@
 }
 
 impl PrefixCache {
-    /// Returns the number of blocks held.
+    /// Returns the number of cached blocks.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Returns whether no block is held.
+    /// Returns whether no block is cached.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Returns the number of blocks that may be evicted.
-    pub fn idle(&self) -> usize {
+    /// Returns the number of blocks without users.
+    pub fn idle_blocks(&self) -> usize {
         self.blocks
             .values()
             .filter(|block| block.users == 0)
             .count()
     }
 
-    /// Returns whether a block is held, and whether it has users.
+    /// Returns whether a cached block has users; `None` if the block is not cached.
     pub fn lookup(&self, prefix: u64) -> Option<bool> {
         self.blocks.get(&prefix).map(|block| block.users > 0)
     }
 
-    /// Adds a user to a block, which is added if it is not held.
+    /// Adds a user to a block, which is cached if it was not.
     pub fn acquire(&mut self, now_us: u64, prefix: u64) {
         if !self.blocks.contains_key(&prefix) {
             self.record(now_us, prefix, true);
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Evicts the idle block that was used longest ago, if there is one.
+    /// Evicts the least recently used block without users; returns whether there was one.
     pub fn evict(&mut self, now_us: u64) -> bool {
         let oldest = self
             .blocks
@@ -87,7 +87,7 @@
         true
     }
 
-    /// Returns the remembered changes after a sequence number, oldest first.
+    /// Returns the kept changes after a sequence number, oldest first.
     pub fn changes_after(&self, sequence: u64) -> impl Iterator<Item = &Change> {
         self.changes
             .iter()
@@ -103,7 +103,7 @@
             held,
         };
         self.changes.push_back(Change { at_us, event });
-        if self.changes.len() > MAX_EVENTS {
+        if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
     }
--- a/filbertpaddle-standins/src/server.rs
+++ b/filbertpaddle-standins/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP server that can be closed.
+//! HTTP server of the stand-ins, which can be closed.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,11 +12,11 @@
 use warp::Rejection;
 use warp::Reply;
 
-/// Longest wait for requests in progress when a server is closed.
+/// Maximum wait for requests in progress when a server is closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1_024;
+/// Connections that can wait to be accepted.
+const ACCEPT_BACKLOG: u32 = 1_024;
 
 /// A running HTTP server.
 #[derive(Debug)]
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Stops accepting and gives requests in progress a moment to end.
+    /// Stops accepting and waits a short time for requests in progress, then aborts them.
     pub async fn close(self) {
         let _ = self.stop.send(());
         let mut task = self.task;
@@ -67,7 +67,7 @@
     }
 }
 
-/// Binds a listener whose connections send small writes without delay.
+/// Binds a listener whose connections have `TCP_NODELAY` set, so that small writes are sent at once.
 ///
 /// Accepted connections inherit the option from the listener.
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
@@ -78,5 +78,5 @@
     socket.set_reuseaddr(true)?;
     socket.set_nodelay(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(ACCEPT_BACKLOG)
 }
--- a/filbertpaddle-standins/src/service.rs
+++ b/filbertpaddle-standins/src/service.rs
@@ -1,4 +1,4 @@
-//! The plain service stand-in, which counts what it executes.
+//! Stand-in of a plain service, which counts its executions.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,19 +21,19 @@
 
 use crate::server::Server;
 
-/// Calls that the service says it can run at once.
-const WARM_LIMIT: u32 = 256;
+/// Limit of concurrent calls in the load report; the service itself has none.
+const REPORTED_LIMIT: u32 = 256;
 
-/// How a plain service behaves.
+/// Settings of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Address to serve on; port zero picks one.
     pub listen: SocketAddr,
-    /// Time that each call takes.
+    /// Duration of each call.
     pub duration_ms: Millis,
 }
 
-/// Executions of a plain service.
+/// Executions counted by a plain service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Executions by attempt.
@@ -43,7 +43,7 @@
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct ServiceState {
     counts: Mutex<Counts>,
 }
 
@@ -52,7 +52,7 @@
 pub struct Service {
     /// Address that it serves on.
     pub address: SocketAddr,
-    state: Arc<State>,
+    state: Arc<ServiceState>,
     server: Server,
 }
 
@@ -63,7 +63,7 @@
     ///
     /// Returns an error if the address cannot be bound.
     pub async fn start(settings: Settings) -> io::Result<Self> {
-        let state = Arc::new(State::default());
+        let state = Arc::new(ServiceState::default());
         let server = Server::start(settings.listen, routes(&settings, &state)).await?;
         Ok(Self {
             address: server.address,
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Returns what was executed.
+    /// Returns the executions so far.
     pub fn counts(&self) -> Counts {
         self.state.counts()
     }
@@ -83,7 +83,7 @@
     }
 }
 
-impl State {
+impl ServiceState {
     fn counts(&self) -> Counts {
         let counts = self.counts.lock();
         counts.unwrap_or_else(PoisonError::into_inner).clone()
@@ -102,7 +102,7 @@
 
 fn routes(
     settings: &Settings,
-    state: &Arc<State>,
+    state: &Arc<ServiceState>,
 ) -> impl Filter<Extract = (impl Reply,), Error = Rejection> + Clone + Send + Sync + 'static {
     let duration = Duration::from_millis(settings.duration_ms.0);
     let state = state.clone();
@@ -111,8 +111,8 @@
         .and(warp::path!("v1" / "calls"))
         .and(warp::body::json())
         .and(shared.clone())
-        .then(move |submit: Submit, state: Arc<State>| async move {
-            // The effect comes first: a caller may not hear of it.
+        .then(move |submit: Submit, state: Arc<ServiceState>| async move {
+            // The call counts as executed even if the caller disconnects before the answer.
             state.execute(&submit);
             tokio::time::sleep(duration).await;
             let body = format!("done: {}", submit.prompt);
@@ -122,14 +122,14 @@
     let counts = warp::get()
         .and(warp::path!("v1" / "counts"))
         .and(shared)
-        .map(|state: Arc<State>| warp::reply::json(&state.counts()));
+        .map(|state: Arc<ServiceState>| warp::reply::json(&state.counts()));
     let load = warp::get()
         .and(warp::path!("v1" / "load"))
-        .map(|| warp::reply::json(&load()));
+        .map(|| warp::reply::json(&load_report()));
     call.or(counts).or(load)
 }
 
-fn load() -> LoadReport {
+fn load_report() -> LoadReport {
     LoadReport {
         incarnation: 1,
         age_ms: Millis::ZERO,
@@ -140,8 +140,8 @@
         page_tokens: 1,
         preemptions: 0,
         warmth: Warmth::Warm,
-        cold_limit: WARM_LIMIT,
-        warm_limit: WARM_LIMIT,
+        cold_limit: REPORTED_LIMIT,
+        warm_limit: REPORTED_LIMIT,
         leaving: false,
         attempts: Vec::new(),
     }
--- a/filbertpaddle-standins/src/table.rs
+++ b/filbertpaddle-standins/src/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table, in memory.
+//! In-memory transactional table of the platform stand-in.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -12,7 +12,7 @@
 use filbertpaddle_platform::protocol::Transaction;
 use filbertpaddle_platform::protocol::Write;
 
-/// Rows in key order with the revision of each row's last write.
+/// Rows in key order, each with the revision of its last write.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: BTreeMap<String, Row>,
@@ -20,12 +20,12 @@
 }
 
 impl Table {
-    /// Performs a transaction as a whole or not at all.
+    /// Performs a transaction atomically, or returns the keys whose conditions failed.
     pub fn transact(&mut self, transaction: Transaction) -> TransactAnswer {
         let keys = transaction
             .conditions
             .iter()
-            .filter(|condition| !self.holds(condition))
+            .filter(|condition| !self.is_met(condition))
             .map(|condition| condition.key.clone())
             .collect::<Vec<_>>();
         if !keys.is_empty() {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Reads rows by key.
+    /// Returns rows by key.
     pub fn read(&self, mut read: Read) -> Rows {
         read.keys.sort();
         read.keys.dedup();
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Reads rows in key order.
+    /// Returns rows with a prefix in key order, from after a key and up to a limit.
     pub fn scan(&self, scan: &Scan) -> Rows {
         let start = scan
             .after
@@ -72,7 +72,7 @@
         }
     }
 
-    fn holds(&self, condition: &Condition) -> bool {
+    fn is_met(&self, condition: &Condition) -> bool {
         let revision = self.rows.get(&condition.key).map(|row| row.revision);
         revision == condition.revision
     }
--- a/filbertpaddle-standins/src/vm_list_history.rs
+++ b/filbertpaddle-standins/src/vm_list_history.rs
@@ -1,21 +1,21 @@
-//! The platform's list of VMs, which lags.
+//! History of the platform's VM list, for answers that lag.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use filbertpaddle_platform::protocol::VmList;
 
-/// Past lists that are kept for answers that lag.
+/// Lists that are kept.
 const MAX_LISTS: usize = 64;
 
-/// The list of VMs as it changed over time.
+/// Past and current VM lists with their times.
 #[derive(Clone, Debug, Default)]
 pub struct VmListHistory {
     lists: Vec<(Instant, VmList)>,
 }
 
 impl VmListHistory {
-    /// Sets the list as of now.
+    /// Records the list that holds from `now` on.
     pub fn set(&mut self, list: VmList, now: Instant) {
         if self.lists.len() == MAX_LISTS {
             self.lists.remove(0);
@@ -23,7 +23,7 @@
         self.lists.push((now, list));
     }
 
-    /// Returns the list as it was `lag` ago, or the oldest that is kept.
+    /// Returns the list as it was `lag` ago, or the oldest one kept.
     pub fn get(&self, lag: Duration, now: Instant) -> VmList {
         self.lists
             .iter()
--- a/filbertpaddle-standins/tests/platform.rs
+++ b/filbertpaddle-standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in, seen through the platform's client.
+//! Tests of the platform stand-in through the platform's client.
 
 #![expect(clippy::unwrap_used, reason = "a failed set-up fails the test")]
 
@@ -25,7 +25,7 @@
     let platform = Platform::start(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))
         .await
         .unwrap();
-    let client = Client::new(platform.base(), Duration::from_secs(20)).unwrap();
+    let client = Client::new(platform.base_url(), Duration::from_secs(20)).unwrap();
     (platform, client)
 }
 
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn transaction_is_whole_or_nothing() {
+async fn transaction_is_atomic() {
     let (platform, client) = start().await;
     client.transact(&insert("a", "1")).await.unwrap();
     let mut both = insert("b", "2");
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn scan_goes_on_after_a_key() {
+async fn scan_continues_after_a_key() {
     let (platform, client) = start().await;
     for key in ["a/1", "a/2", "a/3", "b/1"] {
         client.transact(&insert(key, "")).await.unwrap();
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn lost_answer_is_unknown_and_the_write_stays() {
+async fn lost_answer_is_an_unknown_outcome_and_the_write_persists() {
     let (platform, client) = start().await;
     for (index, loss) in [Loss::Drop, Loss::Status].into_iter().enumerate() {
         platform.set_faults(Faults {
@@ -103,7 +103,7 @@
 }
 
 #[tokio::test]
-async fn outage_and_rate_limit_do_nothing() {
+async fn requests_refused_by_an_outage_or_rate_limit_have_no_effect() {
     let (platform, client) = start().await;
     platform.set_faults(Faults {
         outage: Outage::Refuse,
@@ -123,14 +123,15 @@
 }
 
 #[tokio::test]
-async fn stalled_request_is_unknown_to_the_client_and_has_no_effect() {
+async fn stalled_request_is_an_unknown_outcome_and_has_no_effect() {
     let (platform, _) = start().await;
-    let hasty = Client::new(platform.base(), Duration::from_millis(100)).unwrap();
+    let short_timeout_client =
+        Client::new(platform.base_url(), Duration::from_millis(100)).unwrap();
     platform.set_faults(Faults {
         outage: Outage::Stall,
         ..Faults::default()
     });
-    let answer = hasty.transact(&insert("a", "1")).await;
+    let answer = short_timeout_client.transact(&insert("a", "1")).await;
     assert!(matches!(answer, Err(Error::Unknown(_))), "{answer:?}");
     platform.set_faults(Faults::default());
     assert!(platform.rows("").is_empty());
@@ -138,7 +139,7 @@
 }
 
 #[tokio::test]
-async fn closed_platform_is_unreachable() {
+async fn closed_platform_is_reported_as_unreachable() {
     let (platform, client) = start().await;
     platform.close().await;
     let answer = client.vms().await;
@@ -149,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn objects_and_weights_and_control() {
+async fn objects_weight_leases_and_control_port_work() {
     let (platform, client) = start().await;
     assert_eq!(client.get_object("a/b").await.unwrap(), None);
     client.put_object("a/b", b"body".to_vec()).await.unwrap();
@@ -168,11 +169,11 @@
         .await
         .unwrap();
     assert_eq!(platform.faults(), faults);
-    let ask = WeightLeaseRequest {
+    let request = WeightLeaseRequest {
         model: "m".into(),
         version: "1".into(),
     };
-    let answer = client.request_weight_lease(&ask).await.unwrap();
+    let answer = client.request_weight_lease(&request).await.unwrap();
     assert!(!answer.granted);
     assert_eq!(answer.retry_after_ms, Millis(1_000));
     platform.close().await;
