--- a/filbertpaddle-standins/examples/placement/main.rs
+++ b/filbertpaddle-standins/examples/placement/main.rs
@@ -1,6 +1,6 @@
-//! Compares placement policies over one pool in simulated time.
+//! Compares placement policies on one simulated pool, in simulated time.
 //!
-//! Prints the median over several seeds. Usage:
+//! Prints a row of medians over several seeds for each policy. Usage:
 //! `cargo run --release -p filbertpaddle-standins --example placement --
 //! [--rate PER_SECOND] [--secs SECONDS] [--targets COUNT] [--weight PERCENT]
 //! [--seeds COUNT] [--patience SECONDS] [--policy NAME]`
@@ -26,13 +26,13 @@
     secs: u64,
     targets: usize,
     seeds: u64,
-    patience: Millis,
+    max_wait: Millis,
     settings: Settings,
     policies: Vec<Policy>,
 }
 
 fn main() -> Result<()> {
-    let options = parse()?;
+    let options = parse_options()?;
     print!("{:18}", "policy");
     Report::COLUMNS
         .iter()
@@ -46,7 +46,7 @@
         let rows: Vec<_> = (1..=options.seeds)
             .map(|seed| {
                 let arrivals = traffic::arrivals(seed, options.rate, options.secs);
-                Pool::new(settings, options.targets, arrivals, options.patience)
+                Pool::new(settings, options.targets, arrivals, options.max_wait)
                     .run()
                     .row()
             })
@@ -62,13 +62,13 @@
     Ok(())
 }
 
-fn parse() -> Result<Options> {
+fn parse_options() -> Result<Options> {
     let mut options = Options {
         rate: 40.0,
         secs: 300,
         targets: 12,
         seeds: 3,
-        patience: Millis::from_secs(600),
+        max_wait: Millis::from_secs(600),
         settings: Settings::default(),
         policies: Policy::VARIANTS.to_vec(),
     };
@@ -80,7 +80,7 @@
             Arg::Long("targets") => options.targets = parser.value()?.parse()?,
             Arg::Long("seeds") => options.seeds = parser.value()?.parse()?,
             Arg::Long("patience") => {
-                options.patience = Millis::from_secs(parser.value()?.parse()?);
+                options.max_wait = Millis::from_secs(parser.value()?.parse()?);
             }
             Arg::Long("weight") => {
                 options.settings.stall_weight_percent = parser.value()?.parse()?;
--- a/filbertpaddle-standins/examples/placement/pool.rs
+++ b/filbertpaddle-standins/examples/placement/pool.rs
@@ -1,4 +1,4 @@
-//! One pool in simulated time: the real scheduler before simulated engines.
+//! Simulation of one pool: the production scheduler places requests on simulated engines.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -21,14 +21,14 @@
 use crate::report::Report;
 use crate::traffic::Arrival;
 
-/// Time between two load reports, and how old they are when they arrive.
-const REPORT_US: u64 = 500_000;
+/// Time between two load reports, and age of a report when it arrives.
+const REPORT_INTERVAL_US: u64 = 500_000;
 /// Age of a cache event when it arrives.
 const CACHE_LAG_US: u64 = 1_000_000;
-/// One cache event in so many is lost.
-const CACHE_GAP: u64 = 10;
-/// How long the pool runs on after the last arrival.
-const DRAIN_US: u64 = 600_000_000;
+/// Every n-th cache event is lost.
+const CACHE_EVENT_LOSS_INTERVAL: u64 = 10;
+/// Maximum simulated time after the last arrival.
+const MAX_DRAIN_US: u64 = 600_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -40,7 +40,7 @@
 
 struct Attempt {
     arrival: usize,
-    last_us: Option<u64>,
+    last_token_us: Option<u64>,
     tokens: u32,
 }
 
@@ -48,11 +48,11 @@
     engine: engine::BatchScheduler,
     step: Option<Step>,
     attempts: IndexMap<Name, Attempt>,
-    late: VecDeque<Load>,
+    delayed_loads: VecDeque<Load>,
     cache_sequence: u64,
 }
 
-/// The pool and what was measured.
+/// The simulated pool and its report.
 pub(crate) struct Pool {
     now_us: u64,
     events: BinaryHeap<Reverse<(u64, Event)>>,
@@ -60,7 +60,7 @@
     scheduler: Scheduler,
     targets: Vec<Target>,
     views: Vec<TargetView>,
-    patience: Millis,
+    max_wait: Millis,
     report: Report,
 }
 
@@ -70,7 +70,7 @@
         settings: policy::Settings,
         targets: usize,
         arrivals: Vec<Arrival>,
-        patience: Millis,
+        max_wait: Millis,
     ) -> Self {
         let engine_settings = engine::Settings::default();
         let capacity_tokens = engine_settings.total_pages * engine_settings.page_tokens;
@@ -96,22 +96,22 @@
             scheduler: Scheduler::new(settings),
             targets,
             views,
-            patience,
+            max_wait,
             report: Report::default(),
             arrivals,
         }
     }
 
-    /// Runs until all work has ended.
+    /// Runs until all generations have ended; returns the figures of the run.
     pub(crate) fn run(mut self) -> Report {
         let last_us = self.arrivals.last().map_or(0, |arrival| arrival.at_us);
         while let Some(Reverse((at_us, event))) = self.events.pop() {
-            if at_us > last_us + DRAIN_US || self.is_done(last_us) {
+            if at_us > last_us + MAX_DRAIN_US || self.is_done(last_us) {
                 break;
             }
             self.now_us = at_us;
             match event {
-                Event::Arrival(index) => self.arrive(index),
+                Event::Arrival(index) => self.submit_arrival(index),
                 Event::StepEnd(target) => self.finish_step(target),
                 Event::Report(target) => self.report_load(target),
                 Event::Wake => {}
@@ -138,24 +138,24 @@
         Millis(self.now_us / 1_000)
     }
 
-    fn arrive(&mut self, index: usize) {
+    fn submit_arrival(&mut self, index: usize) {
         let now = self.now();
         let arrival = &self.arrivals[index];
-        let ask = SlotRequest {
+        let request = SlotRequest {
             id: RequestId(index as u64),
             customer: arrival.customer.clone(),
             template: arrival.template.clone(),
-            priority: arrival.work.priority,
+            priority: arrival.request.priority,
             weight: 1,
-            prompt_tokens: arrival.work.prompt_tokens,
-            max_tokens: arrival.work.max_tokens,
+            prompt_tokens: arrival.request.prompt_tokens,
+            max_tokens: arrival.request.max_tokens,
             prefix: arrival.prefix,
-            prefix_tokens: arrival.work.blocks.len() as u32 * engine::BLOCK_TOKENS,
+            prefix_tokens: arrival.request.blocks.len() as u32 * engine::BLOCK_TOKENS,
             digest: index as u64 + 1,
             arrived_ms: now,
-            deadline_ms: now + self.patience,
+            deadline_ms: now + self.max_wait,
         };
-        if self.scheduler.push(now, ask).is_err() {
+        if self.scheduler.push(now, request).is_err() {
             self.report.refused += 1;
         }
     }
@@ -167,54 +167,57 @@
             let index = placement.request.id.0 as usize;
             self.scheduler
                 .record_start(now, SlotId(index as u64), &placement);
-            let place = self
+            let target_index = self
                 .views
                 .iter()
                 .position(|view| view.name == placement.target);
-            let Some(place) = place else { continue };
-            self.views[place].free_slots -= 1;
-            let target = &mut self.targets[place];
-            let work = self.arrivals[index].work.clone();
+            let Some(target_index) = target_index else {
+                continue;
+            };
+            self.views[target_index].free_slots -= 1;
+            let target = &mut self.targets[target_index];
+            let request = self.arrivals[index].request.clone();
             let attempt = Attempt {
                 arrival: index,
-                last_us: None,
+                last_token_us: None,
                 tokens: 0,
             };
-            target.attempts.insert(work.attempt.clone(), attempt);
-            target.engine.submit(self.now_us, work);
-            self.begin_step(place);
+            target.attempts.insert(request.attempt.clone(), attempt);
+            target.engine.submit(self.now_us, request);
+            self.begin_step(target_index);
         }
         if let Some(wake) = self.scheduler.next_wake(now) {
             let at_us = (wake.0 * 1_000).max(self.now_us + 1_000);
-            self.wake_at(at_us);
+            self.schedule_wake(at_us);
         }
     }
 
-    fn wake_at(&mut self, at_us: u64) {
-        let sooner = self
+    fn schedule_wake(&mut self, at_us: u64) {
+        let wakes_earlier = self
             .events
             .peek()
             .is_some_and(|Reverse((next_us, _))| *next_us <= at_us);
-        if !sooner {
+        if !wakes_earlier {
             self.events.push(Reverse((at_us, Event::Wake)));
         }
     }
 
-    fn begin_step(&mut self, place: usize) {
-        let target = &mut self.targets[place];
+    fn begin_step(&mut self, target_index: usize) {
+        let target = &mut self.targets[target_index];
         if target.step.is_some() {
             return;
         }
         if let Some(step) = target.engine.step(self.now_us) {
             let end_us = self.now_us + step.duration_us;
             target.step = Some(step);
-            self.events.push(Reverse((end_us, Event::StepEnd(place))));
+            self.events
+                .push(Reverse((end_us, Event::StepEnd(target_index))));
         }
     }
 
-    fn finish_step(&mut self, place: usize) {
+    fn finish_step(&mut self, target_index: usize) {
         let now = self.now();
-        let target = &mut self.targets[place];
+        let target = &mut self.targets[target_index];
         let Some(step) = target.step.take() else {
             return;
         };
@@ -223,11 +226,13 @@
                 continue;
             };
             let arrival = &self.arrivals[attempt.arrival];
-            match attempt.last_us {
-                Some(last_us) => self.report.gap(self.now_us - last_us),
-                None => self.report.first(arrival, self.now_us - arrival.at_us),
+            match attempt.last_token_us {
+                Some(last_token_us) => self.report.record_gap(self.now_us - last_token_us),
+                None => self
+                    .report
+                    .record_first_token(arrival, self.now_us - arrival.at_us),
             }
-            attempt.last_us = Some(self.now_us);
+            attempt.last_token_us = Some(self.now_us);
             attempt.tokens += 1;
         }
         for ended in &step.ended {
@@ -237,38 +242,39 @@
             let slot = SlotId(attempt.arrival as u64);
             self.scheduler
                 .record_end(now, slot, attempt.tokens, Ending::Complete);
-            self.views[place].free_slots += 1;
+            self.views[target_index].free_slots += 1;
             self.report.completed += 1;
             self.report.completed_tokens += u64::from(attempt.tokens);
         }
-        self.begin_step(place);
+        self.begin_step(target_index);
     }
 
-    fn report_load(&mut self, place: usize) {
+    fn report_load(&mut self, target_index: usize) {
         let now = self.now();
-        let name = &self.views[place].name;
-        let target = &mut self.targets[place];
-        if let Some(load) = target.late.pop_front() {
+        let name = &self.views[target_index].name;
+        let target = &mut self.targets[target_index];
+        if let Some(load) = target.delayed_loads.pop_front() {
             self.scheduler.record_load(now, name, &load);
         }
-        target.late.push_back(target.load(now));
-        let known_us = self.now_us.saturating_sub(CACHE_LAG_US);
+        target.delayed_loads.push_back(target.current_load(now));
+        let visible_until_us = self.now_us.saturating_sub(CACHE_LAG_US);
         let changes = target.engine.cache().changes_after(target.cache_sequence);
-        for change in changes.filter(|change| change.at_us <= known_us) {
+        for change in changes.filter(|change| change.at_us <= visible_until_us) {
             let event = &change.event;
             target.cache_sequence = event.sequence;
-            if event.sequence % CACHE_GAP != 0 {
+            if event.sequence % CACHE_EVENT_LOSS_INTERVAL != 0 {
                 self.scheduler
                     .record_cache_event(now, name, event.prefix, event.held);
             }
         }
         if self.scheduler.queued() > 0 {
             let total = f64::from(target.engine.settings().total_pages);
-            self.report.memory.0 += f64::from(target.engine.pinned_pages()) / total;
-            self.report.memory.1 += 1;
+            self.report.memory_samples.0 += f64::from(target.engine.pinned_pages()) / total;
+            self.report.memory_samples.1 += 1;
         }
-        let next_us = self.now_us + REPORT_US;
-        self.events.push(Reverse((next_us, Event::Report(place))));
+        let next_us = self.now_us + REPORT_INTERVAL_US;
+        self.events
+            .push(Reverse((next_us, Event::Report(target_index))));
     }
 }
 
@@ -280,12 +286,12 @@
             engine,
             step: None,
             attempts: IndexMap::new(),
-            late: VecDeque::new(),
+            delayed_loads: VecDeque::new(),
             cache_sequence: 0,
         }
     }
 
-    fn load(&self, now: Millis) -> Load {
+    fn current_load(&self, now: Millis) -> Load {
         let page_tokens = self.engine.settings().page_tokens;
         Load {
             taken_ms: now,
--- a/filbertpaddle-standins/examples/placement/report.rs
+++ b/filbertpaddle-standins/examples/placement/report.rs
@@ -1,4 +1,4 @@
-//! What one run measured.
+//! Figures measured in one run of the simulation.
 
 use hdrhistogram::Histogram;
 
@@ -6,27 +6,27 @@
 
 /// Figures of one run.
 pub(crate) struct Report {
-    /// Generations that ended by themselves.
+    /// Generations that ran to their end.
     pub(crate) completed: u64,
     /// Tokens of completed generations.
     pub(crate) completed_tokens: u64,
     /// Generations refused before they ran.
     pub(crate) refused: u64,
-    /// Generations that lost their memory in mid-decode.
+    /// Times that a generation lost its memory pages during decoding.
     pub(crate) preemptions: u64,
-    /// Time that preempted generations waited, summed.
+    /// Total time that preempted generations waited to run again.
     pub(crate) stall_us: u64,
-    /// Prompt tokens that prefix caches saved.
+    /// Tokens that were not computed because a prefix cache held them.
     pub(crate) cached_tokens: u64,
     /// Tokens computed again after preemptions.
     pub(crate) recomputed_tokens: u64,
-    /// When the last work ended.
+    /// Simulated time at the end of the run.
     pub(crate) end_us: u64,
-    /// Sum and number of samples of the part of memory in use while asks wait.
-    pub(crate) memory: (f64, u32),
+    /// Sum and number of samples of the fraction of memory in use while requests are queued.
+    pub(crate) memory_samples: (f64, u32),
     gaps_us: Histogram<u64>,
-    first_us: Histogram<u64>,
-    small_first_us: Histogram<u64>,
+    first_token_us: Histogram<u64>,
+    stock_first_token_us: Histogram<u64>,
 }
 
 impl Default for Report {
@@ -40,25 +40,25 @@
             cached_tokens: 0,
             recomputed_tokens: 0,
             end_us: 0,
-            memory: (0.0, 0),
+            memory_samples: (0.0, 0),
             gaps_us: histogram(),
-            first_us: histogram(),
-            small_first_us: histogram(),
+            first_token_us: histogram(),
+            stock_first_token_us: histogram(),
         }
     }
 }
 
 impl Report {
-    /// Adds the time between two tokens.
-    pub(crate) fn gap(&mut self, gap_us: u64) {
+    /// Records the time between two tokens of a generation.
+    pub(crate) fn record_gap(&mut self, gap_us: u64) {
         self.gaps_us.saturating_record(gap_us);
     }
 
-    /// Adds the time to a first token.
-    pub(crate) fn first(&mut self, arrival: &Arrival, first_us: u64) {
-        self.first_us.saturating_record(first_us);
-        if arrival.work.priority.0 == 2 {
-            self.small_first_us.saturating_record(first_us);
+    /// Records the time from arrival to first token.
+    pub(crate) fn record_first_token(&mut self, arrival: &Arrival, first_token_us: u64) {
+        self.first_token_us.saturating_record(first_token_us);
+        if arrival.request.priority.0 == 2 {
+            self.stock_first_token_us.saturating_record(first_token_us);
         }
     }
 
@@ -83,7 +83,8 @@
     /// Returns the figures in the order of [`Self::COLUMNS`].
     pub(crate) fn row(&self) -> [f64; 14] {
         let gap_ms = |quantile| self.gaps_us.value_at_quantile(quantile) as f64 / 1e3;
-        let first_secs = |quantile| self.first_us.value_at_quantile(quantile) as f64 / 1e6;
+        let first_token_secs =
+            |quantile| self.first_token_us.value_at_quantile(quantile) as f64 / 1e6;
         [
             self.completed as f64,
             self.refused as f64,
@@ -93,11 +94,11 @@
             gap_ms(0.50),
             gap_ms(0.95),
             gap_ms(0.99),
-            first_secs(0.50),
-            first_secs(0.95),
-            self.small_first_us.value_at_quantile(0.95) as f64 / 1e6,
+            first_token_secs(0.50),
+            first_token_secs(0.95),
+            self.stock_first_token_us.value_at_quantile(0.95) as f64 / 1e6,
             self.cached_tokens as f64 / 1e3,
-            100.0 * self.memory.0 / f64::from(self.memory.1.max(1)),
+            100.0 * self.memory_samples.0 / f64::from(self.memory_samples.1.max(1)),
             self.end_us as f64 / 1e6,
         ]
     }
--- a/filbertpaddle-standins/examples/placement/traffic.rs
+++ b/filbertpaddle-standins/examples/placement/traffic.rs
@@ -1,4 +1,4 @@
-//! Arrivals of generations from a seed.
+//! Random arrivals of generations, determined by a seed.
 
 use std::f64::consts::TAU;
 
@@ -14,14 +14,14 @@
 use rand_distr::Distribution;
 use rand_distr::Exp;
 
-/// Time between two peaks of the arrivals.
-const SWING_SECS: f64 = 40.0;
-/// How far the rate swings around its mean.
-const SWING_PART: f64 = 0.5;
-/// Most tokens that a generation may produce.
+/// Time between two peaks of the arrival rate.
+const RATE_PERIOD_SECS: f64 = 40.0;
+/// Amplitude of the arrival rate relative to its mean.
+const RATE_AMPLITUDE: f64 = 0.5;
+/// Maximum output tokens of a generation.
 const MAX_TOKENS: u32 = 16_384;
 
-/// Customers, their share of arrivals and their template.
+/// Customers with their share of arrivals, their template and its priority.
 const CUSTOMERS: &[(&str, u32, &str, u8)] = &[
     ("district-north", 30, "summary", 0),
     ("camp-central", 25, "menu", 1),
@@ -35,33 +35,33 @@
     ("school-e", 3, "summary", 0),
 ];
 
-/// One generation that arrives.
+/// Arrival of one generation.
 pub(crate) struct Arrival {
-    /// When it arrives.
+    /// Simulated time of the arrival.
     pub(crate) at_us: u64,
-    /// Who sends it.
+    /// Customer that sends it.
     pub(crate) customer: Name,
-    /// Its customer's template.
+    /// Template of the customer.
     pub(crate) template: Name,
-    /// Digest of the shared prefix.
+    /// Digest of the prefix that all requests of the template share.
     pub(crate) prefix: u64,
-    /// The work as the engine knows it.
-    pub(crate) work: EngineRequest,
+    /// The request as submitted to the simulated engine.
+    pub(crate) request: EngineRequest,
 }
 
-/// Returns the arrivals of `secs` seconds at a mean of `rate` in a second.
+/// Returns the arrivals of `secs` seconds at a mean of `rate` per second.
 pub(crate) fn arrivals(seed: u64, rate: f64, secs: u64) -> Vec<Arrival> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut at_secs = 0.0;
     let mut arrivals = Vec::new();
-    let peak = rate * (1.0 + SWING_PART);
+    let peak = rate * (1.0 + RATE_AMPLITUDE);
     loop {
         at_secs += Exp::new(peak).map_or(1.0, |gap| gap.sample(&mut rng));
         if at_secs >= secs as f64 {
             return arrivals;
         }
-        let now_rate = rate * (1.0 + SWING_PART * (TAU * at_secs / SWING_SECS).sin());
-        if rng.random::<f64>() * peak < now_rate {
+        let current_rate = rate * (1.0 + RATE_AMPLITUDE * (TAU * at_secs / RATE_PERIOD_SECS).sin());
+        if rng.random::<f64>() * peak < current_rate {
             let index = arrivals.len();
             arrivals.push(arrival(seed, index, at_secs, &mut rng));
         }
@@ -73,28 +73,28 @@
     R: Rng,
 {
     let total: u32 = CUSTOMERS.iter().map(|(_, share, ..)| share).sum();
-    let mut place = rng.random_range(0..total);
+    let mut remaining_share = rng.random_range(0..total);
     let customer = CUSTOMERS
         .iter()
         .position(|(_, share, ..)| {
-            let found = place < *share;
-            place = place.saturating_sub(*share);
+            let found = remaining_share < *share;
+            remaining_share = remaining_share.saturating_sub(*share);
             found
         })
         .unwrap_or(0);
-    let (name, _, word, priority) = CUSTOMERS[customer];
+    let (name, _, template, priority) = CUSTOMERS[customer];
     let blocks = vec![customer as u64 * 2 + 1, customer as u64 * 2 + 2];
     Arrival {
         at_us: (at_secs * 1e6) as u64,
         customer: Name::new(name),
-        template: Name::new(format!("{name}/{word}")),
+        template: Name::new(format!("{name}/{template}")),
         prefix: blocks[1],
-        work: EngineRequest {
+        request: EngineRequest {
             attempt: Name::new(format!("{index}")),
             priority: Priority(priority),
             prompt_tokens: 2 * BLOCK_TOKENS + rng.random_range(20..500),
             blocks,
-            output_tokens: lengths::draw(seed, &format!("{word} {index}")),
+            output_tokens: lengths::draw(seed, &format!("{template} {index}")),
             max_tokens: MAX_TOKENS,
             poison: false,
         },
--- a/filbertpaddle-standins/tests/batch_scheduler.rs
+++ b/filbertpaddle-standins/tests/batch_scheduler.rs
@@ -1,4 +1,4 @@
-//! The engine's scheduler: memory, preemption, priorities and cold starts.
+//! Tests of the simulated engine's batch scheduler: memory, preemption, priorities and cold starts.
 
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
     }
 }
 
-fn work(attempt: &str, priority: u8, output_tokens: u32) -> EngineRequest {
+fn request(attempt: &str, priority: u8, output_tokens: u32) -> EngineRequest {
     EngineRequest {
         attempt: attempt.into(),
         priority: Priority(priority),
@@ -38,13 +38,13 @@
     }
 }
 
-fn warm() -> BatchScheduler {
+fn warm_scheduler() -> BatchScheduler {
     let mut scheduler = BatchScheduler::new(settings(), 0);
     scheduler.turn_warm(0);
     scheduler
 }
 
-fn random_work<R>(rng: &mut R, id: u32) -> EngineRequest
+fn random_request<R>(rng: &mut R, id: u32) -> EngineRequest
 where
     R: Rng,
 {
@@ -55,7 +55,7 @@
     EngineRequest {
         prompt_tokens: shared * BLOCK_TOKENS + rng.random_range(1..60),
         blocks,
-        ..work(
+        ..request(
             &format!("w{id}"),
             rng.random_range(0..3),
             rng.random_range(1..400),
@@ -63,7 +63,7 @@
     }
 }
 
-/// Steps until nothing is left; returns the tokens of each attempt.
+/// Runs steps until no attempt is left; returns the number of tokens of each attempt.
 fn run(scheduler: &mut BatchScheduler, mut now_us: u64) -> BTreeMap<Name, u32> {
     let mut tokens = BTreeMap::new();
     while let Some(step) = scheduler.step(now_us) {
@@ -76,18 +76,18 @@
 }
 
 #[test]
-fn pages_never_exceed_the_total_and_every_token_comes_once() {
+fn memory_is_bounded_and_every_token_is_produced_once() {
     for seed in 0..40 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut scheduler = warm();
+        let mut scheduler = warm_scheduler();
         let mut expected = BTreeMap::new();
         let mut tokens: BTreeMap<Name, u32> = BTreeMap::new();
-        let mut cut = Vec::new();
+        let mut ended_attempts = Vec::new();
         let mut now_us = 0;
         for id in 0..60 {
-            let work = random_work(&mut rng, id);
-            expected.insert(work.attempt.clone(), work.output_tokens);
-            assert_eq!(scheduler.submit(now_us, work), SubmitOutcome::Waiting);
+            let request = random_request(&mut rng, id);
+            expected.insert(request.attempt.clone(), request.output_tokens);
+            assert_eq!(scheduler.submit(now_us, request), SubmitOutcome::Waiting);
             for _ in 0..rng.random_range(0..30) {
                 let Some(step) = scheduler.step(now_us) else {
                     break;
@@ -97,7 +97,7 @@
                 step.tokens
                     .into_iter()
                     .for_each(|attempt| *tokens.entry(attempt).or_default() += 1);
-                cut.extend(step.ended);
+                ended_attempts.extend(step.ended);
             }
         }
         while let Some(step) = scheduler.step(now_us) {
@@ -106,10 +106,10 @@
             step.tokens
                 .into_iter()
                 .for_each(|attempt| *tokens.entry(attempt).or_default() += 1);
-            cut.extend(step.ended);
+            ended_attempts.extend(step.ended);
         }
-        assert_eq!(cut.len(), 60, "seed {seed}");
-        for ended in cut {
+        assert_eq!(ended_attempts.len(), 60, "seed {seed}");
+        for ended in ended_attempts {
             let got = tokens.get(&ended.attempt).copied().unwrap_or_default();
             match ended.cause {
                 EndCause::Stop => assert_eq!(got, expected[&ended.attempt], "seed {seed}"),
@@ -121,12 +121,12 @@
 }
 
 #[test]
-fn a_run_is_the_same_every_time() {
+fn equal_seeds_give_equal_runs() {
     let result = || {
         let mut rng = SmallRng::seed_from_u64(5);
-        let mut scheduler = warm();
+        let mut scheduler = warm_scheduler();
         for id in 0..40 {
-            scheduler.submit(0, random_work(&mut rng, id));
+            scheduler.submit(0, random_request(&mut rng, id));
         }
         (run(&mut scheduler, 0), scheduler.totals())
     };
@@ -134,10 +134,10 @@
 }
 
 #[test]
-fn preemption_recomputes_and_loses_no_token() {
-    let mut scheduler = warm();
+fn preempted_attempts_recompute_and_lose_no_token() {
+    let mut scheduler = warm_scheduler();
     for id in 0..4 {
-        scheduler.submit(0, work(&format!("w{id}"), 1, 600));
+        scheduler.submit(0, request(&format!("w{id}"), 1, 600));
     }
     let tokens = run(&mut scheduler, 0);
     assert!(tokens.values().all(|count| *count == 600));
@@ -149,10 +149,10 @@
 }
 
 #[test]
-fn the_lowest_priority_is_preempted_and_waits_longest() {
-    let mut scheduler = warm();
-    scheduler.submit(0, work("low", 0, 1_000));
-    scheduler.submit(0, work("high", 9, 1_000));
+fn lowest_priority_is_preempted_and_ends_last() {
+    let mut scheduler = warm_scheduler();
+    scheduler.submit(0, request("low", 0, 1_000));
+    scheduler.submit(0, request("high", 9, 1_000));
     let mut now_us = 0;
     let mut order = Vec::new();
     while let Some(step) = scheduler.step(now_us) {
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_waiting_attempt_of_higher_priority_goes_first() {
+fn waiting_attempt_of_highest_priority_runs_first() {
     let mut scheduler = BatchScheduler::new(
         Settings {
             warm_limit: 1,
@@ -174,64 +174,67 @@
     );
     scheduler.turn_warm(0);
     for (attempt, priority) in [("a", 1), ("b", 1), ("c", 7)] {
-        scheduler.submit(0, work(attempt, priority, 3));
+        scheduler.submit(0, request(attempt, priority, 3));
     }
     let first = scheduler.step(0).unwrap();
     assert_eq!(first.tokens, ["c"]);
 }
 
 #[test]
-fn a_cold_engine_bears_its_limit_and_no_more() {
+fn cold_engine_accepts_its_limit_and_crashes_above_it() {
     let mut scheduler = BatchScheduler::new(settings(), 0);
     assert_eq!(
-        scheduler.submit(0, work("a", 1, 50)),
+        scheduler.submit(0, request("a", 1, 50)),
         SubmitOutcome::Waiting
     );
     assert_eq!(
-        scheduler.submit(0, work("b", 1, 50)),
+        scheduler.submit(0, request("b", 1, 50)),
         SubmitOutcome::Waiting
     );
     assert_eq!(
-        scheduler.submit(0, work("c", 1, 50)),
+        scheduler.submit(0, request("c", 1, 50)),
         SubmitOutcome::Collapsed
     );
     assert_eq!(scheduler.totals().cold_excess, 1);
 }
 
 #[test]
-fn a_warm_engine_that_turns_cold_bears_an_excess_only_for_the_grace() {
-    let mut scheduler = warm();
+fn engine_that_turned_cold_tolerates_an_excess_during_the_grace_period_only() {
+    let mut scheduler = warm_scheduler();
     for id in 0..8 {
-        scheduler.submit(0, work(&format!("w{id}"), 1, 50));
+        scheduler.submit(0, request(&format!("w{id}"), 1, 50));
     }
     scheduler.turn_cold(500);
-    let late =
-        |scheduler: &mut BatchScheduler, now_us| scheduler.submit(now_us, work("late", 1, 5));
-    assert_eq!(late(&mut scheduler, 600), SubmitOutcome::Waiting);
-    assert_eq!(late(&mut scheduler, 200_000), SubmitOutcome::Collapsed);
+    let submit_late =
+        |scheduler: &mut BatchScheduler, now_us| scheduler.submit(now_us, request("late", 1, 5));
+    assert_eq!(submit_late(&mut scheduler, 600), SubmitOutcome::Waiting);
+    assert_eq!(
+        submit_late(&mut scheduler, 200_000),
+        SubmitOutcome::Collapsed
+    );
     assert_eq!(scheduler.totals().cold_excess_in_grace, 1);
 }
 
 #[test]
-fn a_cold_step_takes_longer() {
+fn step_takes_longer_while_cold() {
     let duration_us = |warm: bool| {
         let mut scheduler = BatchScheduler::new(settings(), 0);
         if warm {
             scheduler.turn_warm(0);
         }
-        scheduler.submit(0, work("a", 1, 5));
+        scheduler.submit(0, request("a", 1, 5));
         scheduler.step(0).unwrap().duration_us
     };
     assert!(duration_us(false) > duration_us(true));
 }
 
 #[test]
-fn a_shared_prefix_is_computed_once_and_evicted_when_room_is_needed() {
-    let mut scheduler = warm();
+fn shared_prefix_is_computed_once_and_evicted_under_memory_pressure() {
+    let mut scheduler = warm_scheduler();
     let shared = |attempt: &str, block: u64| EngineRequest {
         prompt_tokens: BLOCK_TOKENS + 8,
         blocks: vec![block],
-        ..work(attempt, 1, 5)
+        ..request(attempt, 1, 5)
     };
     scheduler.submit(0, shared("a", 1));
     run(&mut scheduler, 0);
@@ -244,14 +247,14 @@
     }
     assert_eq!(scheduler.cache().lookup(1), None);
     let changes = scheduler.cache().changes_after(0);
-    let lost = changes.filter(|change| change.event.prefix == 1 && !change.event.held);
-    assert_eq!(lost.count(), 1);
+    let evictions = changes.filter(|change| change.event.prefix == 1 && !change.event.held);
+    assert_eq!(evictions.count(), 1);
 }
 
 #[test]
-fn a_cancelled_attempt_frees_its_pages() {
-    let mut scheduler = warm();
-    scheduler.submit(0, work("a", 1, 500));
+fn cancelled_attempt_frees_its_pages() {
+    let mut scheduler = warm_scheduler();
+    scheduler.submit(0, request("a", 1, 500));
     scheduler.step(0);
     assert!(scheduler.pinned_pages() > 0);
     assert!(scheduler.cancel(1, &"a".into()));
--- a/filbertpaddle-standins/tests/engine.rs
+++ b/filbertpaddle-standins/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The target client against the engine and service stand-ins.
+//! Tests of the target client against the engine and service stand-ins.
 
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -51,8 +51,8 @@
     }
 }
 
-/// A prompt with a long output under the settings' seed.
-fn long(attempt: &str) -> Submit {
+/// Returns a submission whose output is long with the seed of the settings.
+fn long_submit(attempt: &str) -> Submit {
     let prompt = (0..)
         .map(|n| format!("menu {n}"))
         .find(|prompt| filbertpaddle_standins::lengths::draw(1, prompt) > 2_000);
@@ -62,7 +62,7 @@
     }
 }
 
-async fn texts(stream: &mut Tokens) -> Result<Vec<String>, Error> {
+async fn read_texts(stream: &mut Tokens) -> Result<Vec<String>, Error> {
     let mut texts = Vec::new();
     while let Some(received) = stream.next().await? {
         if let Received::Token { text, .. } = received {
@@ -72,7 +72,7 @@
     Ok(texts)
 }
 
-async fn eventually<F>(mut condition: F)
+async fn wait_until<F>(mut condition: F)
 where
     F: AsyncFnMut() -> bool,
 {
@@ -82,36 +82,36 @@
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("the condition never came about");
+    panic!("the condition was not met within 2000 polls at intervals of 10 ms");
 }
 
 #[tokio::test]
-async fn a_stream_is_whole_and_can_be_resumed_at_any_index() {
+async fn stream_can_be_resumed_from_any_index() {
     let engine = Engine::start(settings()).await.unwrap();
     let client = client();
-    let ask = submit("a1", "menu for the night crew");
-    let mut stream = client.submit(engine.address, &ask).await.unwrap();
-    let all = texts(&mut stream).await.unwrap();
+    let request = submit("a1", "menu for the night crew");
+    let mut stream = client.submit(engine.address, &request).await.unwrap();
+    let all = read_texts(&mut stream).await.unwrap();
     assert!(!all.is_empty());
     for from in [0, 1, all.len() as u32] {
         let mut stream = client
-            .resume(engine.address, &ask.attempt, from)
+            .resume(engine.address, &request.attempt, from)
             .await
             .unwrap();
-        assert_eq!(texts(&mut stream).await.unwrap(), all[from as usize..]);
+        assert_eq!(read_texts(&mut stream).await.unwrap(), all[from as usize..]);
     }
     engine.close().await;
 }
 
 #[tokio::test]
-async fn refusals_prove_that_nothing_ran() {
+async fn refused_requests_are_reported_as_not_run() {
     let engine = Engine::start(settings()).await.unwrap();
     let client = client();
     let refused = |cause| Error::NotStarted(NotStarted::Refused(cause));
     let mut first = submit("a1", "stock");
     first.fence = 7;
     let mut stream = client.submit(engine.address, &first).await.unwrap();
-    texts(&mut stream).await.unwrap();
+    read_texts(&mut stream).await.unwrap();
     let stale = client.submit(engine.address, &submit("a2", "stock")).await;
     assert_eq!(stale.unwrap_err(), refused(RefusalCause::StaleFence));
     let order = Order {
@@ -132,7 +132,7 @@
     assert_eq!(unknown.unwrap_err(), refused(RefusalCause::UnknownAttempt));
     let address = engine.address;
     engine.close().await;
-    eventually(async || {
+    wait_until(async || {
         let gone = client.submit(address, &submit("a3", "stock")).await;
         gone.is_err_and(|error| error.is_not_started())
     })
@@ -140,35 +140,38 @@
 }
 
 #[tokio::test]
-async fn cancelling_ends_the_stream() {
+async fn cancelling_an_attempt_ends_its_stream() {
     let engine = Engine::start(settings()).await.unwrap();
     let client = client();
-    let ask = long("a1");
-    let mut stream = client.submit(engine.address, &ask).await.unwrap();
+    let request = long_submit("a1");
+    let mut stream = client.submit(engine.address, &request).await.unwrap();
     stream.next().await.unwrap();
-    client.cancel(engine.address, &ask.attempt).await.unwrap();
+    client
+        .cancel(engine.address, &request.attempt)
+        .await
+        .unwrap();
     let mut last = None;
     while let Some(received) = stream.next().await.unwrap() {
         last = Some(received);
     }
     let cause = match last {
         Some(Received::End { cause, .. }) => cause,
-        other => panic!("no end: {other:?}"),
+        other => panic!("expected the end of the stream, got {other:?}"),
     };
     assert_eq!(cause, EndCause::Cancelled);
     engine.close().await;
 }
 
 #[tokio::test]
-async fn crossed_and_repeated_lines_are_told_apart() {
+async fn lines_of_other_attempts_and_repeated_lines_are_recognised() {
     let engine = Engine::start(settings()).await.unwrap();
     engine.inject(Fault::Cross { every: 3 });
     engine.inject(Fault::Duplicate { every: 4 });
     let client = client();
-    let ask = submit("a1", "menu");
-    let mut stream = client.submit(engine.address, &ask).await.unwrap();
+    let request = submit("a1", "menu");
+    let mut stream = client.submit(engine.address, &request).await.unwrap();
     let mut tokens = 0;
-    let mut foreign = 0;
+    let mut other_attempt = 0;
     let mut repeated = 0;
     while let Some(received) = stream.next().await.unwrap() {
         match received {
@@ -176,29 +179,32 @@
                 assert_eq!(index, tokens);
                 tokens += 1;
             }
-            Received::OtherAttempt { .. } => foreign += 1,
+            Received::OtherAttempt { .. } => other_attempt += 1,
             Received::Repeated { .. } => repeated += 1,
             Received::End { tokens: total, .. } => assert_eq!(total, tokens),
         }
     }
-    assert_eq!(foreign, tokens / 3);
+    assert_eq!(other_attempt, tokens / 3);
     assert_eq!(repeated, tokens / 4);
     engine.close().await;
 }
 
 #[tokio::test]
-async fn a_poison_prompt_takes_the_other_streams_along() {
+async fn poison_prompt_crashes_the_engine_and_breaks_all_streams() {
     let engine = Engine::start(settings()).await.unwrap();
     let client = client();
-    let mut innocent = client.submit(engine.address, &long("a1")).await.unwrap();
-    innocent.next().await.unwrap();
+    let mut other_stream = client
+        .submit(engine.address, &long_submit("a1"))
+        .await
+        .unwrap();
+    other_stream.next().await.unwrap();
     let mut poison = client
         .submit(engine.address, &submit("a2", "poison"))
         .await
         .unwrap();
-    assert!(texts(&mut poison).await.is_err());
-    assert!(texts(&mut innocent).await.is_err());
-    eventually(async || {
+    assert!(read_texts(&mut poison).await.is_err());
+    assert!(read_texts(&mut other_stream).await.is_err());
+    wait_until(async || {
         let report = client.load(engine.address).await;
         report.is_ok_and(|report| report.incarnation == 2 && report.attempts.is_empty())
     })
@@ -208,7 +214,7 @@
 }
 
 #[tokio::test]
-async fn a_cold_engine_collapses_beyond_its_limit() {
+async fn cold_engine_crashes_above_its_limit() {
     let settings = engine::Settings {
         starts_warm: false,
         scheduler: batch_scheduler::Settings {
@@ -224,22 +230,22 @@
     assert_eq!(report.warmth, Warmth::Cold);
     let mut streams = Vec::new();
     for attempt in ["a1", "a2"] {
-        let stream = client.submit(engine.address, &long(attempt)).await;
+        let stream = client.submit(engine.address, &long_submit(attempt)).await;
         streams.push(stream.unwrap());
     }
     assert_eq!(engine.counters().collapses, 0);
-    if let Ok(mut excess) = client.submit(engine.address, &long("a3")).await {
-        assert!(texts(&mut excess).await.is_err());
+    if let Ok(mut excess) = client.submit(engine.address, &long_submit("a3")).await {
+        assert!(read_texts(&mut excess).await.is_err());
     }
     assert_eq!(engine.counters().collapses, 1);
     for stream in &mut streams {
-        assert!(texts(stream).await.is_err());
+        assert!(read_texts(stream).await.is_err());
     }
     engine.close().await;
 }
 
 #[tokio::test]
-async fn a_service_counts_by_attempt_and_body() {
+async fn service_counts_executions_by_attempt_and_body() {
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
     let settings = service::Settings {
         listen,
