--- a/filbertpaddle-standins/src/engine_state.rs
+++ b/filbertpaddle-standins/src/engine_state.rs
@@ -33,7 +33,7 @@
 use crate::engine::Settings;
 use crate::engine_fault::Fault;
 use crate::lengths;
-use crate::marker::find_marker;
+use crate::marker;
 
 /// Ended attempts that are kept, so that repeats are recognised and streams can be resumed.
 const MAX_ENDED_ATTEMPTS: usize = 8_192;
@@ -193,7 +193,7 @@
         }
         self.check_fence(&mut inner, submit.fence)?;
         inner.counters.submitted_while_leaving += u64::from(inner.leaving);
-        if let Some(marker) = find_marker(&submit.prompt) {
+        if let Some(marker) = marker::find(&submit.prompt) {
             *inner.counters.executions.entry(marker).or_default() += 1;
         }
         let sender = watch::Sender::new(Progress::default());
--- a/filbertpaddle-standins/src/lengths.rs
+++ b/filbertpaddle-standins/src/lengths.rs
@@ -9,7 +9,7 @@
 use rand_distr::Pareto;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::marker::find_marker;
+use crate::marker;
 
 /// Longest output, in tokens.
 const MAX_OUTPUT_TOKENS: f64 = 32_768.0;
@@ -65,7 +65,7 @@
         .iter()
         .find(|(name, _)| *name == word || name.is_empty())
         .map_or(MIXES[0].1, |(_, mix)| *mix);
-    let identity = find_marker(prompt).unwrap_or_else(|| prompt.to_owned());
+    let identity = marker::find(prompt).unwrap_or_else(|| prompt.to_owned());
     let mut rng = SmallRng::seed_from_u64(xxh3_64_with_seed(identity.as_bytes(), seed));
     let tokens = sample(&mix, &mut rng);
     tokens.clamp(1.0, MAX_OUTPUT_TOKENS) as u32
--- a/filbertpaddle-standins/src/marker.rs
+++ b/filbertpaddle-standins/src/marker.rs
@@ -8,12 +8,12 @@
 /// # Examples
 ///
 /// ```
-/// use filbertpaddle_standins::marker::find_marker;
+/// use filbertpaddle_standins::marker;
 ///
-/// assert_eq!(find_marker("menu run-id=7-12; week 3"), Some("7-12".to_owned()));
-/// assert_eq!(find_marker("menu"), None);
+/// assert_eq!(marker::find("menu run-id=7-12; week 3"), Some("7-12".to_owned()));
+/// assert_eq!(marker::find("menu"), None);
 /// ```
-pub fn find_marker(text: &str) -> Option<String> {
+pub fn find(text: &str) -> Option<String> {
     let (_, rest) = text.split_once(MARKER_PREFIX)?;
     let end = rest.find(|c: char| !c.is_ascii_alphanumeric() && c != '-');
     Some(rest[..end.unwrap_or(rest.len())].to_owned())
--- a/filbertpaddle-standins/src/report.rs
+++ b/filbertpaddle-standins/src/report.rs
@@ -380,7 +380,7 @@
         *executions.entry(marker.clone()).or_default() += count;
     }
     for (body, count) in counted.services.iter().flat_map(|counts| &counts.bodies) {
-        if let Some(marker) = crate::marker::find_marker(body) {
+        if let Some(marker) = crate::marker::find(body) {
             *executions.entry(marker).or_default() += count;
         }
     }
--- a/filbertpaddle-standins/tests/load.rs
+++ b/filbertpaddle-standins/tests/load.rs
@@ -56,7 +56,7 @@
     let asks = asks(3);
     let mut markers: Vec<String> = asks
         .iter()
-        .map(|ask| marker::find_marker(&ask.prompt()).unwrap())
+        .map(|ask| marker::find(&ask.prompt()).unwrap())
         .collect();
     markers.sort();
     markers.dedup();
