--- a/filbertpaddle-standins/src/engine_state.rs
+++ b/filbertpaddle-standins/src/engine_state.rs
@@ -100,7 +100,7 @@
     loaded: LoadedState,
     incarnation: u64,
     leaving: bool,
-    alive: bool,
+    is_up: bool,
     is_stopped: bool,
     active_faults: ActiveFaults,
 }
@@ -144,7 +144,7 @@
             loaded: LoadedState::default(),
             incarnation: 1,
             leaving: false,
-            alive: true,
+            is_up: true,
             is_stopped: false,
             active_faults,
         };
@@ -176,7 +176,7 @@
     pub(crate) fn submit(&self, submit: &Submit) -> Result<Subscription, RefusalCause> {
         let now_us = self.now_us();
         let mut inner = self.lock();
-        if !inner.alive {
+        if !inner.is_up {
             // Dropping the sender breaks the stream off at once.
             let (_, progress) = watch::channel(Progress::default());
             return Ok(Subscription { progress });
@@ -351,7 +351,7 @@
 
     /// Marks the engine as down and drops its attempts; counters and totals stay.
     fn end_incarnation(&self, inner: &mut Inner) {
-        inner.alive = false;
+        inner.is_up = false;
         // Dropping the attempts drops their senders, which breaks the streams off.
         inner.attempts.clear();
         inner.ended.clear();
@@ -368,7 +368,7 @@
         inner.scheduler = BatchScheduler::new(self.settings.scheduler.clone(), now_us);
         inner.loaded = LoadedState::default();
         inner.incarnation += 1;
-        inner.alive = true;
+        inner.is_up = true;
     }
 
     /// Stops the engine permanently.
@@ -428,7 +428,7 @@
     pub(crate) fn take_snapshot(&self) {
         let now_us = self.now_us();
         let mut inner = self.lock();
-        if !inner.alive {
+        if !inner.is_up {
             return;
         }
         let report = inner.current_load(now_us);
