--- a/filbertpaddle-standins/src/balancer.rs
+++ b/filbertpaddle-standins/src/balancer.rs
@@ -1,4 +1,4 @@
-//! Baselines: entry VMs that choose targets by themselves.
+//! Baseline for the load tool: an entry VM that chooses targets without any coordination.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -7,12 +7,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Time during which a target that failed is passed over.
-const SUSPENSION: Duration = Duration::from_secs(1);
+/// Time for which a target is skipped after a failure.
+const SUSPENSION_TIME: Duration = Duration::from_secs(1);
 
-/// How a target is chosen.
+/// Policy by which a target is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum BalancingPolicy {
     /// Each target in turn.
     RoundRobin,
     /// The target with the fewest requests in flight from this entry VM.
@@ -31,19 +31,20 @@
 struct Inner {
     targets: Vec<Target>,
     out: Option<usize>,
-    turn: usize,
+    rotation: usize,
 }
 
-/// The targets as one entry VM sees them.
+/// Targets as seen by one entry VM.
 #[derive(Debug)]
 pub struct Balancer {
-    choice: Choice,
+    policy: BalancingPolicy,
     inner: Mutex<Inner>,
 }
 
 impl Balancer {
-    /// Creates a balancer over targets, given with their data centres.
-    pub fn new(choice: Choice, targets: &[(SocketAddr, usize)], turn: usize) -> Self {
+    /// Creates a balancer over targets, given with their data centres; `rotation` is the index
+    /// before the first target tried.
+    pub fn new(policy: BalancingPolicy, targets: &[(SocketAddr, usize)], rotation: usize) -> Self {
         let targets = targets.iter().map(|(address, data_centre)| Target {
             address: *address,
             data_centre: *data_centre,
@@ -53,10 +54,10 @@
         let inner = Inner {
             targets: targets.collect(),
             out: None,
-            turn,
+            rotation,
         };
         Self {
-            choice,
+            policy,
             inner: Mutex::new(inner),
         }
     }
@@ -65,41 +66,41 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a data centre out, or brings all back.
+    /// Takes one data centre out of service, or with `None` returns all to service.
     pub fn set_out(&self, data_centre: Option<usize>) {
         self.lock().out = data_centre;
     }
 
-    /// Chooses a target and counts a request in flight; `None` if there is none.
+    /// Chooses a target and counts a request in flight; returns `None` if no target is available.
     pub fn choose(&self) -> Option<SocketAddr> {
         let now = Instant::now();
         let mut inner = self.lock();
         let out = inner.out;
-        inner.turn += 1;
-        let turn = inner.turn;
+        inner.rotation += 1;
+        let rotation = inner.rotation;
         let count = inner.targets.len();
-        let open = |target: &Target| {
+        let available = |target: &Target| {
             Some(target.data_centre) != out && target.suspended_until.is_none_or(|end| end <= now)
         };
-        // The search starts at another target each time, so that ties rotate.
+        // The search starts at a different target each time, so that ties rotate.
         let mut candidates = (0..count)
-            .map(|step| (turn + step) % count)
-            .filter(|index| open(&inner.targets[*index]));
-        let index = match self.choice {
-            Choice::RoundRobin => candidates.next(),
-            Choice::LeastConnections => {
+            .map(|step| (rotation + step) % count)
+            .filter(|index| available(&inner.targets[*index]));
+        let index = match self.policy {
+            BalancingPolicy::RoundRobin => candidates.next(),
+            BalancingPolicy::LeastConnections => {
                 candidates.min_by_key(|index| inner.targets[*index].in_flight)
             }
         }?;
-        inner.turn = match self.choice {
-            Choice::RoundRobin => index,
-            Choice::LeastConnections => turn,
+        inner.rotation = match self.policy {
+            BalancingPolicy::RoundRobin => index,
+            BalancingPolicy::LeastConnections => rotation,
         };
         inner.targets[index].in_flight += 1;
         Some(inner.targets[index].address)
     }
 
-    /// Counts a request as ended; a target that failed is passed over for a while.
+    /// Counts a request as ended; a failed target is skipped for `SUSPENSION_TIME`.
     pub fn release(&self, address: SocketAddr, failed: bool) {
         let mut inner = self.lock();
         let target = inner
@@ -109,7 +110,7 @@
         let Some(target) = target else { return };
         target.in_flight = target.in_flight.saturating_sub(1);
         if failed {
-            target.suspended_until = Some(Instant::now() + SUSPENSION);
+            target.suspended_until = Some(Instant::now() + SUSPENSION_TIME);
         }
     }
 }
--- a/filbertpaddle-standins/src/lib.rs
+++ b/filbertpaddle-standins/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for development: what surrounds the system, with faults on demand.
+//! Stand-ins of model engines, services and the platform with injectable faults, and a load tool.
 
 pub mod balancer;
 pub mod batch;
+pub mod batch_scheduler;
 pub mod caller;
 pub mod child;
 pub mod cluster;
@@ -11,27 +12,26 @@
 mod engine_http;
 pub mod engine_state;
 pub mod experiment;
-pub mod faults;
 pub mod fleet;
 pub mod lengths;
-pub mod limiter;
 pub mod marker;
 pub mod node_settings;
 pub mod observation;
 pub mod platform;
+pub mod platform_faults;
 mod platform_http;
 pub mod pool;
 pub mod prefix_cache;
 pub mod process;
 pub mod proxy;
 mod pump;
+pub mod rate_limiter;
 pub mod report;
 pub mod scenario;
-pub mod scheduler;
 pub mod server;
 pub mod service;
 pub mod summary;
 pub mod table;
 pub mod usage;
-pub mod vms;
+pub mod vm_list_history;
 pub mod workload;
--- a/filbertpaddle-standins/src/report.rs
+++ b/filbertpaddle-standins/src/report.rs
@@ -295,7 +295,7 @@
         .filter(|record| !record.ask.kind.is_call())
         .map(|record| record.ask.prompt().len())
         .sum();
-    let prompt_tokens = prompt_bytes / crate::scheduler::TOKEN_BYTES;
+    let prompt_tokens = prompt_bytes / crate::batch_scheduler::TOKEN_BYTES;
     totals.cached_tokens as f64 * 100.0 / prompt_tokens.max(1) as f64
 }
 
@@ -380,7 +380,7 @@
         *executions.entry(marker.clone()).or_default() += count;
     }
     for (body, count) in counted.services.iter().flat_map(|counts| &counts.bodies) {
-        if let Some(marker) = crate::marker::marker(body) {
+        if let Some(marker) = crate::marker::find(body) {
             *executions.entry(marker).or_default() += count;
         }
     }
