--- a/filbertpaddle-core/src/overflow.rs
+++ b/filbertpaddle-core/src/overflow.rs
@@ -6,9 +6,9 @@
 use crate::name::Name;
 
 /// Age at which an offer expires.
-const OFFER_TTL: Millis = Millis::from_secs(3);
+const OFFER_TTL_MS: Millis = Millis::from_secs(3);
 /// Time over which a data centre that returned to service ramps up to its full share.
-const RAMP_UP_TIME: Millis = Millis::from_secs(20);
+const RAMP_UP_MS: Millis = Millis::from_secs(20);
 /// Part of a data centre's spare attempts that others may use, in percent.
 const SPARE_PERCENT: u64 = 80;
 /// Credit is counted in thousandths of an attempt.
@@ -17,7 +17,7 @@
 /// in percent of the longest accepted wait.
 const THRESHOLDS_PERCENT: (u64, u64) = (50, 20);
 /// How long the estimated wait must stay past a threshold to start or end overflow.
-const THRESHOLD_HOLD_TIME: Millis = Millis::from_secs(2);
+const THRESHOLD_HOLD_MS: Millis = Millis::from_secs(2);
 
 /// Spare capacity and unmet demand that a data centre announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -88,7 +88,7 @@
             return;
         }
         let since = *self.past_threshold_ms.get_or_insert(now);
-        if now.since(since) >= THRESHOLD_HOLD_TIME {
+        if now.since(since) >= THRESHOLD_HOLD_MS {
             self.active = !self.active;
             self.past_threshold_ms = None;
         }
@@ -148,9 +148,9 @@
         let ramp = now
             .since(returned_ms)
             .0
-            .clamp(RAMP_UP_TIME.0 / 10, RAMP_UP_TIME.0);
+            .clamp(RAMP_UP_MS.0 / 10, RAMP_UP_MS.0);
         let spare = u64::from(offer.spare_attempts) * CREDIT_PER_ATTEMPT * SPARE_PERCENT / 100;
-        spare * ramp / RAMP_UP_TIME.0 * own / (own + others)
+        spare * ramp / RAMP_UP_MS.0 * own / (own + others)
     }
 
     /// Chooses the data centre with the most credit left and takes the credit
@@ -176,5 +176,5 @@
 }
 
 fn is_fresh(now: Millis, offer: &Offer) -> bool {
-    now.since(offer.sent_ms) < OFFER_TTL
+    now.since(offer.sent_ms) < OFFER_TTL_MS
 }
--- a/filbertpaddle-core/src/placement_rate.rs
+++ b/filbertpaddle-core/src/placement_rate.rs
@@ -6,7 +6,7 @@
 use crate::clock::Millis;
 
 /// Shortest time over which the rate is measured.
-const RATE_WINDOW: Millis = Millis(1_000);
+const RATE_WINDOW_MS: Millis = Millis(1_000);
 /// Weight of a new measurement in the moving average of the rate.
 const RATE_SMOOTHING: f64 = 0.3;
 /// Shortest and longest delay returned for a retry.
@@ -33,7 +33,7 @@
         }
         self.placed_tokens += tokens;
         let span_ms = now.since(self.window_start_ms);
-        if span_ms < RATE_WINDOW {
+        if span_ms < RATE_WINDOW_MS {
             return;
         }
         let rate = self.placed_tokens as f64 / span_ms.0 as f64;
--- a/filbertpaddle-core/src/prefix_cache.rs
+++ b/filbertpaddle-core/src/prefix_cache.rs
@@ -7,7 +7,7 @@
 /// Prefixes recorded for one target; the oldest is dropped beyond this.
 const MAX_PREFIXES: usize = 512;
 /// Time for which a prefix is assumed to be cached without new evidence.
-const PREFIX_TTL: Millis = Millis::from_secs(60);
+const PREFIX_TTL_MS: Millis = Millis::from_secs(60);
 
 /// Prefixes that one target is assumed to have cached.
 ///
@@ -39,7 +39,7 @@
     pub fn contains(&self, now: Millis, prefix: u64) -> bool {
         self.last_seen
             .get(&prefix)
-            .is_some_and(|seen_ms| now.since(*seen_ms) < PREFIX_TTL)
+            .is_some_and(|seen_ms| now.since(*seen_ms) < PREFIX_TTL_MS)
     }
 
     fn evict_oldest(&mut self) {
--- a/filbertpaddle-core/src/reconciler.rs
+++ b/filbertpaddle-core/src/reconciler.rs
@@ -10,11 +10,11 @@
 use crate::name::Name;
 
 /// Time between two reads of a target.
-pub const READ_INTERVAL: Millis = Millis(5_000);
+pub const READ_INTERVAL_MS: Millis = Millis(5_000);
 /// Longest time after which a command from an earlier owner can still arrive.
-pub const MAX_COMMAND_DELAY: Millis = Millis(10_000);
+pub const MAX_COMMAND_DELAY_MS: Millis = Millis(10_000);
 /// Time limit for the answer to a read, a permission request or a load command.
-pub const ANSWER_TIMEOUT: Millis = Millis(60_000);
+pub const ANSWER_TIMEOUT_MS: Millis = Millis(60_000);
 /// At most one target in this many changes its model at a time.
 pub const CHANGING_DIVISOR: usize = 4;
 
@@ -170,8 +170,8 @@
         };
         *phase = match (differs, is_conclusive) {
             (true, true) => Phase::OutOfDate { request_at_ms: now },
-            (true, false) => idle(self.since_ms + MAX_COMMAND_DELAY),
-            (false, _) => idle(now + READ_INTERVAL),
+            (true, false) => idle(self.since_ms + MAX_COMMAND_DELAY_MS),
+            (false, _) => idle(now + READ_INTERVAL_MS),
         };
     }
 
@@ -225,7 +225,7 @@
     fn may_load(&self, now: Millis) -> bool {
         match self.fencing {
             Fencing::Checked => true,
-            Fencing::Ignored => now.since(self.since_ms) >= MAX_COMMAND_DELAY,
+            Fencing::Ignored => now.since(self.since_ms) >= MAX_COMMAND_DELAY_MS,
         }
     }
 }
@@ -249,7 +249,7 @@
         | Phase::Loading { since_ms } => *since_ms,
         Phase::Idle { .. } | Phase::OutOfDate { .. } => return,
     };
-    if now.since(since_ms) >= ANSWER_TIMEOUT {
+    if now.since(since_ms) >= ANSWER_TIMEOUT_MS {
         *phase = idle(now);
     }
 }
--- a/filbertpaddle-core/src/scheduler.rs
+++ b/filbertpaddle-core/src/scheduler.rs
@@ -33,7 +33,7 @@
 const MAX_TRIED_REQUESTS: usize = 4;
 /// Interval at which queued work is retried without an event, since the forecast
 /// memory of running work changes with time.
-const POLL_INTERVAL: Millis = Millis(50);
+const POLL_INTERVAL_MS: Millis = Millis(50);
 
 /// Orders the slot requests of one pool and chooses their targets.
 ///
@@ -472,7 +472,7 @@
         .into_iter()
         .flatten()
         .min()
-        .map(|deadline_ms| deadline_ms.clamp(now, now + POLL_INTERVAL))
+        .map(|deadline_ms| deadline_ms.clamp(now, now + POLL_INTERVAL_MS))
     }
 
     /// Returns the number of queued requests.
--- a/filbertpaddle-core/src/suspect.rs
+++ b/filbertpaddle-core/src/suspect.rs
@@ -18,7 +18,7 @@
 /// Largest number of recorded suspects.
 pub const MAX_SUSPECTS: usize = 4_096;
 /// Time for which a suspect is recorded after it was last seen.
-const SUSPECT_TTL: Millis = Millis::from_secs(3_600);
+const SUSPECT_TTL_MS: Millis = Millis::from_secs(3_600);
 
 /// Returns the identifier of a target's crash that was first noticed at `at`.
 pub fn crash_id(target: &str, at: Millis) -> u64 {
@@ -180,11 +180,11 @@
         self.entries.is_empty()
     }
 
-    /// Evicts the records not seen for [`SUSPECT_TTL`], or else the one with the fewest
+    /// Evicts the records not seen for [`SUSPECT_TTL_MS`], or else the one with the fewest
     /// uncleared crashes.
     fn evict_one(&mut self, now: Millis) {
         self.entries
-            .retain(|_, entry| now.since(entry.seen_ms) < SUSPECT_TTL);
+            .retain(|_, entry| now.since(entry.seen_ms) < SUSPECT_TTL_MS);
         if self.entries.len() < MAX_SUSPECTS {
             return;
         }
--- a/filbertpaddle-core/src/target_state.rs
+++ b/filbertpaddle-core/src/target_state.rs
@@ -18,19 +18,19 @@
 use crate::token_gap::TokenProgress;
 
 /// Age at which a forecast is recomputed.
-const FORECAST_MAX_AGE: Millis = Millis(200);
+const FORECAST_MAX_AGE_MS: Millis = Millis(200);
 /// Time within which work belongs to the same start burst.
-const BURST_DURATION: Millis = Millis(5);
+const BURST_DURATION_MS: Millis = Millis(5);
 /// Shortest time between the starts of two bursts.
-const BURST_INTERVAL: Millis = Millis(500);
+const BURST_INTERVAL_MS: Millis = Millis(500);
 /// Prompt tokens after which a burst accepts no more work.
 const MAX_BURST_PROMPT_TOKENS: u32 = 1_024;
 /// Batch size below which work may start outside a burst.
 const UNLIMITED_START_BATCH: usize = 8;
 /// Time for which a target gets no work after it failed or refused some.
-const FAILURE_BACKOFF: Millis = Millis(1_000);
+const FAILURE_BACKOFF_MS: Millis = Millis(1_000);
 /// Time for which ended work is kept for comparison with late load reports.
-const ENDED_RETENTION: Millis = Millis::from_secs(5);
+const ENDED_RETENTION_MS: Millis = Millis::from_secs(5);
 /// Ended attempts kept for comparison with late load reports.
 const MAX_ENDED: usize = 128;
 /// Weight of a new report in the moving average of the memory correction.
@@ -159,7 +159,7 @@
     }
 
     fn join_burst(&mut self, now: Millis, request: &SlotRequest) {
-        if now.since(self.burst.start_ms) > BURST_DURATION {
+        if now.since(self.burst.start_ms) > BURST_DURATION_MS {
             self.burst.start_ms = now;
             self.burst.prompt_tokens = 0;
         }
@@ -170,10 +170,10 @@
     /// after it, or in a small batch.
     pub fn accepts_start(&self, now: Millis) -> bool {
         let since = now.since(self.burst.start_ms);
-        if since <= BURST_DURATION {
+        if since <= BURST_DURATION_MS {
             return self.burst.prompt_tokens < MAX_BURST_PROMPT_TOKENS;
         }
-        self.batch_size() < UNLIMITED_START_BATCH || since >= BURST_INTERVAL
+        self.batch_size() < UNLIMITED_START_BATCH || since >= BURST_INTERVAL_MS
     }
 
     /// Removes an attempt that ended after `tokens` tokens of output.
@@ -201,7 +201,7 @@
 
     /// Starts the backoff after the target failed or refused work.
     pub fn start_backoff(&mut self, now: Millis) {
-        self.backoff_until_ms = now + FAILURE_BACKOFF;
+        self.backoff_until_ms = now + FAILURE_BACKOFF_MS;
     }
 
     /// Returns whether the backoff after a failure or refusal is still in effect.
@@ -242,7 +242,7 @@
     ) -> &MemoryForecast {
         let fresh = self
             .forecast_ms
-            .is_some_and(|at_ms| now.since(at_ms) < FORECAST_MAX_AGE);
+            .is_some_and(|at_ms| now.since(at_ms) < FORECAST_MAX_AGE_MS);
         if !fresh {
             self.advance(now, gap_model);
             self.forecast = MemoryForecast::default();
@@ -306,7 +306,7 @@
     pub fn update_memory_correction(&mut self, now: Millis, load: &Load, gap_model: &GapModel) {
         self.advance(now, gap_model);
         let lag_ms = now.since(load.taken_ms);
-        if lag_ms >= ENDED_RETENTION {
+        if lag_ms >= ENDED_RETENTION_MS {
             return;
         }
         let generated_since = (lag_ms.0 as f64 / self.gap_ms(0, gap_model)) as u32;
@@ -336,7 +336,7 @@
         while self
             .ended
             .front()
-            .is_some_and(|ended| now.since(ended.end_ms) > ENDED_RETENTION)
+            .is_some_and(|ended| now.since(ended.end_ms) > ENDED_RETENTION_MS)
         {
             self.ended.pop_front();
         }
--- a/filbertpaddle-core/tests/availability.rs
+++ b/filbertpaddle-core/tests/availability.rs
@@ -20,7 +20,7 @@
 use proptest::prop_assert;
 use proptest::proptest;
 
-const T0: Millis = Millis(1_000);
+const START_MS: Millis = Millis(1_000);
 
 fn listed(vm: &str, data_centre: &str) -> ListedVm {
     ListedVm {
@@ -66,54 +66,63 @@
 fn initial() -> (Availability, Replica) {
     let replica = Replica::default();
     let mut availability = Availability::default();
-    availability.on_list(T0, &list());
+    availability.on_list(START_MS, &list());
     (availability, replica)
 }
 
 #[test]
 fn vms_in_the_first_list_get_the_full_share() {
     let (availability, _) = initial();
-    assert_eq!(share(&availability, T0, "vm-1"), 1_000);
-    assert_eq!(share(&availability, T0, "unknown"), 0);
+    assert_eq!(share(&availability, START_MS, "vm-1"), 1_000);
+    assert_eq!(share(&availability, START_MS, "unknown"), 0);
 }
 
 #[test]
 fn a_data_centre_out_of_service_gets_no_work_and_ramps_up_after_its_return() {
     let (mut availability, mut replica) = initial();
     apply(&mut replica, data_centre("north", ServiceState::Out));
-    let left = availability.on_config(T0, &replica);
+    let left = availability.on_config(START_MS, &replica);
     assert_eq!(left, [Action::DataCentreOutOfService("north".into())]);
-    assert_eq!(share(&availability, T0, "vm-1"), 0);
-    assert_eq!(share(&availability, T0, "vm-2"), 1_000);
+    assert_eq!(share(&availability, START_MS, "vm-1"), 0);
+    assert_eq!(share(&availability, START_MS, "vm-2"), 1_000);
 
     apply(&mut replica, data_centre("north", ServiceState::In));
-    let returned = availability.on_config(T0, &replica);
+    let returned = availability.on_config(START_MS, &replica);
     assert_eq!(returned, [Action::DataCentreBackInService("north".into())]);
-    assert_eq!(share(&availability, T0, "vm-1"), INITIAL_SHARE_PER_MILLE);
-    let next = T0 + RAMP_STEP_MS;
+    assert_eq!(
+        share(&availability, START_MS, "vm-1"),
+        INITIAL_SHARE_PER_MILLE
+    );
+    let next = START_MS + RAMP_STEP_MS;
     assert_eq!(
         share(&availability, next, "vm-1"),
         INITIAL_SHARE_PER_MILLE + RAMP_STEP_PER_MILLE
     );
-    let later = T0 + Millis(RAMP_STEP_MS.0 * 100);
+    let later = START_MS + Millis(RAMP_STEP_MS.0 * 100);
     assert_eq!(share(&availability, later, "vm-1"), 1_000);
 }
 
 #[test]
 fn a_return_ramps_up_even_if_the_outage_was_not_seen() {
     let (mut availability, mut replica) = initial();
-    availability.on_config(T0, &replica);
+    availability.on_config(START_MS, &replica);
     apply(&mut replica, data_centre("north", ServiceState::Out));
     apply(&mut replica, data_centre("north", ServiceState::In));
     apply(&mut replica, vm("vm-2", ServiceState::Out));
     apply(&mut replica, vm("vm-2", ServiceState::In));
-    availability.on_config(T0, &replica);
-    let listed_next = availability.on_list(T0 + Millis(1), &list());
+    availability.on_config(START_MS, &replica);
+    let listed_next = availability.on_list(START_MS + Millis(1), &list());
     assert!(listed_next.is_empty());
-    assert_eq!(share(&availability, T0, "vm-1"), INITIAL_SHARE_PER_MILLE);
-    assert_eq!(share(&availability, T0, "vm-2"), INITIAL_SHARE_PER_MILLE);
+    assert_eq!(
+        share(&availability, START_MS, "vm-1"),
+        INITIAL_SHARE_PER_MILLE
+    );
+    assert_eq!(
+        share(&availability, START_MS, "vm-2"),
+        INITIAL_SHARE_PER_MILLE
+    );
     // Applying the same configuration again does not restart the ramp-up.
-    let next = T0 + RAMP_STEP_MS;
+    let next = START_MS + RAMP_STEP_MS;
     assert!(availability.on_config(next, &replica).is_empty());
     // Neither does a new list.
     assert!(availability.on_list(next, &list()).is_empty());
@@ -128,32 +137,32 @@
     let (mut availability, mut replica) = initial();
     apply(&mut replica, data_centre("north", ServiceState::Out));
     apply(&mut replica, data_centre("north", ServiceState::In));
-    availability.on_config(T0, &replica);
-    assert_eq!(share(&availability, T0, "vm-1"), 1_000);
+    availability.on_config(START_MS, &replica);
+    assert_eq!(share(&availability, START_MS, "vm-1"), 1_000);
 }
 
 #[test]
 fn out_of_service_takes_precedence_over_other_sources() {
     let (mut availability, mut replica) = initial();
     apply(&mut replica, vm("vm-1", ServiceState::Out));
-    availability.on_config(T0, &replica);
-    availability.on_list(T0, &list());
-    assert_eq!(share(&availability, T0, "vm-1"), 0);
+    availability.on_config(START_MS, &replica);
+    availability.on_list(START_MS, &list());
+    assert_eq!(share(&availability, START_MS, "vm-1"), 0);
     apply(&mut replica, data_centre("north", ServiceState::In));
-    availability.on_config(T0, &replica);
-    assert_eq!(share(&availability, T0, "vm-1"), 0);
+    availability.on_config(START_MS, &replica);
+    assert_eq!(share(&availability, START_MS, "vm-1"), 0);
 }
 
 #[test]
 fn a_reclaim_notice_takes_precedence_over_a_lagging_list() {
     let (mut availability, _) = initial();
-    let left = availability.on_reclaim(T0, &"vm-1".into());
+    let left = availability.on_reclaim(START_MS, &"vm-1".into());
     assert_eq!(left, [Action::VmOutOfService("vm-1".into())]);
-    let listed_next = availability.on_list(T0 + Millis(1), &list());
+    let listed_next = availability.on_list(START_MS + Millis(1), &list());
     assert!(listed_next.is_empty());
-    assert_eq!(share(&availability, T0 + Millis(1), "vm-1"), 0);
-    availability.on_list(T0 + Millis(2), &list()[1..]);
-    let later = T0 + RECLAIM_NOTICE_TTL_MS + Millis(3);
+    assert_eq!(share(&availability, START_MS + Millis(1), "vm-1"), 0);
+    availability.on_list(START_MS + Millis(2), &list()[1..]);
+    let later = START_MS + RECLAIM_NOTICE_TTL_MS + Millis(3);
     availability.on_list(later, &list()[1..]);
     // A new VM of the same name starts with the initial share.
     availability.on_list(later, &list());
@@ -165,30 +174,30 @@
     let (mut availability, _) = initial();
     let mut leaving = list();
     leaving[0].leaving = true;
-    availability.on_list(T0, &leaving);
-    assert_eq!(share(&availability, T0, "vm-1"), 0);
-    availability.on_list(T0, &list()[..1]);
-    assert_eq!(share(&availability, T0, "vm-2"), 0);
+    availability.on_list(START_MS, &leaving);
+    assert_eq!(share(&availability, START_MS, "vm-1"), 0);
+    availability.on_list(START_MS, &list()[..1]);
+    assert_eq!(share(&availability, START_MS, "vm-2"), 0);
 }
 
 #[test]
 fn an_operators_decision_persists_while_the_vm_is_unlisted() {
     let (mut availability, mut replica) = initial();
     apply(&mut replica, vm("vm-1", ServiceState::Out));
-    availability.on_config(T0, &replica);
-    availability.on_list(T0, &[]);
-    availability.on_list(T0, &list());
-    assert_eq!(share(&availability, T0, "vm-1"), 0);
+    availability.on_config(START_MS, &replica);
+    availability.on_list(START_MS, &[]);
+    availability.on_list(START_MS, &list());
+    assert_eq!(share(&availability, START_MS, "vm-1"), 0);
 }
 
 #[test]
 fn a_nonzero_share_scales_a_limit_to_at_least_one() {
     let (mut availability, mut replica) = initial();
     apply(&mut replica, vm("vm-1", ServiceState::Out));
-    availability.on_config(T0, &replica);
+    availability.on_config(START_MS, &replica);
     apply(&mut replica, vm("vm-1", ServiceState::In));
-    availability.on_config(T0, &replica);
-    let share = availability.vm_share(T0, &"vm-1".into());
+    availability.on_config(START_MS, &replica);
+    let share = availability.vm_share(START_MS, &"vm-1".into());
     assert_eq!(share.scale(100), 10);
     assert_eq!(share.scale(4), 1);
     assert_eq!(Share::NONE.scale(u32::MAX), 0);
@@ -199,7 +208,7 @@
     fn only_a_vm_out_of_service_gets_no_work(steps in prop::collection::vec((0_u8..7, any::<bool>()), 1..60)) {
         let name: Name = "vm-1".into();
         let (mut availability, mut replica) = initial();
-        let mut now = T0;
+        let mut now = START_MS;
         let (mut vm_out, mut dc_out, mut gone) = (false, false, false);
         for (step, out) in steps {
             now = now + Millis(500);
--- a/filbertpaddle-core/tests/overflow.rs
+++ b/filbertpaddle-core/tests/overflow.rs
@@ -5,7 +5,7 @@
 use filbertpaddle_core::overflow::Offer;
 use filbertpaddle_core::overflow::Overflow;
 
-const MAX_WAIT: Millis = Millis::from_secs(10);
+const MAX_WAIT_MS: Millis = Millis::from_secs(10);
 
 fn offer(sent_ms: Millis, spare_attempts: u32, unmet_attempts: u32) -> Offer {
     Offer {
@@ -23,7 +23,7 @@
 #[test]
 fn overflow_starts_at_once_when_the_local_data_centre_is_out() {
     let mut overflow = Overflow::new();
-    overflow.on_wait_estimate(Millis(5), None, MAX_WAIT);
+    overflow.on_wait_estimate(Millis(5), None, MAX_WAIT_MS);
     assert!(overflow.is_active());
 }
 
@@ -32,7 +32,7 @@
     let mut overflow = Overflow::new();
     for step in 0..100 {
         let wait_ms = if step % 2 == 0 { 9_000 } else { 100 };
-        overflow.on_wait_estimate(Millis(step * 500), Some(Millis(wait_ms)), MAX_WAIT);
+        overflow.on_wait_estimate(Millis(step * 500), Some(Millis(wait_ms)), MAX_WAIT_MS);
         assert!(!overflow.is_active(), "step {step}");
     }
 }
@@ -40,14 +40,14 @@
 #[test]
 fn overflow_ends_only_well_below_the_wait_that_started_it() {
     let mut overflow = Overflow::new();
-    overflow.on_wait_estimate(Millis(0), Some(Millis(6_000)), MAX_WAIT);
-    overflow.on_wait_estimate(Millis(2_000), Some(Millis(6_000)), MAX_WAIT);
+    overflow.on_wait_estimate(Millis(0), Some(Millis(6_000)), MAX_WAIT_MS);
+    overflow.on_wait_estimate(Millis(2_000), Some(Millis(6_000)), MAX_WAIT_MS);
     assert!(overflow.is_active());
-    overflow.on_wait_estimate(Millis(4_000), Some(Millis(4_000)), MAX_WAIT);
-    overflow.on_wait_estimate(Millis(9_000), Some(Millis(4_000)), MAX_WAIT);
+    overflow.on_wait_estimate(Millis(4_000), Some(Millis(4_000)), MAX_WAIT_MS);
+    overflow.on_wait_estimate(Millis(9_000), Some(Millis(4_000)), MAX_WAIT_MS);
     assert!(overflow.is_active());
-    overflow.on_wait_estimate(Millis(10_000), Some(Millis(1_000)), MAX_WAIT);
-    overflow.on_wait_estimate(Millis(12_000), Some(Millis(1_000)), MAX_WAIT);
+    overflow.on_wait_estimate(Millis(10_000), Some(Millis(1_000)), MAX_WAIT_MS);
+    overflow.on_wait_estimate(Millis(12_000), Some(Millis(1_000)), MAX_WAIT_MS);
     assert!(!overflow.is_active());
 }
 
--- a/filbertpaddle-core/tests/owner_model/world.rs
+++ b/filbertpaddle-core/tests/owner_model/world.rs
@@ -30,8 +30,8 @@
 use filbertpaddle_core::timing::Timing;
 
 const TARGET: Name = Name::new_static("u");
-const START: Millis = Millis(10);
-const TICK: Millis = Millis(1);
+const START_MS: Millis = Millis(10);
+const TICK_MS: Millis = Millis(1);
 const TIMING: Timing = Timing {
     promise_ms: Millis(2),
     accept_ms: Millis(1),
@@ -257,11 +257,11 @@
         let mut owner = Owner::new(TIMING, 1, Millis::ZERO, roster(setup.members));
         owner.add_target(&TARGET);
         for node in &mut nodes {
-            let session = node.mode_state.promise(START).unwrap();
+            let session = node.mode_state.promise(START_MS).unwrap();
             // The successor made its last promise before it took over.
             let made_ms = match setup.is_owner_replaced && node.id == id(1) {
-                true => Millis(START.0 - TIMING.quarantine_ms().0),
-                false => START,
+                true => Millis(START_MS.0 - TIMING.quarantine_ms().0),
+                false => START_MS,
             };
             owner.on_promise(&node.id, Promise { session, made_ms });
         }
@@ -271,7 +271,7 @@
             owner.on_collect_reply(&reply);
         }
         let mut world = Self {
-            now: START,
+            now: START_MS,
             epoch: 1,
             recorded_owner: 0,
             fence: fence(1, Source::Granted),
@@ -281,19 +281,19 @@
             budget: setup.budget.clone(),
             step: "start".to_owned(),
         };
-        owner.on_report(START, &TARGET, &world.report(setup));
+        owner.on_report(START_MS, &TARGET, &world.report(setup));
         if setup.is_owner_replaced {
-            let since_ms = Millis(START.0 - TIMING.quarantine_ms().0);
+            let since_ms = Millis(START_MS.0 - TIMING.quarantine_ms().0);
             owner.on_confirm(since_ms);
             world.epoch = 2;
             world.recorded_owner = 1;
             let node = &mut nodes[1];
             let mut successor = Owner::new(TIMING, 2, since_ms, roster(setup.members));
             successor.add_target(&TARGET);
-            collect_own_member(node, &mut successor, START);
+            collect_own_member(node, &mut successor, START_MS);
             node.owner = Some(successor);
         } else {
-            owner.on_confirm(START);
+            owner.on_confirm(START_MS);
         }
         nodes[0].owner = Some(owner);
         world.nodes = nodes.into_iter().map(Arc::new).collect();
@@ -342,7 +342,7 @@
     }
 
     fn tick(&self, setup: &Setup, next: &mut Vec<Self>) {
-        if self.now >= START + Millis(setup.horizon_ticks) {
+        if self.now >= START_MS + Millis(setup.horizon_ticks) {
             return;
         }
         let mut world = self.clone();
@@ -358,7 +358,7 @@
             }
         }
         world.step = "tick".to_owned();
-        world.now = self.now + TICK;
+        world.now = self.now + TICK_MS;
         let now = world.now;
         // Expired reports have no effect and are dropped to reduce the states.
         world.messages.retain(|message| match &**message {
--- a/filbertpaddle-core/tests/sweep.rs
+++ b/filbertpaddle-core/tests/sweep.rs
@@ -15,7 +15,7 @@
 use filbertpaddle_core::sweep;
 use filbertpaddle_core::sweep::Entry;
 
-const NOW: Millis = Millis::from_secs(1_000_000);
+const NOW_MS: Millis = Millis::from_secs(1_000_000);
 
 fn entry(number: u32, age_ms: Millis, state: State) -> Entry {
     let id = Id {
@@ -27,7 +27,7 @@
         digest: "digest".into(),
         holder: "node".into(),
         incarnation: 1,
-        claimed_at_ms: Millis(NOW.0 - age_ms.0),
+        claimed_at_ms: Millis(NOW_MS.0 - age_ms.0),
         state,
     };
     let revision = u64::from(number);
@@ -56,7 +56,7 @@
         entry(5, hour, State::Released),
         entry(6, hour + Millis(1), State::Released),
     ];
-    let step = sweep::step(page, NOW);
+    let step = sweep::step(page, NOW_MS);
     let revisions = step.expired.iter().map(|(_, row)| row.revision);
     assert_eq!(revisions.collect::<Vec<_>>(), [2, 3, 6]);
     assert_eq!(step.after, None);
@@ -66,7 +66,7 @@
 fn full_page_continues_and_many_expired_rows_shorten_the_interval() {
     let old = sweep::RETENTION_MS + Millis(1);
     let page = (0..sweep::PAGE_ROWS).map(|number| entry(number, old, finished()));
-    let step = sweep::step(page.collect(), NOW);
+    let step = sweep::step(page.collect(), NOW_MS);
     assert_eq!(step.after.as_deref(), Some("claim/customer/00499"));
     assert_eq!(step.interval_ms, sweep::FAST_INTERVAL_MS);
 }
@@ -76,7 +76,7 @@
     let mut claims = Claims::new("node".into(), 1, Settings::default());
     let expired = sweep::step(
         vec![entry(7, sweep::RETENTION_MS + Millis(1), finished())],
-        NOW,
+        NOW_MS,
     )
     .expired;
     let actions = claims.on(Millis(0), Event::Expired(expired));
