--- a/filbertpaddle-core/src/membership.rs
+++ b/filbertpaddle-core/src/membership.rs
@@ -99,7 +99,7 @@
     }
 
     /// Records that a read of the record, requested at `requested_ms`, succeeded.
-    pub fn on_record_read(&mut self, requested_ms: Millis) {
+    pub fn on_roster_read(&mut self, requested_ms: Millis) {
         self.read_ms = self.read_ms.max(Some(requested_ms));
     }
 
--- a/filbertpaddle/src/coordinator_inputs.rs
+++ b/filbertpaddle/src/coordinator_inputs.rs
@@ -179,7 +179,7 @@
             return;
         }
         self.read_ms = Some(read.asked_ms);
-        self.relay.on_record_read(read.asked_ms);
+        self.relay.on_roster_read(read.asked_ms);
         self.on_record(now, record);
     }
 }
