--- a/filbertpaddle-core/src/owner.rs
+++ b/filbertpaddle-core/src/owner.rs
@@ -78,7 +78,7 @@
 impl Owner {
     /// Returns the state of an owner that takes over a pool.
     ///
-    /// `now` must not be earlier than the change of the record that named this owner.
+    /// `now` must not be earlier than the change of the roster that named this owner.
     pub fn new(timing: Timing, epoch: u64, now: Millis, roster: Roster) -> Self {
         let peers = roster.peers().iter().cloned().map(Peer::new).collect();
         Self {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Applies a later version of the record that still names this owner.
+    /// Applies a later version of the roster that still names this owner.
     ///
     /// Requests of members that left are dropped; their work becomes orphaned.
     pub fn on_roster(&mut self, now: Millis, roster: Roster) {
@@ -144,12 +144,12 @@
         }
     }
 
-    /// Records that a read of the record requested at `requested_ms` named this owner and epoch.
+    /// Records that a read of the roster requested at `requested_ms` named this owner and epoch.
     pub fn on_confirm(&mut self, requested_ms: Millis) {
         self.confirmed_ms = self.confirmed_ms.max(Some(requested_ms));
     }
 
-    /// Records a member's promise, made while the member held no newer record.
+    /// Records a member's promise, made while the member held no newer roster.
     pub fn on_promise(&mut self, id: &NodeId, promise: Promise) {
         if let Some(peer) = self.peer_mut(id) {
             peer.on_promise(promise);
@@ -225,7 +225,7 @@
             return;
         }
         peer.collected = Some(reply.session);
-        peer.has_reported = true;
+        peer.has_replied = true;
         for held in &reply.works {
             self.add_target(&held.target);
         }
@@ -302,8 +302,8 @@
 
     /// Returns whether this owner may grant slots now.
     ///
-    /// Either a recent read of the record named it, or every member has recently
-    /// promised while it held no newer record; a successor would be one of them.
+    /// Either a recent read of the roster named it, or every member has recently
+    /// promised while it held no newer roster; a successor would be one of them.
     pub fn may_grant(&self, now: Millis) -> bool {
         let recent = |requested_ms: Millis| now < requested_ms + self.timing.confirm_ms;
         self.confirmed_ms.is_some_and(recent)
@@ -444,7 +444,7 @@
                 let granted = used + u32::from(holder == Some(&peer.id));
                 // A member that never replied to this owner may be paused just
                 // before it sends work under an earlier owner's grant.
-                let is_known = peer.has_reported || ledger.is_fenced();
+                let is_known = peer.has_replied || ledger.is_fenced();
                 let share = self.roster.reserve(&ledger.target, limit, &peer.id);
                 share
                     .max(used + u32::from(!is_known))
@@ -455,8 +455,8 @@
 
     /// Returns the time from which a report shows all work that is not counted here.
     fn complete_ms(&self) -> Millis {
-        let all_reported = self.peers.iter().all(|peer| peer.has_reported);
-        match all_reported {
+        let all_replied = self.peers.iter().all(|peer| peer.has_replied);
+        match all_replied {
             true => self.since_ms + self.timing.settle_ms,
             false => self.since_ms + self.timing.quarantine_ms(),
         }
--- a/filbertpaddle-core/src/peer.rs
+++ b/filbertpaddle-core/src/peer.rs
@@ -5,7 +5,7 @@
 use crate::timing::Timing;
 
 /// A member's promise not to use its shares for [`Timing::promise_ms`], made
-/// while it held no newer version of the record than the owner.
+/// while it held no newer version of the roster than the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Promise {
     /// Number of times that the member has entered share mode.
@@ -24,7 +24,7 @@
     /// Session of its last reply to this owner's collect requests.
     pub collected: Option<u32>,
     /// Whether it ever replied to this owner's collect requests.
-    pub has_reported: bool,
+    pub has_replied: bool,
     /// Latest stamp.
     pub stamp: u64,
 }
@@ -36,7 +36,7 @@
             id,
             promise: None,
             collected: None,
-            has_reported: false,
+            has_replied: false,
             stamp: 0,
         }
     }
--- a/filbertpaddle-core/src/queue.rs
+++ b/filbertpaddle-core/src/queue.rs
@@ -17,8 +17,9 @@
 /// Units of service per token at weight one, so that integer division by a weight
 /// keeps its precision.
 const UNITS_PER_TOKEN: u64 = 1_000;
-/// Number of customers above which idle ones are dropped.
-const MAX_IDLE_CUSTOMERS: usize = 1_024;
+/// Number of customers above which idle ones are dropped, unless their service is ahead of
+/// the virtual time: the others' next requests start at the virtual time anyway.
+const PRUNE_THRESHOLD_CUSTOMERS: usize = 1_024;
 
 /// A queued request.
 #[derive(Clone, Debug)]
@@ -250,7 +251,7 @@
     }
 
     fn prune_idle(&mut self) {
-        if self.customers.len() <= MAX_IDLE_CUSTOMERS {
+        if self.customers.len() <= PRUNE_THRESHOLD_CUSTOMERS {
             return;
         }
         let virtual_time = self.virtual_time;
--- a/filbertpaddle-core/src/scheduler.rs
+++ b/filbertpaddle-core/src/scheduler.rs
@@ -29,8 +29,8 @@
 use crate::target_state::TargetState;
 use crate::token_gap::GapModel;
 
-/// Requests tried in a call before it returns nothing.
-const MAX_TRIED_REQUESTS: usize = 4;
+/// Number of queued requests that a call tries before it returns nothing.
+const LOOKAHEAD_REQUESTS: usize = 4;
 /// Interval at which queued work is retried without an event, since the forecast
 /// memory of running work changes with time.
 const POLL_INTERVAL_MS: Millis = Millis(50);
@@ -168,7 +168,7 @@
     fn next_isolated(&mut self, now: Millis, targets: &[TargetView]) -> Option<Placement> {
         let heads: Vec<SlotRequest> = self
             .isolated
-            .heads(MAX_TRIED_REQUESTS)
+            .heads(LOOKAHEAD_REQUESTS)
             .into_iter()
             .filter(|entry| self.may_run_copy(&entry.request) && entry.request.deadline_ms > now)
             .map(|entry| entry.request.clone())
@@ -189,7 +189,7 @@
     fn next_queued(&mut self, now: Millis, targets: &[TargetView]) -> Option<Placement> {
         let heads: Vec<SlotRequest> = self
             .queue
-            .heads(now, MAX_TRIED_REQUESTS)
+            .heads(now, LOOKAHEAD_REQUESTS)
             .into_iter()
             .filter(|entry| entry.request.deadline_ms > now)
             .map(|entry| entry.request.clone())
@@ -216,7 +216,7 @@
         loop {
             let restricted_ids: Vec<RequestId> = self
                 .queue
-                .heads(now, MAX_TRIED_REQUESTS)
+                .heads(now, LOOKAHEAD_REQUESTS)
                 .into_iter()
                 .filter(|entry| !self.may_share_target(&entry.request))
                 .map(|entry| entry.request.id)
--- a/filbertpaddle-core/src/suspect.rs
+++ b/filbertpaddle-core/src/suspect.rs
@@ -137,7 +137,7 @@
         match self.uncleared_crashes(digest) {
             0 if self.answered.contains(&digest) => QuarantineStatus::Cleared,
             0 => QuarantineStatus::Unknown,
-            level if level < CRASH_LIMIT => QuarantineStatus::Suspect,
+            crashes if crashes < CRASH_LIMIT => QuarantineStatus::Suspect,
             _ => QuarantineStatus::Blocked,
         }
     }
--- a/filbertpaddle-core/tests/owner_model/main.rs
+++ b/filbertpaddle-core/tests/owner_model/main.rs
@@ -67,7 +67,7 @@
         limit: 2,
         budget: Budget {
             works: 3,
-            record_reads: 1,
+            roster_reads: 1,
             promises: 0,
             collect_replies: 0,
             ..Setup::succession().budget
@@ -133,7 +133,7 @@
             share_entries: 2,
             share_exits: 0,
             promises: 0,
-            record_reads: 0,
+            roster_reads: 0,
             collect_replies: 0,
             ..Setup::shares().budget
         },
--- a/filbertpaddle-core/tests/owner_model/world.rs
+++ b/filbertpaddle-core/tests/owner_model/world.rs
@@ -2,7 +2,7 @@
 //!
 //! Lost messages, crashed nodes and an unavailable table need no steps of their
 //! own: the message is never delivered, the node takes no further step, the
-//! table is never read. Promises, reads of the record and releases take effect
+//! table is never read. Promises, reads of the roster and releases take effect
 //! at once, since a delay only keeps an owner from granting. Grants, collect
 //! replies and reports to members arrive at any time or never.
 
@@ -45,7 +45,7 @@
 pub(crate) enum Fault {
     /// A successor reserves no slots for members that do not reply.
     NoReserve,
-    /// An owner counts itself as confirmed without reading the record.
+    /// An owner counts itself as confirmed without reading the roster.
     NoConfirmationAge,
     /// A member that enters share mode ignores its granted work.
     ShareIgnoresRunning,
@@ -53,7 +53,7 @@
     ShareWithoutReport,
     /// A member accepts a grant however late it arrives.
     GrantNeverExpires,
-    /// A promise counts although the member held a newer record.
+    /// A promise counts although the member held a newer roster.
     StalePromise,
 }
 
@@ -72,8 +72,8 @@
     pub(crate) share_exits: u8,
     /// Promises after the first.
     pub(crate) promises: u8,
-    /// Reads of the record by owners.
-    pub(crate) record_reads: u8,
+    /// Reads of the roster by owners.
+    pub(crate) roster_reads: u8,
     /// Reports polled from the target.
     pub(crate) polls: u8,
     /// Replies of members to collect requests.
@@ -112,7 +112,7 @@
                 share_entries: 0,
                 share_exits: 0,
                 promises: 1,
-                record_reads: 2,
+                roster_reads: 2,
                 polls: 1,
                 collect_replies: 1,
             },
@@ -130,7 +130,7 @@
                 share_entries: 1,
                 share_exits: 1,
                 promises: 1,
-                record_reads: 1,
+                roster_reads: 1,
                 polls: 1,
                 collect_replies: 1,
             },
@@ -166,7 +166,7 @@
 pub(crate) struct World {
     now: Millis,
     epoch: u64,
-    recorded_owner: u8,
+    roster_owner: u8,
     fence: u64,
     nodes: Vec<Arc<Node>>,
     messages: Vec<Arc<Message>>,
@@ -180,7 +180,7 @@
     fn eq(&self, other: &Self) -> bool {
         self.now == other.now
             && self.epoch == other.epoch
-            && self.recorded_owner == other.recorded_owner
+            && self.roster_owner == other.roster_owner
             && self.fence == other.fence
             && self.nodes == other.nodes
             && self.messages == other.messages
@@ -195,7 +195,7 @@
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.now.hash(state);
         self.epoch.hash(state);
-        self.recorded_owner.hash(state);
+        self.roster_owner.hash(state);
         self.fence.hash(state);
         self.nodes.hash(state);
         self.messages.hash(state);
@@ -273,7 +273,7 @@
         let mut world = Self {
             now: START_MS,
             epoch: 1,
-            recorded_owner: 0,
+            roster_owner: 0,
             fence: fence(1, Source::Granted),
             nodes: Vec::new(),
             messages: Vec::new(),
@@ -286,7 +286,7 @@
             let since_ms = Millis(START_MS.0 - TIMING.quarantine_ms().0);
             owner.on_confirm(since_ms);
             world.epoch = 2;
-            world.recorded_owner = 1;
+            world.roster_owner = 1;
             let node = &mut nodes[1];
             let mut successor = Owner::new(TIMING, 2, since_ms, roster(setup.members));
             successor.add_target(&TARGET);
@@ -495,7 +495,7 @@
         let node = &self.nodes[usize::from(index)];
         let own_epoch = node.owner.as_ref().map_or(0, Owner::epoch);
         let known = node.member.epoch().max(own_epoch);
-        // A promise made while holding a newer record does not count.
+        // A promise made while holding a newer roster does not count.
         let counts = setup.fault == Some(Fault::StalePromise);
         let is_stale = epoch.is_none_or(|epoch| epoch < known && !counts);
         if is_stale || self.budget.promises == 0 {
@@ -525,7 +525,7 @@
             for collect in owner.due_collects() {
                 self.collect(index, &collect, next);
             }
-        } else if self.recorded_owner == index && self.budget.record_reads > 0 {
+        } else if self.roster_owner == index && self.budget.roster_reads > 0 {
             self.take_over(setup, index, next);
         } else if self.budget.owner_changes > 0 {
             self.replace_owner(index, next);
@@ -562,19 +562,19 @@
     }
 
     fn confirm(&self, setup: &Setup, index: u8, next: &mut Vec<Self>) {
-        if self.budget.record_reads == 0 {
+        if self.budget.roster_reads == 0 {
             return;
         }
         if setup.fault == Some(Fault::NoConfirmationAge) {
             self.change_node(index, "counts itself as confirmed", next, |node, budget| {
-                budget.record_reads -= 1;
+                budget.roster_reads -= 1;
                 node.owner.as_mut().unwrap().on_confirm(self.now);
             });
             return;
         }
         let epoch = self.epoch;
         self.change_node(index, "reads the record", next, |node, budget| {
-            budget.record_reads -= 1;
+            budget.roster_reads -= 1;
             let confirmed = node.owner.as_mut().filter(|owner| owner.epoch() == epoch);
             if let Some(owner) = confirmed {
                 owner.on_confirm(self.now);
@@ -582,11 +582,11 @@
         });
     }
 
-    /// The record names another owner, which has not read the change yet.
+    /// The roster names another owner, which has not read the change yet.
     fn replace_owner(&self, index: u8, next: &mut Vec<Self>) {
         let mut world = self.clone();
         world.epoch += 1;
-        world.recorded_owner = index;
+        world.roster_owner = index;
         world.budget.owner_changes -= 1;
         world.step = format!("the record names {}", id(index).name);
         next.push(world);
