--- a/filbertpaddle-core/src/edit.rs
+++ b/filbertpaddle-core/src/edit.rs
@@ -83,16 +83,16 @@
 /// Next step for the caller to perform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Reads the head, the entry and, if given, the audit row.
+    /// Read the head, the entry and, if given, the audit row.
     Read {
         /// Key of the entry.
         key: Key,
         /// Revision whose audit row is read.
         audit: Option<Revision>,
     },
-    /// Runs the transaction.
+    /// Run the transaction.
     Commit(Box<Commit>),
-    /// Returns the final answer to the operator.
+    /// Return the final answer to the operator.
     Finish(Answer),
 }
 
--- a/filbertpaddle-core/src/gossip.rs
+++ b/filbertpaddle-core/src/gossip.rs
@@ -107,28 +107,28 @@
 /// Output of the replicator, to be performed by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Sends a message.
+    /// Send a message.
     Send {
         /// The receiver.
         to: Name,
         /// The message.
         message: Message,
     },
-    /// Reads `config/head`.
+    /// Read `config/head`.
     ReadHead,
-    /// Reads audit rows after a revision, at most
+    /// Read audit rows after a revision, at most
     /// [`MAX_RECENT_CHANGES`](crate::replica::MAX_RECENT_CHANGES).
     ReadLog {
         /// Revision after which rows are read.
         after: Revision,
     },
-    /// Reads entries after a key; the page carries `head` as its head.
+    /// Read entries after a key; the page carries `head` as its head.
     ReadPage {
         /// Head revision that was read before the first page.
         head: Revision,
         /// Last key of the previous page.
         after: Option<Key>,
     },
-    /// Reports that a change was applied on this node.
+    /// Report that a change was applied on this node.
     Applied(Key),
 }
--- a/filbertpaddle-core/src/limit.rs
+++ b/filbertpaddle-core/src/limit.rs
@@ -6,8 +6,10 @@
 /// Minimum time between two increases of a warm target's limit.
 pub const STEP_INTERVAL_MS: Millis = Millis(1_000);
 
-/// A target's concurrency limit: doubles while a warm target copes with its
-/// load, falls back to the cold limit at once.
+/// A target's concurrency limit.
+///
+/// It doubles while a warm target copes with its load, and falls back to the
+/// cold limit at once when the target is cold or has restarted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Limit {
     incarnation: u64,
--- a/filbertpaddle-core/src/membership.rs
+++ b/filbertpaddle-core/src/membership.rs
@@ -33,7 +33,7 @@
     /// `relay_ms` of the last answer that the member received.
     #[serde(rename = "e")]
     pub echo_ms: Option<Millis>,
-    /// Version of the record that the member holds.
+    /// Version of the roster that the member holds.
     #[serde(rename = "v")]
     pub version: u64,
     /// The member's session, if it promises not to use its shares for a while.
@@ -50,13 +50,13 @@
     /// When the answer was sent, on the relay's clock.
     #[serde(rename = "t")]
     pub relay_ms: Millis,
-    /// Version of the record that the relay read last.
+    /// Version of the roster that the relay read last.
     #[serde(rename = "v")]
     pub version: u64,
     /// Age of that read, counted from when it was requested.
     #[serde(rename = "a")]
     pub read_age_ms: Option<Millis>,
-    /// Status of each peer, in the record's order.
+    /// Status of each peer, in the roster's order.
     #[serde(rename = "p")]
     pub peers: Vec<PeerStatus>,
 }
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Records that a read of the record, requested at `requested_ms`, succeeded.
+    /// Records that a read of the roster, requested at `requested_ms`, succeeded.
     pub fn on_roster_read(&mut self, requested_ms: Millis) {
         self.read_ms = self.read_ms.max(Some(requested_ms));
     }
@@ -118,8 +118,8 @@
             .peers()
             .iter()
             .map(|id| self.peer_status(now, id, version));
-        // Peers that hold a newer record are reported without a promise:
-        // theirs does not show that this record's owners may still grant.
+        // Peers that hold a newer roster are reported without a promise:
+        // theirs does not show that this roster's owners may still grant.
         Answer {
             echo_ms: heartbeat.sent_ms,
             relay_ms: now,
@@ -138,7 +138,7 @@
         now.since(since_ms) > HEARTBEAT_TIMEOUT_MS
     }
 
-    /// Returns whether a member holds at least this version of the record.
+    /// Returns whether a member holds at least this version of the roster.
     pub fn has_version(&self, id: &NodeId, version: u64) -> bool {
         let member = self.members.iter().find(|member| member.id == *id);
         member.is_some_and(|member| member.version >= version)
@@ -179,7 +179,7 @@
 /// What one answer of the relay confirms to a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Confirmation {
-    /// Version of the record that the relay had read.
+    /// Version of the roster that the relay had read.
     pub version: u64,
     /// Lower bound of when that read was requested, on the member's clock.
     pub read_ms: Option<Millis>,
@@ -191,7 +191,7 @@
 
 /// Converts an answer's ages to times on the member's clock.
 ///
-/// Returns `None` if the answer is of another version of the record than
+/// Returns `None` if the answer is of another version of the roster than
 /// `roster`, whose peers it then does not describe.
 pub fn confirmation(answer: &Answer, roster: &Roster) -> Option<Confirmation> {
     let ids = roster.peers();
@@ -217,7 +217,7 @@
 
 /// Returns whether a member must switch to its fixed shares.
 ///
-/// This is so when the relay has not read the record recently and a peer, which
+/// This is so when the relay has not read the roster recently and a peer, which
 /// may be an owner, is silent.
 pub fn must_enter_share_mode(now: Millis, confirmation: &Confirmation, timing: &Timing) -> bool {
     let recent = |requested_ms: Millis| now < requested_ms + timing.confirm_ms;
--- a/filbertpaddle-core/src/outcome.rs
+++ b/filbertpaddle-core/src/outcome.rs
@@ -67,7 +67,7 @@
     Deadline,
     /// No capacity is expected before the deadline.
     Overloaded,
-    /// No target serves the model.
+    /// No target that serves the model is in service.
     NoTarget,
     /// The platform's table cannot be reached.
     PlatformUnavailable,
--- a/filbertpaddle-core/src/overflow.rs
+++ b/filbertpaddle-core/src/overflow.rs
@@ -7,7 +7,8 @@
 
 /// Age at which an offer expires.
 const OFFER_TTL_MS: Millis = Millis::from_secs(3);
-/// Time over which a data centre that returned to service ramps up to its full share.
+/// Time over which the credit at a data centre that is new or back in service ramps up
+/// from a tenth to the full amount.
 const RAMP_UP_MS: Millis = Millis::from_secs(20);
 /// Part of a data centre's spare attempts that others may use, in percent.
 const SPARE_PERCENT: u64 = 80;
--- a/filbertpaddle-core/src/roster.rs
+++ b/filbertpaddle-core/src/roster.rs
@@ -1,4 +1,6 @@
-//! The record of a data centre: members, owners of pools and fixed shares.
+//! Roster of a data centre: its members, the owners of pools and the fixed shares.
+//!
+//! The roster is stored as one row of the platform's table.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -35,10 +37,10 @@
     pub epoch: u64,
 }
 
-/// The record of a data centre, changed by compare-and-set only.
+/// The roster of a data centre, changed by compare-and-set only.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Roster {
-    /// Version of the record; every change raises it.
+    /// Version of the roster; every change raises it.
     pub version: u64,
     /// Nodes that may own pools or be the relay, sorted by name.
     pub members: Vec<Member>,
@@ -53,7 +55,7 @@
 /// A list of sharers that is not yet in force.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NextSharers {
-    /// Version of the record in which this list last changed.
+    /// Version of the roster in which this list last changed.
     pub version: u64,
     /// Nodes that will divide each target's limit.
     pub sharers: Vec<NodeId>,
@@ -114,7 +116,7 @@
     }
 
     /// Returns the largest share of a limit that a node may use under this or
-    /// the last version of the record.
+    /// the last version of the roster.
     pub fn reserve(&self, target: &str, limit: u32, id: &NodeId) -> u32 {
         let current = share(&self.sharers, target, limit, id);
         match &self.next {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Returns the record with a node added, replacing its earlier incarnations.
+    /// Returns the roster with a node added, replacing its earlier incarnations.
     pub fn join(&self, member: Member) -> Self {
         let mut roster = self.clone();
         roster.version += 1;
@@ -149,7 +151,7 @@
         roster
     }
 
-    /// Returns the record with a silent node removed from the members.
+    /// Returns the roster with a silent node removed from the members.
     ///
     /// The node stays a sharer, since it may be partitioned and still use its
     /// shares.
@@ -160,7 +162,7 @@
         roster
     }
 
-    /// Returns the record without a node that has certainly stopped.
+    /// Returns the roster without a node that has certainly stopped.
     pub fn remove(&self, id: &NodeId) -> Self {
         let mut roster = self.retire(id);
         let mut sharers = self.peers().to_vec();
@@ -175,7 +177,7 @@
         roster
     }
 
-    /// Returns the record with the next sharers in force, if `has_version`
+    /// Returns the roster with the next sharers in force, if `has_version`
     /// confirms that every node concerned holds the version that named them.
     pub fn activate_next_sharers<F>(&self, has_version: F) -> Option<Self>
     where
@@ -197,7 +199,7 @@
         Some(roster)
     }
 
-    /// Returns the record with every pool owned by a member; `None` if nothing
+    /// Returns the roster with every pool owned by a member; `None` if nothing
     /// changes.
     ///
     /// A pool without an owner among the members gets the one with the highest
@@ -218,7 +220,7 @@
 
     fn assign_pool(&mut self, pool: &Name) {
         // An owner may grant on the promises of all sharers without reading the
-        // record, so its successor has to be one of them. A pending sharer may
+        // roster, so its successor has to be one of them. A pending sharer may
         // not be known to it yet.
         let is_sharer = |member: &Member| self.sharers.contains(&member.id);
         let Some(first) = self
@@ -231,7 +233,7 @@
         let owner = self.owner(pool);
         let is_kept = owner.is_some_and(|owner| is_member(&owner.member));
         // The version only grows, so an epoch taken from it is new even for a
-        // pool that was removed from the record and is added again.
+        // pool that was removed from the roster and is added again.
         let epoch = self.version + 1;
         match self.owners.iter_mut().find(|owner| owner.pool == *pool) {
             Some(_) if is_kept => {}
--- a/filbertpaddle-core/src/sweep.rs
+++ b/filbertpaddle-core/src/sweep.rs
@@ -11,7 +11,8 @@
 pub const RELEASED_RETENTION_MS: Millis = Millis::from_secs(60 * 60);
 /// Number of rows scanned in one step.
 pub const PAGE_ROWS: u32 = 500;
-/// Maximum delay of a new node's first step.
+/// Maximum of the random delay before a new node's first step, which spreads the load
+/// of nodes that start together.
 pub const MAX_START_DELAY_MS: Millis = Millis::from_secs(10);
 /// Interval between the steps of one node when a page has few expired rows.
 pub const SLOW_INTERVAL_MS: Millis = Millis::from_secs(120);
--- a/filbertpaddle-core/src/timing.rs
+++ b/filbertpaddle-core/src/timing.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Millis;
 
-/// Time limits that keep the nodes together within the limit of a cold target.
+/// Time limits that keep the nodes' combined work within the limit of a cold target.
 ///
 /// All are spans on one node's monotonic clock. All nodes must use the same
 /// values. Over the sum of the other limits, their clocks may drift apart by
@@ -15,7 +15,7 @@
     pub accept_ms: Millis,
     /// How long accepted work may take to reach its target.
     pub settle_ms: Millis,
-    /// How long a read of the record stays valid, counted from when it was requested.
+    /// How long a read of the roster stays valid, counted from when it was requested.
     pub confirm_ms: Millis,
     /// How long a target's report stays valid.
     pub report_ms: Millis,
--- a/filbertpaddle-core/tests/roster.rs
+++ b/filbertpaddle-core/tests/roster.rs
@@ -56,7 +56,7 @@
         prop_assert_eq!(sum, limit);
     }
 
-    // Nodes hold different versions of the record, from before and after a change.
+    // Nodes hold different versions of the roster, from before and after a change.
     #[test]
     fn shares_under_two_versions_stay_within_the_limit(
         members in 1_usize..20,
