--- a/filbertpaddle-core/src/slot.rs
+++ b/filbertpaddle-core/src/slot.rs
@@ -12,7 +12,7 @@
     /// Node that sends the work.
     pub holder: NodeId,
     /// Epoch of the owner that granted the slot; for work within a share, the
-    /// last epoch that the holder knows.
+    /// highest epoch of a collect request that the holder received.
     pub epoch: u64,
     /// Rule under which the work was sent.
     pub source: Source,
