--- a/filbertpaddle-core/tests/claim_model/world.rs
+++ b/filbertpaddle-core/tests/claim_model/world.rs
@@ -25,7 +25,7 @@
 use filbertpaddle_core::outcome::Outcome;
 use filbertpaddle_core::outcome::Reason;
 
-/// Fault put into the model on purpose, which the model checker must find.
+/// Change of the system that breaks it on purpose, so that the checker must find a violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Mutation {
     /// The unchanged system.
--- a/filbertpaddle-core/tests/owner_model/main.rs
+++ b/filbertpaddle-core/tests/owner_model/main.rs
@@ -13,7 +13,7 @@
 
 use pathfinding::directed::bfs::bfs;
 use world::Budget;
-use world::Fault;
+use world::Mutation;
 use world::Setup;
 use world::World;
 
@@ -52,7 +52,7 @@
     }
 }
 
-fn assert_fault_found(name: &str, setup: &Setup) {
+fn assert_violation_found(name: &str, setup: &Setup) {
     assert!(search(name, setup).is_some(), "{name}: no violation found");
 }
 
@@ -105,7 +105,7 @@
         },
         ..Setup::succession()
     };
-    assert_holds("succession, checking target", &setup);
+    assert_holds("succession, fencing target", &setup);
 }
 
 #[test]
@@ -154,7 +154,7 @@
         checks_fence: true,
         ..Setup::shares()
     };
-    assert_holds("shares, checking target", &setup);
+    assert_holds("shares, fencing target", &setup);
 }
 
 #[test]
@@ -165,16 +165,16 @@
         allows_late_work: false,
         ..Setup::shares()
     };
-    assert_fault_found("late work counted", &setup);
+    assert_violation_found("late work counted", &setup);
 }
 
 #[test]
 fn finds_a_successor_that_reserves_nothing_for_silent_members() {
     let setup = Setup {
-        fault: Some(Fault::NoReserve),
+        mutation: Some(Mutation::NoReserve),
         ..Setup::succession()
     };
-    assert_fault_found("no reserve", &setup);
+    assert_violation_found("no reserve", &setup);
 }
 
 /// A replaced owner still receives messages of a member that its successor
@@ -197,51 +197,51 @@
 
 #[test]
 fn a_replaced_owner_keeps_the_limit() {
-    assert_holds("deposed owner", &replaced_owner());
+    assert_holds("replaced owner", &replaced_owner());
 }
 
 #[test]
 fn finds_an_owner_that_ignores_the_age_of_its_confirmation() {
     let setup = Setup {
-        fault: Some(Fault::NoConfirmationAge),
+        mutation: Some(Mutation::NoConfirmationAge),
         ..replaced_owner()
     };
-    assert_fault_found("no confirmation age", &setup);
+    assert_violation_found("no confirmation age", &setup);
 }
 
 #[test]
-fn finds_a_promise_made_while_holding_a_newer_record() {
+fn finds_a_promise_made_while_holding_a_newer_roster() {
     let setup = Setup {
         members: 2,
-        fault: Some(Fault::StalePromise),
+        mutation: Some(Mutation::StalePromise),
         ..replaced_owner()
     };
-    assert_fault_found("stale promise", &setup);
+    assert_violation_found("stale promise", &setup);
 }
 
 #[test]
 fn finds_a_share_that_ignores_running_work() {
     let setup = Setup {
-        fault: Some(Fault::ShareIgnoresRunning),
+        mutation: Some(Mutation::ShareIgnoresRunning),
         ..Setup::shares()
     };
-    assert_fault_found("share ignores running work", &setup);
+    assert_violation_found("share ignores running work", &setup);
 }
 
 #[test]
 fn finds_a_share_used_without_a_report() {
     let setup = Setup {
-        fault: Some(Fault::ShareWithoutReport),
+        mutation: Some(Mutation::ShareWithoutReport),
         ..Setup::shares()
     };
-    assert_fault_found("share without a report", &setup);
+    assert_violation_found("share without a report", &setup);
 }
 
 #[test]
 fn finds_a_grant_that_never_expires() {
     let setup = Setup {
-        fault: Some(Fault::GrantNeverExpires),
+        mutation: Some(Mutation::GrantNeverExpires),
         ..Setup::shares()
     };
-    assert_fault_found("endless grant", &setup);
+    assert_violation_found("grant without expiry", &setup);
 }
--- a/filbertpaddle-core/tests/owner_model/world.rs
+++ b/filbertpaddle-core/tests/owner_model/world.rs
@@ -40,9 +40,9 @@
     report_ms: Millis(5),
 };
 
-/// A fault injected into the model, which the search must find.
+/// Change of the system that breaks it on purpose, so that the search must find a violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fault {
+pub(crate) enum Mutation {
     /// A successor reserves no slots for members that do not reply.
     NoReserve,
     /// An owner counts itself as confirmed without reading the roster.
@@ -92,7 +92,7 @@
     pub(crate) horizon_ticks: u64,
     pub(crate) max_messages: usize,
     pub(crate) budget: Budget,
-    pub(crate) fault: Option<Fault>,
+    pub(crate) mutation: Option<Mutation>,
 }
 
 impl Setup {
@@ -116,7 +116,7 @@
                 polls: 1,
                 collect_replies: 1,
             },
-            fault: None,
+            mutation: None,
         }
     }
 
@@ -464,7 +464,7 @@
                     self.change_node(index, "enters share mode", next, |node, budget| {
                         budget.share_entries -= 1;
                         node.mode_state.enter_share(self.now);
-                        if setup.fault == Some(Fault::ShareIgnoresRunning) {
+                        if setup.mutation == Some(Mutation::ShareIgnoresRunning) {
                             node.member = Member::new(TIMING, node.id.clone());
                         }
                         let session = node.mode_state.session();
@@ -496,7 +496,7 @@
         let own_epoch = node.owner.as_ref().map_or(0, Owner::epoch);
         let known = node.member.epoch().max(own_epoch);
         // A promise made while holding a newer roster does not count.
-        let counts = setup.fault == Some(Fault::StalePromise);
+        let counts = setup.mutation == Some(Mutation::StalePromise);
         let is_stale = epoch.is_none_or(|epoch| epoch < known && !counts);
         if is_stale || self.budget.promises == 0 {
             return;
@@ -565,7 +565,7 @@
         if self.budget.roster_reads == 0 {
             return;
         }
-        if setup.fault == Some(Fault::NoConfirmationAge) {
+        if setup.mutation == Some(Mutation::NoConfirmationAge) {
             self.change_node(index, "counts itself as confirmed", next, |node, budget| {
                 budget.roster_reads -= 1;
                 node.owner.as_mut().unwrap().on_confirm(self.now);
@@ -573,7 +573,7 @@
             return;
         }
         let epoch = self.epoch;
-        self.change_node(index, "reads the record", next, |node, budget| {
+        self.change_node(index, "reads the roster", next, |node, budget| {
             budget.roster_reads -= 1;
             let confirmed = node.owner.as_mut().filter(|owner| owner.epoch() == epoch);
             if let Some(owner) = confirmed {
@@ -588,14 +588,14 @@
         world.epoch += 1;
         world.roster_owner = index;
         world.budget.owner_changes -= 1;
-        world.step = format!("the record names {}", id(index).name);
+        world.step = format!("the roster names {}", id(index).name);
         next.push(world);
     }
 
     fn take_over(&self, setup: &Setup, index: u8, next: &mut Vec<Self>) {
         let mut world = self.clone();
-        let members = match setup.fault {
-            Some(Fault::NoReserve) => Roster {
+        let members = match setup.mutation {
+            Some(Mutation::NoReserve) => Roster {
                 version: 1,
                 sharers: vec![id(index)],
                 ..Roster::default()
@@ -643,7 +643,7 @@
 
     fn receive_grant(&mut self, setup: &Setup, node: &mut Node, grant: &Grant) {
         let mut grant = grant.clone();
-        if setup.fault == Some(Fault::GrantNeverExpires) {
+        if setup.mutation == Some(Mutation::GrantNeverExpires) {
             grant.stamp = node.member.stamp(self.now);
         }
         match node.member.accept(self.now, &grant) {
@@ -662,7 +662,7 @@
             return;
         }
         let mut report = report.clone();
-        if setup.fault == Some(Fault::ShareWithoutReport) {
+        if setup.mutation == Some(Mutation::ShareWithoutReport) {
             report.taken_ms = self.now + TIMING.settle_ms;
             report.works.clear();
         }
