--- a/filbertpaddle/src/coordinator_inputs.rs
+++ b/filbertpaddle/src/coordinator_inputs.rs
@@ -21,10 +21,10 @@
 use crate::coordinator::Coordinator;
 use crate::coordinator::id;
 use crate::inbox::Incoming;
-use crate::pools::Ask;
 use crate::pools::Grant;
 use crate::pools::Refusal;
 use crate::pools::Slot;
+use crate::pools::SlotRequest;
 use crate::record::Record;
 use crate::registrar;
 
@@ -33,7 +33,7 @@
 
 /// Asks for a slot; the answer goes to `reply`.
 pub(crate) struct Acquire {
-    pub(crate) ask: Ask,
+    pub(crate) ask: SlotRequest,
     pub(crate) reply: oneshot::Sender<Result<Grant, Refusal>>,
 }
 
--- a/filbertpaddle/src/loan.rs
+++ b/filbertpaddle/src/loan.rs
@@ -12,9 +12,9 @@
 
 use crate::attempt;
 use crate::peers::Peer;
-use crate::pools::Ask;
 use crate::pools::Grant;
 use crate::pools::Pools;
+use crate::pools::SlotRequest;
 use crate::remote::Borrower;
 use crate::remote::Remote;
 
@@ -40,7 +40,7 @@
     local: Pools,
     own: Peer,
     borrower: Borrower,
-    ask: Ask,
+    ask: SlotRequest,
     mut notes: mpsc::UnboundedReceiver<Note>,
 ) {
     let acquired = tokio::select! {
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -29,10 +29,10 @@
 use crate::peers::Peer;
 use crate::placer;
 use crate::placer::Placer;
-use crate::pools::Ask;
 use crate::pools::Grant;
 use crate::pools::Refusal;
 use crate::pools::Slot;
+use crate::pools::SlotRequest;
 
 /// When a refused caller may come back.
 const RETRY_AFTER_MS: Millis = Millis(1_000);
@@ -134,7 +134,7 @@
     pub(crate) fn wait(
         &mut self,
         now: Millis,
-        ask: &Ask,
+        ask: &SlotRequest,
         reply: oneshot::Sender<Result<Grant, Refusal>>,
     ) {
         self.waiters.push(Waiter {
--- a/filbertpaddle/src/pools.rs
+++ b/filbertpaddle/src/pools.rs
@@ -25,7 +25,7 @@
 
 /// Asks for a slot on a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct SlotRequest {
     /// Model or plain service that is wanted.
     pub model: Name,
     /// What is to be run there.
@@ -103,7 +103,7 @@
     /// # Errors
     ///
     /// Returns a [`Refusal`] if none is given in time.
-    pub async fn acquire(&self, ask: Ask) -> Result<Grant, Refusal> {
+    pub async fn acquire(&self, ask: SlotRequest) -> Result<Grant, Refusal> {
         let stopped = || Refusal {
             reason: Reason::Draining,
             retry_after_ms: Some(Millis::ZERO),
--- a/filbertpaddle/src/remote.rs
+++ b/filbertpaddle/src/remote.rs
@@ -31,10 +31,10 @@
 use crate::loan::Note;
 use crate::peers::Peer;
 use crate::peers::Peers;
-use crate::pools::Ask;
 use crate::pools::Grant;
 use crate::pools::Pools;
 use crate::pools::Refusal;
+use crate::pools::SlotRequest;
 
 /// Longest wait for a slot of another data centre; the lender takes a slot back
 /// from a borrower that it cannot reach only after a longer time.
@@ -119,7 +119,11 @@
     /// # Errors
     ///
     /// Returns the last [`Refusal`] if none gives a slot.
-    pub(crate) async fn acquire(&self, ask: &Ask, refused: Refusal) -> Result<Grant, Refusal> {
+    pub(crate) async fn acquire(
+        &self,
+        ask: &SlotRequest,
+        refused: Refusal,
+    ) -> Result<Grant, Refusal> {
         let mut last = refused;
         for lender in self.lenders() {
             match self.ask(&lender, ask).await {
@@ -166,7 +170,7 @@
         chosen.into_values().collect()
     }
 
-    async fn ask(&self, lender: &Peer, ask: &Ask) -> Result<Grant, Refusal> {
+    async fn ask(&self, lender: &Peer, ask: &SlotRequest) -> Result<Grant, Refusal> {
         let number = self.shared.next_number.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
         self.state().asked.insert(number, Asked::Waiting(reply));
@@ -217,7 +221,7 @@
     fn on_message(&self, from: Peer, message: wire::Message) {
         match message {
             wire::Message::Ask(number, model, want) => {
-                self.lend(from, number, Ask { model, want: *want });
+                self.lend(from, number, SlotRequest { model, want: *want });
             }
             wire::Message::Grant(number, grant) => self.on_answer(number, Ok(grant)),
             wire::Message::Refuse(number, refusal) => self.on_answer(number, Err(refusal)),
@@ -243,7 +247,7 @@
         }
     }
 
-    fn lend(&self, from: Peer, number: u64, ask: Ask) {
+    fn lend(&self, from: Peer, number: u64, ask: SlotRequest) {
         let borrower = Borrower {
             node: from.name,
             incarnation: from.incarnation,
--- a/filbertpaddle/src/run.rs
+++ b/filbertpaddle/src/run.rs
@@ -165,9 +165,9 @@
         slot.map_err(|refusal| self.not_granted(refusal))
     }
 
-    fn ask(&self) -> pools::Ask {
+    fn ask(&self) -> pools::SlotRequest {
         let template = &self.request.template;
-        pools::Ask {
+        pools::SlotRequest {
             model: template.model.clone(),
             want: Want {
                 template: self.request.template_key(),
--- a/filbertpaddle/src/slots.rs
+++ b/filbertpaddle/src/slots.rs
@@ -4,10 +4,10 @@
 use filbertpaddle_core::scheduler::Ending;
 use filbertpaddle_wire::grant::End;
 
-use crate::pools::Ask;
 use crate::pools::Grant;
 use crate::pools::Pools;
 use crate::pools::Refusal;
+use crate::pools::SlotRequest;
 use crate::remote::Remote;
 
 /// Gives out slots.
@@ -32,7 +32,7 @@
     /// # Errors
     ///
     /// Returns a [`Refusal`] if none is given in time.
-    pub async fn acquire(&self, ask: Ask) -> Result<Grant, Refusal> {
+    pub async fn acquire(&self, ask: SlotRequest) -> Result<Grant, Refusal> {
         match self.local.acquire(ask.clone()).await {
             Err(refusal) if refusal.reason == Reason::NoTarget => {
                 self.remote.acquire(&ask, refusal).await
