--- a/filbertpaddle/src/front.rs
+++ b/filbertpaddle/src/front.rs
@@ -10,7 +10,7 @@
 use crate::metrics::Metrics;
 use crate::retries::Retries;
 use crate::settings::Limits;
-use crate::slots::Slots;
+use crate::slot_router::SlotRouter;
 use crate::templates::Templates;
 
 /// Parts and limits shared by all requests of a node.
@@ -21,7 +21,7 @@
     /// Claims on idempotency keys.
     pub claims: Claims,
     /// Slots on targets.
-    pub slots: Slots,
+    pub slots: SlotRouter,
     /// Budgets for sending a request to another target.
     pub retries: Retries,
     /// Client of targets.
--- a/filbertpaddle/src/lib.rs
+++ b/filbertpaddle/src/lib.rs
@@ -48,7 +48,7 @@
 pub mod service;
 pub mod settings;
 pub mod show;
-pub mod slots;
+pub mod slot_router;
 pub mod status;
 pub mod table;
 pub mod templates;
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -47,7 +47,7 @@
 use crate::retries::Retries;
 use crate::service::Service;
 use crate::settings::Settings;
-use crate::slots::Slots;
+use crate::slot_router::SlotRouter;
 use crate::templates::Templates;
 
 /// Most messages from peers that wait to be handled.
@@ -130,7 +130,7 @@
         let claims = start_claims(&settings, &common, peers.clone(), inboxes.claim);
         let (config, templates) = start_config(&common, peers, inboxes.config, &service);
         let desk = Arc::new(desk(&settings, &common, config));
-        let slots = Slots::new(pools, remote);
+        let slots = SlotRouter::new(pools, remote);
         let front = Arc::new(front(&settings, &common, templates, claims, slots)?);
         let servers = vec![
             serve(
@@ -203,7 +203,7 @@
     common: &Common,
     templates: Templates,
     claims: Claims,
-    slots: Slots,
+    slots: SlotRouter,
 ) -> eyre::Result<Front> {
     let own = &common.own;
     let log = &common.log;
--- a/filbertpaddle/src/slots.rs
+++ b/filbertpaddle/src/slot_router.rs
@@ -12,12 +12,12 @@
 
 /// Gives out slots.
 #[derive(Clone, Debug)]
-pub struct Slots {
+pub struct SlotRouter {
     local: Pools,
     remote: Remote,
 }
 
-impl Slots {
+impl SlotRouter {
     pub(crate) fn new(local: Pools, remote: Remote) -> Self {
         Self { local, remote }
     }
