--- a/filbertpaddle/src/generation.rs
+++ b/filbertpaddle/src/generation.rs
@@ -60,7 +60,7 @@
     /// Sends a generation and relays its tokens.
     pub(crate) async fn generate(mut self, submit: &Submit) -> Used {
         let submitted = self.front.targets.submit(self.grant.address, submit).await;
-        self.front.slots.sent(self.grant);
+        self.front.slots.mark_sent(self.grant);
         match submitted {
             Ok(stream) => self.relay(stream).await,
             Err(error) if error.is_not_started() => self.not_started(&error),
@@ -79,7 +79,7 @@
     /// Sends a call to a plain service.
     pub(crate) async fn call(mut self, submit: &Submit, idempotent: bool) -> Used {
         let answered = self.front.targets.call(self.grant.address, submit).await;
-        self.front.slots.sent(self.grant);
+        self.front.slots.mark_sent(self.grant);
         match answered {
             Ok(answer) => {
                 self.token(0, answer.body);
--- a/filbertpaddle/src/loan.rs
+++ b/filbertpaddle/src/loan.rs
@@ -84,7 +84,7 @@
     let end = loop {
         tokio::select! {
             note = notes.recv() => match note {
-                Some(Note::Sent) => local.sent(&grant),
+                Some(Note::Sent) => local.mark_sent(&grant),
                 Some(Note::Released(end)) => break end,
                 None => break End::UNKNOWN,
             },
--- a/filbertpaddle/src/pools.rs
+++ b/filbertpaddle/src/pools.rs
@@ -117,7 +117,7 @@
     }
 
     /// Notes that the work of a grant has reached its target or never will.
-    pub fn sent(&self, grant: &Grant) {
+    pub fn mark_sent(&self, grant: &Grant) {
         if let Some(slot) = grant.slot.clone() {
             tokio::spawn(self.actor.send(Sent(slot)).detach());
         }
--- a/filbertpaddle/src/remote.rs
+++ b/filbertpaddle/src/remote.rs
@@ -136,7 +136,7 @@
     }
 
     /// Notes that the work has reached its target or never will.
-    pub(crate) fn sent(&self, slot: &Borrowed) {
+    pub(crate) fn mark_sent(&self, slot: &Borrowed) {
         self.send(&slot.lender, wire::Message::Sent(slot.number));
     }
 
--- a/filbertpaddle/src/slot_router.rs
+++ b/filbertpaddle/src/slot_router.rs
@@ -42,10 +42,10 @@
     }
 
     /// Notes that the work of a grant has reached its target or never will.
-    pub fn sent(&self, grant: &Grant) {
+    pub fn mark_sent(&self, grant: &Grant) {
         match &grant.borrowed {
-            Some(borrowed) => self.remote.sent(borrowed),
-            None => self.local.sent(grant),
+            Some(borrowed) => self.remote.mark_sent(borrowed),
+            None => self.local.mark_sent(grant),
         }
     }
 
