--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -295,7 +295,7 @@
         let addresses = roster.members.iter().map(|member| &member.address);
         addresses
             .filter_map(|address| address.parse().ok())
-            .for_each(|address| self.peers.learn(address));
+            .for_each(|address| self.peers.add(address));
         for pool in self.pools.values_mut() {
             pool.on_roster(now, &self.id, roster);
         }
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -286,7 +286,7 @@
     let log = log::part(&common.log, "peer");
     let peers = Peers::start(identity, listener, inbox, metrics, log);
     for address in &settings.peers {
-        peers.learn(*address);
+        peers.add(*address);
     }
     let (outlets, inboxes) = inbox::open();
     tokio::spawn(inbox::dispatch(received, outlets));
--- a/filbertpaddle/src/peers.rs
+++ b/filbertpaddle/src/peers.rs
@@ -124,7 +124,7 @@
     }
 
     /// Dials a node and keeps the link, if it is not there yet.
-    pub fn learn(&self, address: SocketAddr) {
+    pub fn add(&self, address: SocketAddr) {
         if address.to_string() == self.shared.identity.own.address {
             return;
         }
@@ -138,7 +138,7 @@
     }
 
     /// Drops the link to an address; nothing more is sent there.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn remove(&self, address: SocketAddr) {
         self.links().swap_remove(&address);
     }
 
@@ -233,7 +233,7 @@
         }
     };
     if let Ok(address) = from.address.parse() {
-        peers.learn(address);
+        peers.add(address);
     }
     while let Some(Ok(received)) = socket.next().await {
         let tungstenite::Message::Binary(bytes) = received else {
--- a/filbertpaddle/tests/peers.rs
+++ b/filbertpaddle/tests/peers.rs
@@ -85,7 +85,7 @@
 async fn a_link_carries_messages_both_ways() {
     let mut first = start("first", SECRET).await;
     let mut second = start("second", SECRET).await;
-    first.peers.learn(second.address);
+    first.peers.add(second.address);
     connected(&first, "second").await;
     // The listener learns the dialler's address from its greeting.
     connected(&second, "first").await;
@@ -99,7 +99,7 @@
 async fn a_link_comes_back_after_a_cut() {
     let first = start("first", SECRET).await;
     let mut second = start("second", SECRET).await;
-    first.peers.learn(second.address);
+    first.peers.add(second.address);
     connected(&first, "second").await;
     second.proxy.set_link(Link::Cut);
     gone(&first).await;
@@ -115,7 +115,7 @@
     for fault in [Link::Stall, Link::CutForward, Link::CutBackward] {
         let first = start("first", SECRET).await;
         let second = start("second", SECRET).await;
-        first.peers.learn(second.address);
+        first.peers.add(second.address);
         connected(&first, "second").await;
         second.proxy.set_link(fault);
         gone(&first).await;
@@ -128,10 +128,10 @@
 async fn a_node_with_another_secret_is_refused() {
     let first = start("first", SECRET).await;
     let second = start("second", "another-secret").await;
-    first.peers.learn(second.address);
-    second.peers.learn(first.address);
+    first.peers.add(second.address);
+    second.peers.add(first.address);
     let third = start("third", SECRET).await;
-    first.peers.learn(third.address);
+    first.peers.add(third.address);
     connected(&first, "third").await;
     assert!(
         first
