--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -32,7 +32,7 @@
 use crate::coordinator_tasks::follow_vms;
 use crate::coordinator_tasks::pass;
 use crate::coordinator_tasks::tick;
-use crate::heart::Heart;
+use crate::heartbeat::HeartbeatClient;
 use crate::inbox::Incoming;
 use crate::peers::Peer;
 use crate::peers::Peers;
@@ -89,14 +89,14 @@
         log: parts.log,
         terms,
         placement: parts.placement,
-        standing: ModeState::new(terms),
+        mode_state: ModeState::new(terms),
         record: Record::default(),
         read_ms: None,
         is_writing: false,
         is_leaving: false,
         listed: Vec::new(),
         relay: Relay::new(now),
-        heart: Heart::new(now),
+        heartbeat: HeartbeatClient::new(now),
         pools: IndexMap::new(),
     };
     let clock = state.clock;
@@ -127,14 +127,14 @@
     pub(crate) log: Logger,
     pub(crate) terms: Timing,
     pub(crate) placement: policy::Settings,
-    pub(crate) standing: ModeState,
+    pub(crate) mode_state: ModeState,
     pub(crate) record: Record,
     pub(crate) read_ms: Option<Millis>,
     pub(crate) is_writing: bool,
     pub(crate) is_leaving: bool,
     pub(crate) listed: Vec<Name>,
     pub(crate) relay: Relay,
-    pub(crate) heart: Heart,
+    pub(crate) heartbeat: HeartbeatClient,
     pub(crate) pools: IndexMap<Name, Pool>,
 }
 
@@ -146,10 +146,10 @@
 
 impl Coordinator {
     pub(crate) fn on_tick(&mut self, now: Millis, address: &WeakAddress<Self>) {
-        self.beat(now);
+        self.send_heartbeat(now);
         self.choose_mode(now);
         self.register(now, address);
-        let sharing = self.standing.mode() != Mode::Granted;
+        let sharing = self.mode_state.mode() != Mode::Granted;
         let roster = &self.record.roster;
         let linked = self.peers.connected();
         for pool in self.pools.values_mut() {
@@ -171,33 +171,33 @@
         self.flush(now);
     }
 
-    fn beat(&mut self, now: Millis) {
-        let must_share = self.must_share(now);
-        let beat = self.heart.beat(
+    fn send_heartbeat(&mut self, now: Millis) {
+        let must_enter_share_mode = self.must_enter_share_mode(now);
+        let heartbeat = self.heartbeat.next_heartbeat(
             now,
             &self.record.roster,
             &self.own.data_centre,
-            &mut self.standing,
-            !must_share,
+            &mut self.mode_state,
+            !must_enter_share_mode,
         );
-        if let Some((relay, beat)) = beat {
-            self.send_member(now, &relay.id, wire::Message::Beat(beat));
+        if let Some((relay, heartbeat)) = heartbeat {
+            self.send_member(now, &relay.id, wire::Message::Beat(heartbeat));
         }
     }
 
-    fn must_share(&self, now: Millis) -> bool {
-        let confirmation = self.heart.confirmation(now);
+    fn must_enter_share_mode(&self, now: Millis) -> bool {
+        let confirmation = self.heartbeat.confirmation(now);
         confirmation.is_some_and(|confirmation| {
             membership::must_enter_share_mode(now, confirmation, &self.terms)
         })
     }
 
     fn choose_mode(&mut self, now: Millis) {
-        let alone = self.heart.is_lost(now) || self.must_share(now);
-        let changed = match self.standing.mode() {
-            Mode::Granted => alone && self.standing.enter_share(now),
+        let alone = self.heartbeat.is_lost(now) || self.must_enter_share_mode(now);
+        let changed = match self.mode_state.mode() {
+            Mode::Granted => alone && self.mode_state.enter_share(now),
             Mode::Share { .. } if !alone => {
-                self.standing.leave_share();
+                self.mode_state.leave_share();
                 true
             }
             Mode::Share { .. } => false,
@@ -205,9 +205,9 @@
         if !changed {
             return;
         }
-        let mode = self.standing.mode();
+        let mode = self.mode_state.mode();
         info!(self.log, "Mode changed."; "mode" => ?mode);
-        let session = self.standing.session();
+        let session = self.mode_state.session();
         let pools = self.pools.values_mut();
         pools.for_each(|pool| pool.member.on_mode(mode, session));
     }
@@ -218,7 +218,7 @@
         if self.is_leaving || self.is_writing || !self.read_ms.is_some_and(recent) {
             return;
         }
-        let is_relay = self.heart.relay() == Some(&self.id);
+        let is_relay = self.heartbeat.relay() == Some(&self.id);
         let pools: Vec<Name> = self.pools.keys().cloned().collect();
         let edit = registrar::edit(
             now,
@@ -245,7 +245,7 @@
     }
 
     fn poll(&mut self, now: Millis, address: &WeakAddress<Self>) {
-        let sharing = self.standing.mode() != Mode::Granted;
+        let sharing = self.mode_state.mode() != Mode::Granted;
         let own = &self.id;
         let roster = &self.record.roster;
         for (pool_name, pool) in &mut self.pools {
@@ -326,7 +326,7 @@
                     self.placement,
                 );
                 pool.member
-                    .on_mode(self.standing.mode(), self.standing.session());
+                    .on_mode(self.mode_state.mode(), self.mode_state.session());
                 pool.on_roster(now, &self.id, &self.record.roster);
                 pool
             });
@@ -342,19 +342,19 @@
 
     pub(crate) fn on_member(&mut self, now: Millis, from: &NodeId, message: wire::Message) {
         match message {
-            wire::Message::Beat(beat) => {
+            wire::Message::Beat(heartbeat) => {
                 let roster = &self.record.roster;
-                let answer = self.relay.on_heartbeat(now, from, &beat, roster);
-                if beat.version < roster.version {
+                let answer = self.relay.on_heartbeat(now, from, &heartbeat, roster);
+                if heartbeat.version < roster.version {
                     let roster = Box::new(roster.clone());
                     self.send_member(now, from, wire::Message::Roster(roster));
                 }
                 self.send_member(now, from, wire::Message::Answer(answer));
             }
             wire::Message::Answer(answer) => {
-                self.heart
+                self.heartbeat
                     .on_answer(now, from, &answer, &self.record.roster);
-                if let Some(confirmation) = self.heart.confirmation(now).cloned() {
+                if let Some(confirmation) = self.heartbeat.confirmation(now).cloned() {
                     self.on_confirmation(&confirmation);
                 }
             }
--- a/filbertpaddle/src/coordinator_inputs.rs
+++ b/filbertpaddle/src/coordinator_inputs.rs
@@ -101,7 +101,7 @@
             return;
         }
         pool.wait(now, &acquire.ask, acquire.reply);
-        if self.standing.mode() == Mode::Granted {
+        if self.mode_state.mode() == Mode::Granted {
             pool.ask(now);
         }
         self.flush(now);
@@ -160,8 +160,8 @@
     async fn handle(&mut self, _: IsReader, _: &mut Context<Self>) -> bool {
         let now = self.clock.now();
         let is_member = registrar::is_member(&self.id, &self.record.roster);
-        let is_relay = self.heart.relay() == Some(&self.id);
-        is_relay || !is_member || self.heart.is_lost(now)
+        let is_relay = self.heartbeat.relay() == Some(&self.id);
+        is_relay || !is_member || self.heartbeat.is_lost(now)
     }
 }
 
--- a/filbertpaddle/src/heart.rs
+++ b/filbertpaddle/src/heartbeat.rs
@@ -13,30 +13,30 @@
 /// How long an unanswered relay is waited for before the next is tried.
 const RELAY_TIMEOUT_MS: Millis = Millis(1_500);
 /// How long the last answer is relied on.
-const TRUST_MS: Millis = Millis(3_000);
+const ANSWER_VALID_MS: Millis = Millis(3_000);
 /// How long a relay that did not answer is passed over.
-const AVOID_MS: Millis = Millis(5_000);
+const RELAY_AVOID_MS: Millis = Millis(5_000);
 
 /// The member's side of membership.
 #[derive(Debug)]
-pub struct Heart {
+pub struct HeartbeatClient {
     relay: Option<NodeId>,
-    echo_ms: Option<Millis>,
-    beat_ms: Option<Millis>,
-    answered_ms: Millis,
-    avoided: Vec<(NodeId, Millis)>,
+    relay_ms: Option<Millis>,
+    sent_ms: Option<Millis>,
+    last_answer_ms: Millis,
+    avoided_relays: Vec<(NodeId, Millis)>,
     confirmation: Option<Confirmation>,
 }
 
-impl Heart {
+impl HeartbeatClient {
     /// Returns a heart that has not beaten.
     pub fn new(now: Millis) -> Self {
         Self {
             relay: None,
-            echo_ms: None,
-            beat_ms: None,
-            answered_ms: now,
-            avoided: Vec::new(),
+            relay_ms: None,
+            sent_ms: None,
+            last_answer_ms: now,
+            avoided_relays: Vec::new(),
             confirmation: None,
         }
     }
@@ -48,46 +48,46 @@
 
     /// Returns what the relay said last, if that is recent.
     pub fn confirmation(&self, now: Millis) -> Option<&Confirmation> {
-        let recent = now.since(self.answered_ms) < TRUST_MS;
+        let recent = now.since(self.last_answer_ms) < ANSWER_VALID_MS;
         self.confirmation.as_ref().filter(|_| recent)
     }
 
     /// Returns whether no relay has answered for a while.
     pub fn is_lost(&self, now: Millis) -> bool {
-        now.since(self.answered_ms) >= TRUST_MS
+        now.since(self.last_answer_ms) >= ANSWER_VALID_MS
     }
 
     /// Returns the heartbeat that is due, and for whom.
-    pub fn beat(
+    pub fn next_heartbeat(
         &mut self,
         now: Millis,
         roster: &Roster,
         data_centre: &str,
-        standing: &mut ModeState,
+        mode_state: &mut ModeState,
         may_promise: bool,
     ) -> Option<(Member, Heartbeat)> {
         let interval_ms = membership::interval_ms(roster.members.len());
         if self
-            .beat_ms
+            .sent_ms
             .is_some_and(|at_ms| now.since(at_ms) < interval_ms)
         {
             return None;
         }
-        let relay = self.choose(now, roster, data_centre)?;
-        self.beat_ms = Some(now);
+        let relay = self.choose_relay(now, roster, data_centre)?;
+        self.sent_ms = Some(now);
         // Without a recent answer, no promise: the node may have to use its share.
         let may_promise = may_promise && self.confirmation(now).is_some();
-        let promise = match may_promise && self.echo_ms.is_some() {
-            true => standing.promise(now),
+        let promise = match may_promise && self.relay_ms.is_some() {
+            true => mode_state.promise(now),
             false => None,
         };
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             sent_ms: now,
-            echo_ms: self.echo_ms,
+            echo_ms: self.relay_ms,
             version: roster.version,
             promise,
         };
-        Some((relay, beat))
+        Some((relay, heartbeat))
     }
 
     /// Takes in the relay's answer.
@@ -95,29 +95,32 @@
         if self.relay.as_ref() != Some(from) {
             return;
         }
-        self.answered_ms = now;
-        self.echo_ms = Some(answer.relay_ms);
+        self.last_answer_ms = now;
+        self.relay_ms = Some(answer.relay_ms);
         if let Some(confirmation) = membership::confirmation(answer, roster) {
             self.confirmation = Some(confirmation);
         }
     }
 
-    fn choose(&mut self, now: Millis, roster: &Roster, data_centre: &str) -> Option<Member> {
-        self.avoided.retain(|(_, until_ms)| now < *until_ms);
+    fn choose_relay(&mut self, now: Millis, roster: &Roster, data_centre: &str) -> Option<Member> {
+        self.avoided_relays.retain(|(_, until_ms)| now < *until_ms);
         if let Some(relay) = &self.relay
-            && now.since(self.answered_ms) >= RELAY_TIMEOUT_MS
-            && self.beat_ms.is_some_and(|at_ms| at_ms > self.answered_ms)
+            && now.since(self.last_answer_ms) >= RELAY_TIMEOUT_MS
+            && self
+                .sent_ms
+                .is_some_and(|at_ms| at_ms > self.last_answer_ms)
         {
-            self.avoided.push((relay.clone(), now + AVOID_MS));
+            self.avoided_relays
+                .push((relay.clone(), now + RELAY_AVOID_MS));
         }
-        let avoided = &self.avoided;
-        let is_open = |member: &Member| avoided.iter().all(|(id, _)| *id != member.id);
+        let avoided_relays = &self.avoided_relays;
+        let is_open = |member: &Member| avoided_relays.iter().all(|(id, _)| *id != member.id);
         let first = roster
             .rendezvous_first(data_centre, is_open)
             .or_else(|| roster.rendezvous_first(data_centre, |_| true))?;
         if self.relay.as_ref() != Some(&first.id) {
             self.relay = Some(first.id.clone());
-            self.echo_ms = None;
+            self.relay_ms = None;
         }
         Some(first.clone())
     }
--- a/filbertpaddle/src/lib.rs
+++ b/filbertpaddle/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod gate;
 mod generation;
 pub mod health;
-pub mod heart;
+pub mod heartbeat;
 pub mod inbox;
 mod loan;
 pub mod log;
