--- a/filbertpaddle/src/coordinator_inputs.rs
+++ b/filbertpaddle/src/coordinator_inputs.rs
@@ -33,7 +33,7 @@
 
 /// Asks for a slot; the answer goes to `reply`.
 pub(crate) struct Acquire {
-    pub(crate) ask: SlotRequest,
+    pub(crate) request: SlotRequest,
     pub(crate) reply: oneshot::Sender<Result<Grant, Refusal>>,
 }
 
@@ -91,7 +91,7 @@
 
     async fn handle(&mut self, acquire: Acquire, _: &mut Context<Self>) {
         let now = self.clock.now();
-        let Some(pool) = self.pools.get_mut(&acquire.ask.model) else {
+        let Some(pool) = self.pools.get_mut(&acquire.request.model) else {
             refuse(acquire.reply, Reason::NoTarget);
             return;
         };
@@ -100,7 +100,7 @@
             refuse(acquire.reply, Reason::NoTarget);
             return;
         }
-        pool.wait(now, &acquire.ask, acquire.reply);
+        pool.wait(now, &acquire.request, acquire.reply);
         if self.mode_state.mode() == Mode::Granted {
             pool.ask(now);
         }
--- a/filbertpaddle/src/loan.rs
+++ b/filbertpaddle/src/lent_slot.rs
@@ -15,19 +15,19 @@
 use crate::pools::Grant;
 use crate::pools::Pools;
 use crate::pools::SlotRequest;
-use crate::remote::Borrower;
-use crate::remote::Remote;
+use crate::remote_slots::Borrower;
+use crate::remote_slots::RemoteSlots;
 
 /// When a refused asker may come back.
 pub(crate) const RETRY_AFTER_MS: Millis = Millis(1_000);
 /// Time between two questions whether the slot is still in use.
 const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 /// Questions without a link after which the borrower is taken as gone.
-const MAX_MISSED: u32 = 3;
+const MAX_MISSED_CHECKS: u32 = 3;
 
 /// What the borrower tells of its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Note {
+pub(crate) enum BorrowerEvent {
     /// The work has reached its target or never will.
     Sent,
     /// The slot, or the ask for it, is given back.
@@ -36,19 +36,19 @@
 
 /// Acquires a slot, lends it and takes it back.
 pub(crate) async fn run(
-    remote: Remote,
+    remote: RemoteSlots,
     local: Pools,
     own: Peer,
     borrower: Borrower,
-    ask: SlotRequest,
-    mut notes: mpsc::UnboundedReceiver<Note>,
+    request: SlotRequest,
+    mut events: mpsc::UnboundedReceiver<BorrowerEvent>,
 ) {
     let acquired = tokio::select! {
-        acquired = local.acquire(ask) => Some(acquired),
-        _ = notes.recv() => None,
+        acquired = local.acquire(request) => Some(acquired),
+        _ = events.recv() => None,
     };
     match acquired {
-        Some(Ok(grant)) => lend(&remote, &local, &own, &borrower, grant, notes).await,
+        Some(Ok(grant)) => lend(&remote, &local, &own, &borrower, grant, events).await,
         Some(Err(refusal)) => {
             let denial = Denial {
                 reason: refusal.reason,
@@ -59,38 +59,38 @@
         }
         None => {}
     }
-    remote.forget_lent(&borrower);
+    remote.remove_lent(&borrower);
 }
 
 async fn lend(
-    remote: &Remote,
+    remote: &RemoteSlots,
     local: &Pools,
     own: &Peer,
     borrower: &Borrower,
     grant: Grant,
-    mut notes: mpsc::UnboundedReceiver<Note>,
+    mut events: mpsc::UnboundedReceiver<BorrowerEvent>,
 ) {
-    let passed_on = wire::Grant {
+    let lent_grant = wire::Grant {
         target: grant.target.clone(),
         address: grant.address.to_string().into(),
         fence: grant.fence,
         attempt: attempt_name(own, borrower, &grant),
     };
-    let message = wire::Message::Grant(borrower.number, passed_on);
+    let message = wire::Message::Grant(borrower.number, lent_grant);
     remote.send(&borrower.node, message);
     let mut check = tokio::time::interval(CHECK_INTERVAL);
     check.tick().await;
-    let mut missed = 0;
+    let mut missed_checks = 0;
     let end = loop {
         tokio::select! {
-            note = notes.recv() => match note {
-                Some(Note::Sent) => local.mark_sent(&grant),
-                Some(Note::Released(end)) => break end,
+            event = events.recv() => match event {
+                Some(BorrowerEvent::Sent) => local.mark_sent(&grant),
+                Some(BorrowerEvent::Released(end)) => break end,
                 None => break End::UNKNOWN,
             },
             _ = check.tick() => {
-                missed = if is_linked(remote, borrower) { 0 } else { missed + 1 };
-                if missed >= MAX_MISSED {
+                missed_checks = if is_linked(remote, borrower) { 0 } else { missed_checks + 1 };
+                if missed_checks >= MAX_MISSED_CHECKS {
                     // Reports of the target show when its work has gone.
                     break End::UNKNOWN;
                 }
@@ -115,7 +115,7 @@
     }
 }
 
-fn is_linked(remote: &Remote, borrower: &Borrower) -> bool {
+fn is_linked(remote: &RemoteSlots, borrower: &Borrower) -> bool {
     let peers = remote.peers().connected();
     peers
         .iter()
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -43,7 +43,7 @@
 use crate::pools;
 use crate::pools::Pools;
 use crate::refusals::Keeper;
-use crate::remote::Remote;
+use crate::remote_slots::RemoteSlots;
 use crate::retries::Retries;
 use crate::service::Service;
 use crate::settings::Settings;
@@ -121,7 +121,7 @@
             placement: settings.placement,
             log: log::part(&log, "pool"),
         });
-        let remote = Remote::start(
+        let remote = RemoteSlots::start(
             common.own.clone(),
             peers.clone(),
             pools.clone(),
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -134,13 +134,13 @@
     pub(crate) fn wait(
         &mut self,
         now: Millis,
-        ask: &SlotRequest,
+        request: &SlotRequest,
         reply: oneshot::Sender<Result<Grant, Refusal>>,
     ) {
         self.waiters.push(Waiter {
-            deadline_ms: now + ask.want.wait_ms,
+            deadline_ms: now + request.want.wait_ms,
             reply,
-            want: ask.want.clone(),
+            want: request.want.clone(),
             asked: None,
             ask_ms: now,
         });
--- a/filbertpaddle/src/pools.rs
+++ b/filbertpaddle/src/pools.rs
@@ -21,7 +21,7 @@
 use crate::coordinator_inputs::Release;
 use crate::coordinator_inputs::Sent;
 use crate::record;
-pub use crate::remote::Borrowed;
+pub use crate::remote_slots::BorrowedSlot;
 
 /// Asks for a slot on a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     /// The slot; none for an attempt that holds its slot elsewhere.
     pub slot: Option<Slot>,
     /// The slot, if another data centre lends it.
-    pub borrowed: Option<Borrowed>,
+    pub borrowed: Option<BorrowedSlot>,
 }
 
 /// A slot that this node holds.
@@ -103,13 +103,13 @@
     /// # Errors
     ///
     /// Returns a [`Refusal`] if none is given in time.
-    pub async fn acquire(&self, ask: SlotRequest) -> Result<Grant, Refusal> {
+    pub async fn acquire(&self, request: SlotRequest) -> Result<Grant, Refusal> {
         let stopped = || Refusal {
             reason: Reason::Draining,
             retry_after_ms: Some(Millis::ZERO),
         };
         let (reply, answer) = oneshot::channel();
-        let acquire = Acquire { ask, reply };
+        let acquire = Acquire { request, reply };
         if self.actor.send(acquire).await.is_err() {
             return Err(stopped());
         }
--- a/filbertpaddle/src/remote.rs
+++ b/filbertpaddle/src/remote_slots.rs
@@ -27,8 +27,8 @@
 use crate::body;
 use crate::clock;
 use crate::inbox::Incoming;
-use crate::loan;
-use crate::loan::Note;
+use crate::lent_slot;
+use crate::lent_slot::BorrowerEvent;
 use crate::peers::Peer;
 use crate::peers::Peers;
 use crate::pools::Grant;
@@ -38,13 +38,13 @@
 
 /// Longest wait for a slot of another data centre; the lender takes a slot back
 /// from a borrower that it cannot reach only after a longer time.
-const LONGEST_WAIT_MS: Millis = Millis::from_secs(8);
+const MAX_WAIT_MS: Millis = Millis::from_secs(8);
 /// How much longer than the ask itself an answer may take.
-const ANSWER_SLACK: Duration = Duration::from_secs(1);
+const ANSWER_GRACE: Duration = Duration::from_secs(1);
 
 /// Asks other data centres for slots and lends the own one's.
 #[derive(Clone, Debug)]
-pub(crate) struct Remote {
+pub(crate) struct RemoteSlots {
     shared: Arc<Shared>,
 }
 
@@ -60,13 +60,13 @@
 #[derive(Debug, Default)]
 struct State {
     /// Slots that this node has asked for or uses, by number.
-    asked: IndexMap<u64, Asked>,
+    requested: IndexMap<u64, RequestState>,
     /// Slots that this node lends, by asker and number.
-    lent: IndexMap<Borrower, mpsc::UnboundedSender<Note>>,
+    lent: IndexMap<Borrower, mpsc::UnboundedSender<BorrowerEvent>>,
 }
 
 #[derive(Debug)]
-enum Asked {
+enum RequestState {
     Waiting(oneshot::Sender<Result<wire::Grant, Denial>>),
     InUse,
 }
@@ -84,7 +84,7 @@
 
 /// A slot that another node lends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Borrowed {
+pub struct BorrowedSlot {
     /// Node that holds the slot.
     pub lender: Name,
     /// This node's number for it.
@@ -93,7 +93,7 @@
     pub attempt: Name,
 }
 
-impl Remote {
+impl RemoteSlots {
     /// Starts to answer other data centres.
     pub(crate) fn start(
         own: Peer,
@@ -121,28 +121,28 @@
     /// Returns the last [`Refusal`] if none gives a slot.
     pub(crate) async fn acquire(
         &self,
-        ask: &SlotRequest,
+        request: &SlotRequest,
         refused: Refusal,
     ) -> Result<Grant, Refusal> {
-        let mut last = refused;
+        let mut last_refusal = refused;
         for lender in self.lenders() {
-            match self.ask(&lender, ask).await {
+            match self.request_slot(&lender, request).await {
                 Ok(grant) => return Ok(grant),
                 Err(refusal) if refusal.reason == Reason::NoTarget => {}
-                Err(refusal) => last = refusal,
+                Err(refusal) => last_refusal = refusal,
             }
         }
-        Err(last)
+        Err(last_refusal)
     }
 
     /// Notes that the work has reached its target or never will.
-    pub(crate) fn mark_sent(&self, slot: &Borrowed) {
+    pub(crate) fn mark_sent(&self, slot: &BorrowedSlot) {
         self.send(&slot.lender, wire::Message::Sent(slot.number));
     }
 
     /// Gives a slot back.
-    pub(crate) fn release(&self, slot: &Borrowed, end: End) {
-        self.state().asked.swap_remove(&slot.number);
+    pub(crate) fn release(&self, slot: &BorrowedSlot, end: End) {
+        self.state().requested.swap_remove(&slot.number);
         self.send(&slot.lender, wire::Message::Release(slot.number, end));
     }
 
@@ -154,7 +154,7 @@
         self.shared.peers.send(node, Message::Remote(message));
     }
 
-    pub(crate) fn forget_lent(&self, borrower: &Borrower) {
+    pub(crate) fn remove_lent(&self, borrower: &Borrower) {
         self.state().lent.swap_remove(borrower);
     }
 
@@ -170,47 +170,49 @@
         chosen.into_values().collect()
     }
 
-    async fn ask(&self, lender: &Peer, ask: &SlotRequest) -> Result<Grant, Refusal> {
+    async fn request_slot(&self, lender: &Peer, request: &SlotRequest) -> Result<Grant, Refusal> {
         let number = self.shared.next_number.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
-        self.state().asked.insert(number, Asked::Waiting(reply));
+        self.state()
+            .requested
+            .insert(number, RequestState::Waiting(reply));
         // A caller that goes away leaves the ask to be given up.
-        let mut pending = Pending {
+        let mut pending = PendingRequest {
             remote: self,
             lender: &lender.name,
             number,
-            open: true,
+            is_open: true,
         };
-        let mut want = ask.want.clone();
-        want.wait_ms = want.wait_ms.min(LONGEST_WAIT_MS);
-        let longest = clock::duration(want.wait_ms) + ANSWER_SLACK;
-        let asked = Instant::now();
-        let message = wire::Message::Ask(number, ask.model.clone(), Box::new(want));
+        let mut want = request.want.clone();
+        want.wait_ms = want.wait_ms.min(MAX_WAIT_MS);
+        let timeout = clock::duration(want.wait_ms) + ANSWER_GRACE;
+        let requested_at = Instant::now();
+        let message = wire::Message::Ask(number, request.model.clone(), Box::new(want));
         self.send(&lender.name, message);
-        let answer = tokio::time::timeout(longest, answer).await;
-        if asked.elapsed() > longest {
+        let answer = tokio::time::timeout(timeout, answer).await;
+        if requested_at.elapsed() > timeout {
             // A node that was paused may find a grant that its lender has given up.
-            return Err(unanswered());
+            return Err(no_answer_refusal());
         }
         let granted = match answer {
             Ok(Ok(Ok(granted))) => granted,
             Ok(Ok(Err(refusal))) => {
-                pending.open = false;
-                self.state().asked.swap_remove(&number);
+                pending.is_open = false;
+                self.state().requested.swap_remove(&number);
                 return Err(body::refusal(refusal));
             }
-            Ok(Err(_)) | Err(_) => return Err(unanswered()),
+            Ok(Err(_)) | Err(_) => return Err(no_answer_refusal()),
         };
         let Ok(address) = granted.address.parse() else {
-            return Err(unanswered());
+            return Err(no_answer_refusal());
         };
-        pending.open = false;
+        pending.is_open = false;
         Ok(Grant {
             target: granted.target,
             address,
             fence: granted.fence,
             slot: None,
-            borrowed: Some(Borrowed {
+            borrowed: Some(BorrowedSlot {
                 lender: lender.name.clone(),
                 number,
                 attempt: granted.attempt,
@@ -225,10 +227,14 @@
             }
             wire::Message::Grant(number, grant) => self.on_answer(number, Ok(grant)),
             wire::Message::Refuse(number, refusal) => self.on_answer(number, Err(refusal)),
-            wire::Message::Sent(number) => self.note(&from, number, Note::Sent),
-            wire::Message::Release(number, end) => self.note(&from, number, Note::Released(end)),
+            wire::Message::Sent(number) => {
+                self.on_borrower_event(&from, number, BorrowerEvent::Sent)
+            }
+            wire::Message::Release(number, end) => {
+                self.on_borrower_event(&from, number, BorrowerEvent::Released(end))
+            }
             wire::Message::Check(number) => {
-                if !self.state().asked.contains_key(&number) {
+                if !self.state().requested.contains_key(&number) {
                     // What is not known here is never sent, or was given back.
                     self.send(&from.name, wire::Message::Release(number, End::UNSENT));
                 }
@@ -239,35 +245,42 @@
     // A grant that comes too late finds no entry; the lender's check frees it.
     fn on_answer(&self, number: u64, answer: Result<wire::Grant, Denial>) {
         let mut state = self.state();
-        let Some(asked) = state.asked.get_mut(&number) else {
+        let Some(requested) = state.requested.get_mut(&number) else {
             return;
         };
-        if let Asked::Waiting(reply) = std::mem::replace(asked, Asked::InUse) {
+        if let RequestState::Waiting(reply) = std::mem::replace(requested, RequestState::InUse) {
             reply.send(answer).ok();
         }
     }
 
-    fn lend(&self, from: Peer, number: u64, ask: SlotRequest) {
+    fn lend(&self, from: Peer, number: u64, request: SlotRequest) {
         let borrower = Borrower {
             node: from.name,
             incarnation: from.incarnation,
             number,
         };
-        let (notes, inbox) = mpsc::unbounded_channel();
-        self.state().lent.insert(borrower.clone(), notes);
+        let (events, inbox) = mpsc::unbounded_channel();
+        self.state().lent.insert(borrower.clone(), events);
         let own = self.shared.own.clone();
         let local = self.shared.local.clone();
-        tokio::spawn(loan::run(self.clone(), local, own, borrower, ask, inbox));
+        tokio::spawn(lent_slot::run(
+            self.clone(),
+            local,
+            own,
+            borrower,
+            request,
+            inbox,
+        ));
     }
 
-    fn note(&self, from: &Peer, number: u64, note: Note) {
+    fn on_borrower_event(&self, from: &Peer, number: u64, event: BorrowerEvent) {
         let borrower = Borrower {
             node: from.name.clone(),
             incarnation: from.incarnation,
             number,
         };
-        if let Some(notes) = self.state().lent.get(&borrower) {
-            notes.send(note).ok();
+        if let Some(events) = self.state().lent.get(&borrower) {
+            events.send(event).ok();
         }
     }
 
@@ -280,32 +293,32 @@
 }
 
 /// Gives an ask up unless it was answered.
-struct Pending<'a> {
-    remote: &'a Remote,
+struct PendingRequest<'a> {
+    remote: &'a RemoteSlots,
     lender: &'a Name,
     number: u64,
-    open: bool,
+    is_open: bool,
 }
 
-impl Drop for Pending<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        if self.open {
-            self.remote.state().asked.swap_remove(&self.number);
+        if self.is_open {
+            self.remote.state().requested.swap_remove(&self.number);
             let release = wire::Message::Release(self.number, End::UNSENT);
             self.remote.send(self.lender, release);
         }
     }
 }
 
-async fn receive(remote: Remote, mut inbox: mpsc::Receiver<Incoming<wire::Message>>) {
+async fn receive(remote: RemoteSlots, mut inbox: mpsc::Receiver<Incoming<wire::Message>>) {
     while let Some(Incoming { peer, message }) = inbox.recv().await {
         remote.on_message(peer, message);
     }
 }
 
-fn unanswered() -> Refusal {
+fn no_answer_refusal() -> Refusal {
     Refusal {
         reason: Reason::NoTarget,
-        retry_after_ms: Some(loan::RETRY_AFTER_MS),
+        retry_after_ms: Some(lent_slot::RETRY_AFTER_MS),
     }
 }
--- a/filbertpaddle/src/slot_router.rs
+++ b/filbertpaddle/src/slot_router.rs
@@ -8,17 +8,17 @@
 use crate::pools::Pools;
 use crate::pools::Refusal;
 use crate::pools::SlotRequest;
-use crate::remote::Remote;
+use crate::remote_slots::RemoteSlots;
 
 /// Gives out slots.
 #[derive(Clone, Debug)]
 pub struct SlotRouter {
     local: Pools,
-    remote: Remote,
+    remote: RemoteSlots,
 }
 
 impl SlotRouter {
-    pub(crate) fn new(local: Pools, remote: Remote) -> Self {
+    pub(crate) fn new(local: Pools, remote: RemoteSlots) -> Self {
         Self { local, remote }
     }
 
@@ -32,10 +32,10 @@
     /// # Errors
     ///
     /// Returns a [`Refusal`] if none is given in time.
-    pub async fn acquire(&self, ask: SlotRequest) -> Result<Grant, Refusal> {
-        match self.local.acquire(ask.clone()).await {
+    pub async fn acquire(&self, request: SlotRequest) -> Result<Grant, Refusal> {
+        match self.local.acquire(request.clone()).await {
             Err(refusal) if refusal.reason == Reason::NoTarget => {
-                self.remote.acquire(&ask, refusal).await
+                self.remote.acquire(&request, refusal).await
             }
             answer => answer,
         }
