--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -96,7 +96,7 @@
         is_leaving: false,
         listed: Vec::new(),
         relay: Relay::new(now),
-        heartbeat: HeartbeatClient::new(now),
+        heartbeats: HeartbeatClient::new(now),
         pools: IndexMap::new(),
     };
     let clock = state.clock;
@@ -134,7 +134,7 @@
     pub(crate) is_leaving: bool,
     pub(crate) listed: Vec<Name>,
     pub(crate) relay: Relay,
-    pub(crate) heartbeat: HeartbeatClient,
+    pub(crate) heartbeats: HeartbeatClient,
     pub(crate) pools: IndexMap<Name, Pool>,
 }
 
@@ -172,28 +172,28 @@
     }
 
     fn send_heartbeat(&mut self, now: Millis) {
-        let must_enter_share_mode = self.must_enter_share_mode(now);
-        let heartbeat = self.heartbeat.next_heartbeat(
+        let must_use_shares = self.must_use_shares(now);
+        let heartbeat = self.heartbeats.next_heartbeat(
             now,
             &self.record.roster,
             &self.own.data_centre,
             &mut self.mode_state,
-            !must_enter_share_mode,
+            !must_use_shares,
         );
         if let Some((relay, heartbeat)) = heartbeat {
             self.send_member(now, &relay.id, wire::Message::Beat(heartbeat));
         }
     }
 
-    fn must_enter_share_mode(&self, now: Millis) -> bool {
-        let confirmation = self.heartbeat.confirmation(now);
+    fn must_use_shares(&self, now: Millis) -> bool {
+        let confirmation = self.heartbeats.confirmation(now);
         confirmation.is_some_and(|confirmation| {
             membership::must_enter_share_mode(now, confirmation, &self.terms)
         })
     }
 
     fn choose_mode(&mut self, now: Millis) {
-        let alone = self.heartbeat.is_lost(now) || self.must_enter_share_mode(now);
+        let alone = self.heartbeats.is_lost(now) || self.must_use_shares(now);
         let changed = match self.mode_state.mode() {
             Mode::Granted => alone && self.mode_state.enter_share(now),
             Mode::Share { .. } if !alone => {
@@ -218,7 +218,7 @@
         if self.is_leaving || self.is_writing || !self.read_ms.is_some_and(recent) {
             return;
         }
-        let is_relay = self.heartbeat.relay() == Some(&self.id);
+        let is_relay = self.heartbeats.relay() == Some(&self.id);
         let pools: Vec<Name> = self.pools.keys().cloned().collect();
         let edit = registrar::edit(
             now,
@@ -352,9 +352,9 @@
                 self.send_member(now, from, wire::Message::Answer(answer));
             }
             wire::Message::Answer(answer) => {
-                self.heartbeat
+                self.heartbeats
                     .on_answer(now, from, &answer, &self.record.roster);
-                if let Some(confirmation) = self.heartbeat.confirmation(now).cloned() {
+                if let Some(confirmation) = self.heartbeats.confirmation(now).cloned() {
                     self.on_confirmation(&confirmation);
                 }
             }
--- a/filbertpaddle/src/coordinator_inputs.rs
+++ b/filbertpaddle/src/coordinator_inputs.rs
@@ -160,8 +160,8 @@
     async fn handle(&mut self, _: IsReader, _: &mut Context<Self>) -> bool {
         let now = self.clock.now();
         let is_member = registrar::is_member(&self.id, &self.record.roster);
-        let is_relay = self.heartbeat.relay() == Some(&self.id);
-        is_relay || !is_member || self.heartbeat.is_lost(now)
+        let is_relay = self.heartbeats.relay() == Some(&self.id);
+        is_relay || !is_member || self.heartbeats.is_lost(now)
     }
 }
 
--- a/filbertpaddle/src/heartbeat.rs
+++ b/filbertpaddle/src/heartbeat.rs
@@ -21,8 +21,8 @@
 #[derive(Debug)]
 pub struct HeartbeatClient {
     relay: Option<NodeId>,
-    relay_ms: Option<Millis>,
-    sent_ms: Option<Millis>,
+    last_relay_ms: Option<Millis>,
+    last_sent_ms: Option<Millis>,
     last_answer_ms: Millis,
     avoided_relays: Vec<(NodeId, Millis)>,
     confirmation: Option<Confirmation>,
@@ -33,8 +33,8 @@
     pub fn new(now: Millis) -> Self {
         Self {
             relay: None,
-            relay_ms: None,
-            sent_ms: None,
+            last_relay_ms: None,
+            last_sent_ms: None,
             last_answer_ms: now,
             avoided_relays: Vec::new(),
             confirmation: None,
@@ -68,22 +68,22 @@
     ) -> Option<(Member, Heartbeat)> {
         let interval_ms = membership::interval_ms(roster.members.len());
         if self
-            .sent_ms
+            .last_sent_ms
             .is_some_and(|at_ms| now.since(at_ms) < interval_ms)
         {
             return None;
         }
         let relay = self.choose_relay(now, roster, data_centre)?;
-        self.sent_ms = Some(now);
+        self.last_sent_ms = Some(now);
         // Without a recent answer, no promise: the node may have to use its share.
         let may_promise = may_promise && self.confirmation(now).is_some();
-        let promise = match may_promise && self.relay_ms.is_some() {
+        let promise = match may_promise && self.last_relay_ms.is_some() {
             true => mode_state.promise(now),
             false => None,
         };
         let heartbeat = Heartbeat {
             sent_ms: now,
-            echo_ms: self.relay_ms,
+            echo_ms: self.last_relay_ms,
             version: roster.version,
             promise,
         };
@@ -96,7 +96,7 @@
             return;
         }
         self.last_answer_ms = now;
-        self.relay_ms = Some(answer.relay_ms);
+        self.last_relay_ms = Some(answer.relay_ms);
         if let Some(confirmation) = membership::confirmation(answer, roster) {
             self.confirmation = Some(confirmation);
         }
@@ -107,7 +107,7 @@
         if let Some(relay) = &self.relay
             && now.since(self.last_answer_ms) >= RELAY_TIMEOUT_MS
             && self
-                .sent_ms
+                .last_sent_ms
                 .is_some_and(|at_ms| at_ms > self.last_answer_ms)
         {
             self.avoided_relays
@@ -120,7 +120,7 @@
             .or_else(|| roster.rendezvous_first(data_centre, |_| true))?;
         if self.relay.as_ref() != Some(&first.id) {
             self.relay = Some(first.id.clone());
-            self.relay_ms = None;
+            self.last_relay_ms = None;
         }
         Some(first.clone())
     }
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -27,8 +27,8 @@
 
 use crate::body;
 use crate::peers::Peer;
-use crate::placer;
-use crate::placer::Placer;
+use crate::pool_scheduler;
+use crate::pool_scheduler::PoolScheduler;
 use crate::pools::Grant;
 use crate::pools::Refusal;
 use crate::pools::Slot;
@@ -78,7 +78,7 @@
     pub(crate) terms: Timing,
     pub(crate) member: Member,
     pub(crate) owner: Option<Owner>,
-    pub(crate) placer: Placer,
+    pub(crate) scheduler: PoolScheduler,
     pub(crate) owned_by: Option<roster::Owner>,
     pub(crate) targets: IndexMap<Name, Target>,
     pub(crate) waiters: Vec<Waiter>,
@@ -95,7 +95,7 @@
             terms,
             member: Member::new(terms, id),
             owner: None,
-            placer: Placer::new(placement),
+            scheduler: PoolScheduler::new(placement),
             owned_by: None,
             targets: IndexMap::new(),
             waiters: Vec::new(),
@@ -123,7 +123,7 @@
             }
             (slot, Some(epoch)) => {
                 *slot = Some(Owner::new(self.terms, epoch, now, roster.clone()));
-                self.placer.restart(now);
+                self.scheduler.reset(now);
                 self.add_targets();
             }
             (slot, None) => *slot = None,
@@ -203,7 +203,7 @@
             if let Some(number) = waiter.asked {
                 self.tell_owner(Message::Withdraw(self.name.clone(), number));
             }
-            waiter.reply.send(Err(overloaded())).ok();
+            waiter.reply.send(Err(overloaded_refusal())).ok();
         }
         let due = now.since(self.stamped_ms).0 * 3 >= self.terms.accept_ms.0;
         if due && self.waiters.iter().any(|waiter| waiter.asked.is_some()) {
@@ -216,9 +216,12 @@
     /// Uses this node's shares for those who wait.
     pub(crate) fn share(&mut self, now: Millis, roster: &Roster) {
         while let Some(waiter) = self.waiters.first() {
-            if self.placer.is_condemned(waiter.want.digest) {
+            if self.scheduler.is_blocked(waiter.want.digest) {
                 let waiter = self.waiters.remove(0);
-                waiter.reply.send(Err(placer::quarantined())).ok();
+                waiter
+                    .reply
+                    .send(Err(pool_scheduler::quarantined_refusal()))
+                    .ok();
                 continue;
             }
             let targets = self
@@ -234,8 +237,8 @@
                 return;
             };
             let waiter = self.waiters.remove(0);
-            self.placer
-                .shared(now, &held.key, &held.target, &waiter.want);
+            self.scheduler
+                .record_local_start(now, &held.key, &held.target, &waiter.want);
             self.hand_over(now, waiter, held);
         }
     }
@@ -252,18 +255,20 @@
             Message::Withdraw(_, number) => {
                 if let Some(owner) = &mut self.owner {
                     owner.on_withdraw(from, number);
-                    self.placer.withdraw(from, number);
+                    self.scheduler.withdraw(from, number);
                 }
             }
             Message::Deny(_, number, denial) => self.on_deny(number, denial),
-            Message::Suspect(_, digest, record) => self.placer.suspected(now, digest, &record),
+            Message::Suspect(_, digest, record) => {
+                self.scheduler.merge_crash_record(now, digest, &record)
+            }
             Message::Grant(_, grant) => self.on_grant(now, from, grant),
             Message::Refuse(_, number) => self.on_refuse(now, number),
             Message::Release(_, used, end) => {
                 if let Some(owner) = &mut self.owner {
                     let key = body::used_key(from, used);
                     owner.on_release(now, &key, end.ending.is_over());
-                    self.placer.ended(now, &key, end);
+                    self.scheduler.record_end(now, &key, end);
                 }
             }
             Message::Collect(_, collect) => self.on_collect(from, &collect),
@@ -286,7 +291,7 @@
             return;
         }
         if slot.key.source == Source::Share {
-            self.placer.ended(now, &slot.key, end);
+            self.scheduler.record_end(now, &slot.key, end);
         }
         let used = body::used(&slot.key);
         self.tell_owner(Message::Release(self.name.clone(), used, end));
@@ -412,7 +417,7 @@
 }
 
 /// Returns the refusal of a request for which no slot came in time.
-pub(crate) fn overloaded() -> Refusal {
+pub(crate) fn overloaded_refusal() -> Refusal {
     Refusal {
         reason: Reason::Overloaded,
         retry_after_ms: Some(RETRY_AFTER_MS),
--- a/filbertpaddle/src/pool_owner.rs
+++ b/filbertpaddle/src/pool_owner.rs
@@ -47,7 +47,8 @@
         if let Some(owner) = &mut self.owner {
             owner.on_report(now, name, &report);
         }
-        self.placer.reported(now, name, load, self.owner.as_ref());
+        self.scheduler
+            .record_load(now, name, load, self.owner.as_ref());
         if let Some(target) = self.targets.get_mut(name) {
             target.report = Some(report);
         }
@@ -58,19 +59,19 @@
         let Some(owner) = &mut self.owner else {
             return;
         };
-        for granted in self.placer.grants(now, owner) {
+        for granted in self.scheduler.make_grants(now, owner) {
             let to = granted.key.holder.clone();
             let message = Message::Grant(self.name.clone(), body::grant_message(granted));
             self.out.push(Out { to, message });
         }
-        for denied in self.placer.denied(now) {
-            let number = denied.ask.number;
-            owner.on_withdraw(&denied.ask.holder, number);
+        for denied in self.scheduler.take_denied(now) {
+            let number = denied.request.number;
+            owner.on_withdraw(&denied.request.holder, number);
             let message = Message::Deny(self.name.clone(), number, body::denial(&denied.refusal));
-            let to = denied.ask.holder;
+            let to = denied.request.holder;
             self.out.push(Out { to, message });
         }
-        for suspect in self.placer.suspects(now) {
+        for suspect in self.scheduler.take_changed_suspects(now) {
             let own = self.member.id();
             for to in owner.members().iter().filter(|id| *id != own) {
                 let record = suspect.record.clone();
@@ -116,7 +117,7 @@
             self.out.push(Out { to, message });
             return;
         };
-        if let Err(refusal) = self.placer.push(now, asked, &ask.want) {
+        if let Err(refusal) = self.scheduler.push(now, asked, &ask.want) {
             owner.on_withdraw(from, ask.number);
             let message = Message::Deny(self.name.clone(), ask.number, body::denial(&refusal));
             self.out.push(Out { to, message });
--- a/filbertpaddle/src/placer.rs
+++ b/filbertpaddle/src/pool_scheduler.rs
@@ -28,7 +28,7 @@
 /// A request that gets no slot.
 #[derive(Debug)]
 pub(crate) struct Denied {
-    pub(crate) ask: owner::SlotRequest,
+    pub(crate) request: owner::SlotRequest,
     pub(crate) refusal: Refusal,
 }
 
@@ -41,38 +41,38 @@
 
 /// Work that holds a slot.
 #[derive(Debug)]
-struct Placed {
+struct PlacedWork {
     slot: SlotId,
     target: Name,
 }
 
 /// A pool's scheduler and what its numbers stand for.
 #[derive(Debug)]
-pub(crate) struct Placer {
+pub(crate) struct PoolScheduler {
     settings: Settings,
     scheduler: Scheduler,
-    asks: IndexMap<RequestId, owner::SlotRequest>,
-    placed: IndexMap<WorkKey, Placed>,
+    requests: IndexMap<RequestId, owner::SlotRequest>,
+    placed: IndexMap<WorkKey, PlacedWork>,
     capacity_tokens: IndexMap<Name, u64>,
     next_id: u64,
-    passed_ms: Millis,
+    suspects_taken_ms: Millis,
 }
 
-impl Placer {
+impl PoolScheduler {
     pub(crate) fn new(settings: Settings) -> Self {
         Self {
             settings,
             scheduler: Scheduler::new(settings),
-            asks: IndexMap::new(),
+            requests: IndexMap::new(),
             placed: IndexMap::new(),
             capacity_tokens: IndexMap::new(),
             next_id: 0,
-            passed_ms: Millis::ZERO,
+            suspects_taken_ms: Millis::ZERO,
         }
     }
 
     /// Starts anew for a new ownership; only the suspects stay known.
-    pub(crate) fn restart(&mut self, now: Millis) {
+    pub(crate) fn reset(&mut self, now: Millis) {
         let old = std::mem::replace(self, Self::new(self.settings));
         for (digest, record) in old.scheduler.suspects().changed_since(Millis::ZERO) {
             self.scheduler.merge_crash_record(now, digest, record);
@@ -83,50 +83,51 @@
     pub(crate) fn push(
         &mut self,
         now: Millis,
-        ask: owner::SlotRequest,
+        request: owner::SlotRequest,
         want: &Want,
     ) -> Result<(), Refusal> {
-        let id = RequestId(self.number());
-        self.scheduler.push(now, scheduler_ask(now, id, want))?;
-        self.asks.insert(id, ask);
+        let id = RequestId(self.next_number());
+        self.scheduler.push(now, scheduler_request(now, id, want))?;
+        self.requests.insert(id, request);
         Ok(())
     }
 
     /// Forgets a request that its holder has given up.
     pub(crate) fn withdraw(&mut self, holder: &NodeId, number: u64) {
-        let same = |ask: &owner::SlotRequest| ask.holder == *holder && ask.number == number;
-        let found = self.asks.iter().find(|(_, other)| same(other));
+        let same =
+            |request: &owner::SlotRequest| request.holder == *holder && request.number == number;
+        let found = self.requests.iter().find(|(_, other)| same(other));
         if let Some(id) = found.map(|(id, _)| *id) {
             self.scheduler.cancel(id);
-            self.asks.swap_remove(&id);
+            self.requests.swap_remove(&id);
         }
     }
 
     /// Grants what the scheduler places and the owner allows.
-    pub(crate) fn grants(&mut self, now: Millis, owner: &mut Owner) -> Vec<Grant> {
+    pub(crate) fn make_grants(&mut self, now: Millis, owner: &mut Owner) -> Vec<Grant> {
         let mut grants = Vec::new();
         while owner.may_grant(now) && self.scheduler.queued() > 0 {
-            let views = self.views(now, owner);
+            let views = self.target_views(now, owner);
             let Some(placement) = self.scheduler.next_placement(now, &views) else {
                 break;
             };
-            let Some(ask) = self.asks.swap_remove(&placement.request.id) else {
+            let Some(request) = self.requests.swap_remove(&placement.request.id) else {
                 continue;
             };
-            let slot = SlotId(self.number());
+            let slot = SlotId(self.next_number());
             self.scheduler.record_start(now, slot, &placement);
-            if let Some(grant) = owner.grant_at(now, &placement.target, &ask) {
+            if let Some(grant) = owner.grant_at(now, &placement.target, &request) {
                 let target = placement.target;
                 self.placed
-                    .insert(grant.key.clone(), Placed { slot, target });
+                    .insert(grant.key.clone(), PlacedWork { slot, target });
                 grants.push(grant);
                 continue;
             }
             self.scheduler.record_end(now, slot, 0, Ending::Unsent);
-            if owner.is_queued(&ask) {
+            if owner.is_queued(&request) {
                 // The target's room is kept for other members; try again later.
                 if self.scheduler.push(now, placement.request.clone()).is_ok() {
-                    self.asks.insert(placement.request.id, ask);
+                    self.requests.insert(placement.request.id, request);
                 }
                 break;
             }
@@ -134,7 +135,7 @@
         grants
     }
 
-    fn views(&self, now: Millis, owner: &Owner) -> Vec<TargetView> {
+    fn target_views(&self, now: Millis, owner: &Owner) -> Vec<TargetView> {
         let capacity = |name: &Name| self.capacity_tokens.get(name).copied().unwrap_or(0);
         owner
             .ledgers()
@@ -149,31 +150,37 @@
     }
 
     /// Returns the requests that get no slot any more.
-    pub(crate) fn denied(&mut self, now: Millis) -> Vec<Denied> {
+    pub(crate) fn take_denied(&mut self, now: Millis) -> Vec<Denied> {
         let refusals = self.scheduler.take_refusals(now);
         refusals
             .into_iter()
             .filter_map(|refusal| {
-                let ask = self.asks.swap_remove(&refusal.id)?;
-                Some(Denied { ask, refusal })
+                let request = self.requests.swap_remove(&refusal.id)?;
+                Some(Denied { request, refusal })
             })
             .collect()
     }
 
     /// Notes work that this node started by its own share.
-    pub(crate) fn shared(&mut self, now: Millis, key: &WorkKey, target: &Name, want: &Want) {
-        let slot = SlotId(self.number());
+    pub(crate) fn record_local_start(
+        &mut self,
+        now: Millis,
+        key: &WorkKey,
+        target: &Name,
+        want: &Want,
+    ) {
+        let slot = SlotId(self.next_number());
         let placement = Placement {
-            request: scheduler_ask(now, RequestId(slot.0), want),
+            request: scheduler_request(now, RequestId(slot.0), want),
             target: target.clone(),
         };
         self.scheduler.record_start(now, slot, &placement);
         let target = placement.target;
-        self.placed.insert(key.clone(), Placed { slot, target });
+        self.placed.insert(key.clone(), PlacedWork { slot, target });
     }
 
     /// Notes how the use of a slot ended.
-    pub(crate) fn ended(&mut self, now: Millis, key: &WorkKey, end: End) {
+    pub(crate) fn record_end(&mut self, now: Millis, key: &WorkKey, end: End) {
         if let Some(placed) = self.placed.swap_remove(key) {
             self.scheduler
                 .record_end(now, placed.slot, end.tokens, end.ending);
@@ -181,7 +188,7 @@
     }
 
     /// Takes in a target's report and ends what its owner counts no more.
-    pub(crate) fn reported(
+    pub(crate) fn record_load(
         &mut self,
         now: Millis,
         target: &Name,
@@ -207,7 +214,7 @@
             return;
         };
         let is_counted = |key: &WorkKey| ledger.slots().iter().any(|slot| slot.key == *key);
-        let lost: Vec<WorkKey> = self
+        let uncounted: Vec<WorkKey> = self
             .placed
             .iter()
             .filter(|(key, placed)| placed.target == *target && !is_counted(key))
@@ -217,22 +224,24 @@
             ending: Ending::Unknown,
             tokens: 0,
         };
-        lost.iter().for_each(|key| self.ended(now, key, end));
+        uncounted
+            .iter()
+            .for_each(|key| self.record_end(now, key, end));
     }
 
     /// Returns whether a request has crashed too many targets.
-    pub(crate) fn is_condemned(&self, digest: u64) -> bool {
+    pub(crate) fn is_blocked(&self, digest: u64) -> bool {
         self.scheduler.suspects().status(digest) == QuarantineStatus::Blocked
     }
 
     /// Takes in what another node knows of a request.
-    pub(crate) fn suspected(&mut self, now: Millis, digest: u64, record: &CrashRecord) {
+    pub(crate) fn merge_crash_record(&mut self, now: Millis, digest: u64, record: &CrashRecord) {
         self.scheduler.merge_crash_record(now, digest, record);
     }
 
     /// Returns the suspects whose records changed since the last call.
-    pub(crate) fn suspects(&mut self, now: Millis) -> Vec<Suspect> {
-        let since = std::mem::replace(&mut self.passed_ms, now + Millis(1));
+    pub(crate) fn take_changed_suspects(&mut self, now: Millis) -> Vec<Suspect> {
+        let since = std::mem::replace(&mut self.suspects_taken_ms, now + Millis(1));
         let changes = self.scheduler.suspects().changed_since(since);
         changes
             .map(|(digest, record)| Suspect {
@@ -242,21 +251,21 @@
             .collect()
     }
 
-    fn number(&mut self) -> u64 {
+    fn next_number(&mut self) -> u64 {
         self.next_id += 1;
         self.next_id
     }
 }
 
 /// Returns the refusal of a request that has crashed too many targets.
-pub(crate) fn quarantined() -> crate::pools::Refusal {
+pub(crate) fn quarantined_refusal() -> crate::pools::Refusal {
     crate::pools::Refusal {
         reason: Reason::Quarantined,
         retry_after_ms: None,
     }
 }
 
-fn scheduler_ask(now: Millis, id: RequestId, want: &Want) -> SlotRequest {
+fn scheduler_request(now: Millis, id: RequestId, want: &Want) -> SlotRequest {
     let customer = want.template.split('/').next().unwrap_or_default();
     SlotRequest {
         id,
--- a/filbertpaddle/src/remote_slots.rs
+++ b/filbertpaddle/src/remote_slots.rs
@@ -185,12 +185,12 @@
         };
         let mut want = request.want.clone();
         want.wait_ms = want.wait_ms.min(MAX_WAIT_MS);
-        let timeout = clock::duration(want.wait_ms) + ANSWER_GRACE;
+        let answer_timeout = clock::duration(want.wait_ms) + ANSWER_GRACE;
         let requested_at = Instant::now();
         let message = wire::Message::Ask(number, request.model.clone(), Box::new(want));
         self.send(&lender.name, message);
-        let answer = tokio::time::timeout(timeout, answer).await;
-        if requested_at.elapsed() > timeout {
+        let answer = tokio::time::timeout(answer_timeout, answer).await;
+        if requested_at.elapsed() > answer_timeout {
             // A node that was paused may find a grant that its lender has given up.
             return Err(no_answer_refusal());
         }
