--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -26,32 +26,32 @@
 use xtra::WeakAddress;
 
 use crate::clock::Clock;
-use crate::coordinator_inputs::Polled;
-use crate::coordinator_inputs::Written;
-use crate::coordinator_tasks::follow_record;
-use crate::coordinator_tasks::follow_vms;
-use crate::coordinator_tasks::pass;
+use crate::coordinator_messages::RecordWritten;
+use crate::coordinator_messages::TargetPolled;
+use crate::coordinator_tasks::forward;
+use crate::coordinator_tasks::poll_record;
+use crate::coordinator_tasks::poll_vms;
 use crate::coordinator_tasks::tick;
 use crate::heartbeat::HeartbeatClient;
 use crate::inbox::Incoming;
 use crate::peers::Peer;
 use crate::peers::Peers;
-use crate::pool::Out;
+use crate::pool::Outgoing;
 use crate::pool::Pool;
 use crate::pool::Target;
 use crate::record;
 use crate::record::Record;
-use crate::registrar;
+use crate::record_edit;
 use crate::service::Service;
 
 /// Time between two reports of one target.
 const POLL_INTERVAL_MS: Millis = Millis(250);
 /// Age up to which a reading of the record is acted upon.
-const ACT_MS: Millis = Millis(2_000);
+const MAX_RECORD_AGE_MS: Millis = Millis(2_000);
 
 /// What a coordinator is built from.
 #[derive(Debug)]
-pub struct Parts {
+pub struct Dependencies {
     /// This node.
     pub own: Peer,
     /// Links to other nodes.
@@ -75,26 +75,26 @@
 }
 
 /// Starts a coordinator.
-pub(crate) fn start(parts: Parts) -> Address<Coordinator> {
-    let now = parts.clock.now();
-    let terms = Timing::default();
+pub(crate) fn start(dependencies: Dependencies) -> Address<Coordinator> {
+    let now = dependencies.clock.now();
+    let timing = Timing::default();
     let state = Coordinator {
-        id: id(&parts.own),
-        own: parts.own,
-        peers: parts.peers,
-        platform: parts.platform,
-        targets: parts.targets,
-        service: parts.service,
-        clock: parts.clock,
-        log: parts.log,
-        terms,
-        placement: parts.placement,
-        mode_state: ModeState::new(terms),
+        id: id(&dependencies.own),
+        own: dependencies.own,
+        peers: dependencies.peers,
+        platform: dependencies.platform,
+        targets: dependencies.targets,
+        service: dependencies.service,
+        clock: dependencies.clock,
+        log: dependencies.log,
+        timing,
+        placement: dependencies.placement,
+        mode_state: ModeState::new(timing),
         record: Record::default(),
-        read_ms: None,
+        record_read_ms: None,
         is_writing: false,
         is_leaving: false,
-        listed: Vec::new(),
+        entry_vms: Vec::new(),
         relay: Relay::new(now),
         heartbeats: HeartbeatClient::new(now),
         pools: IndexMap::new(),
@@ -104,15 +104,10 @@
     let data_centre = state.own.data_centre.clone();
     let actor = xtra::spawn_tokio(state, Mailbox::unbounded());
     tokio::spawn(tick(actor.downgrade()));
-    tokio::spawn(pass(actor.downgrade(), parts.member));
-    tokio::spawn(pass(actor.downgrade(), parts.grant));
-    tokio::spawn(follow_vms(actor.downgrade(), platform.clone()));
-    tokio::spawn(follow_record(
-        actor.downgrade(),
-        platform,
-        data_centre,
-        clock,
-    ));
+    tokio::spawn(forward(actor.downgrade(), dependencies.member));
+    tokio::spawn(forward(actor.downgrade(), dependencies.grant));
+    tokio::spawn(poll_vms(actor.downgrade(), platform.clone()));
+    tokio::spawn(poll_record(actor.downgrade(), platform, data_centre, clock));
     actor
 }
 
@@ -125,14 +120,14 @@
     pub(crate) service: Service,
     pub(crate) clock: Clock,
     pub(crate) log: Logger,
-    pub(crate) terms: Timing,
+    pub(crate) timing: Timing,
     pub(crate) placement: policy::Settings,
     pub(crate) mode_state: ModeState,
     pub(crate) record: Record,
-    pub(crate) read_ms: Option<Millis>,
+    pub(crate) record_read_ms: Option<Millis>,
     pub(crate) is_writing: bool,
     pub(crate) is_leaving: bool,
-    pub(crate) listed: Vec<Name>,
+    pub(crate) entry_vms: Vec<Name>,
     pub(crate) relay: Relay,
     pub(crate) heartbeats: HeartbeatClient,
     pub(crate) pools: IndexMap<Name, Pool>,
@@ -147,28 +142,28 @@
 impl Coordinator {
     pub(crate) fn on_tick(&mut self, now: Millis, address: &WeakAddress<Self>) {
         self.send_heartbeat(now);
-        self.choose_mode(now);
-        self.register(now, address);
-        let sharing = self.mode_state.mode() != Mode::Granted;
+        self.update_mode(now);
+        self.edit_record(now, address);
+        let uses_shares = self.mode_state.mode() != Mode::Granted;
         let roster = &self.record.roster;
         let linked = self.peers.connected();
         for pool in self.pools.values_mut() {
-            if !pool.is_owner_among(&linked) {
-                pool.on_owner_unlinked(now);
+            if !pool.is_owner_reachable(&linked) {
+                pool.on_owner_unreachable(now);
             }
             for (name, target) in &mut pool.targets {
                 target.per_mille = self.service.vm_share(name).per_mille();
             }
             pool.add_targets();
-            match sharing {
-                true => pool.share(now, roster),
-                false => pool.ask(now),
+            match uses_shares {
+                true => pool.take_shares(now, roster),
+                false => pool.request_slots(now),
             }
-            pool.sweep(now);
-            pool.own(now);
+            pool.expire_waiters(now);
+            pool.run_owner(now);
         }
-        self.poll(now, address);
-        self.flush(now);
+        self.poll_targets(now, address);
+        self.send_outgoing(now);
     }
 
     fn send_heartbeat(&mut self, now: Millis) {
@@ -188,15 +183,15 @@
     fn must_use_shares(&self, now: Millis) -> bool {
         let confirmation = self.heartbeats.confirmation(now);
         confirmation.is_some_and(|confirmation| {
-            membership::must_enter_share_mode(now, confirmation, &self.terms)
+            membership::must_enter_share_mode(now, confirmation, &self.timing)
         })
     }
 
-    fn choose_mode(&mut self, now: Millis) {
-        let alone = self.heartbeats.is_lost(now) || self.must_use_shares(now);
+    fn update_mode(&mut self, now: Millis) {
+        let must_share = self.heartbeats.is_lost(now) || self.must_use_shares(now);
         let changed = match self.mode_state.mode() {
-            Mode::Granted => alone && self.mode_state.enter_share(now),
-            Mode::Share { .. } if !alone => {
+            Mode::Granted => must_share && self.mode_state.enter_share(now),
+            Mode::Share { .. } if !must_share => {
                 self.mode_state.leave_share();
                 true
             }
@@ -213,26 +208,26 @@
     }
 
     /// Changes the record if that is for this node to do.
-    fn register(&mut self, now: Millis, address: &WeakAddress<Self>) {
-        let recent = |read_ms: Millis| now.since(read_ms) < ACT_MS;
-        if self.is_leaving || self.is_writing || !self.read_ms.is_some_and(recent) {
+    fn edit_record(&mut self, now: Millis, address: &WeakAddress<Self>) {
+        let recent = |read_ms: Millis| now.since(read_ms) < MAX_RECORD_AGE_MS;
+        if self.is_leaving || self.is_writing || !self.record_read_ms.is_some_and(recent) {
             return;
         }
         let is_relay = self.heartbeats.relay() == Some(&self.id);
         let pools: Vec<Name> = self.pools.keys().cloned().collect();
-        let edit = registrar::edit(
+        let edit = record_edit::due_edit(
             now,
             &self.own,
             &self.record.roster,
             &self.relay,
             &pools,
-            &self.listed,
+            &self.entry_vms,
             is_relay,
         );
         let Some(edit) = edit else {
             return;
         };
-        info!(self.log, "Record changed."; "change" => edit.what, "version" => edit.roster.version);
+        info!(self.log, "Record changed."; "change" => edit.description, "version" => edit.roster.version);
         self.is_writing = true;
         let platform = self.platform.clone();
         let data_centre = self.own.data_centre.clone();
@@ -240,12 +235,12 @@
         let address = address.clone();
         tokio::spawn(async move {
             record::write(&platform, &data_centre, &edit.roster, revision).await;
-            address.send(Written).await.ok();
+            address.send(RecordWritten).await.ok();
         });
     }
 
-    fn poll(&mut self, now: Millis, address: &WeakAddress<Self>) {
-        let sharing = self.mode_state.mode() != Mode::Granted;
+    fn poll_targets(&mut self, now: Millis, address: &WeakAddress<Self>) {
+        let uses_shares = self.mode_state.mode() != Mode::Granted;
         let own = &self.id;
         let roster = &self.record.roster;
         for (pool_name, pool) in &mut self.pools {
@@ -255,25 +250,25 @@
                     .report
                     .as_ref()
                     .map_or(u32::MAX, |report| report.cold_limit);
-                let shares = sharing && roster.share(name, limit, own) > 0;
-                let due = now.since(target.polled_ms) >= POLL_INTERVAL_MS;
-                if target.is_polled || !due || !(owns || shares) {
+                let shares = uses_shares && roster.share(name, limit, own) > 0;
+                let due = now.since(target.last_poll_ms) >= POLL_INTERVAL_MS;
+                if target.has_open_poll || !due || !(owns || shares) {
                     continue;
                 }
-                target.is_polled = true;
-                target.polled_ms = now;
+                target.has_open_poll = true;
+                target.last_poll_ms = now;
                 let client = self.targets.clone();
                 let at = target.address;
                 let address = address.clone();
-                let polled = Polled {
+                let polled = TargetPolled {
                     pool: pool_name.clone(),
                     target: name.clone(),
-                    asked_ms: now,
+                    requested_ms: now,
                     load: None,
                 };
                 tokio::spawn(async move {
                     let load = client.load(at).await.ok();
-                    address.send(Polled { load, ..polled }).await.ok();
+                    address.send(TargetPolled { load, ..polled }).await.ok();
                 });
             }
         }
@@ -312,7 +307,7 @@
         }
         let local = |vm: &&Vm| vm.data_centre == self.own.data_centre;
         let entries = vms.iter().filter(|vm| vm.role == VmRole::Entry);
-        self.listed = entries.filter(local).map(|vm| vm.name.clone()).collect();
+        self.entry_vms = entries.filter(local).map(|vm| vm.name.clone()).collect();
         let targets = vms.iter().filter(|vm| vm.role == VmRole::Target);
         for vm in targets.filter(local) {
             let Ok(address) = vm.address.parse() else {
@@ -321,7 +316,7 @@
             let pool = self.pools.entry(vm.model.clone()).or_insert_with(|| {
                 let mut pool = Pool::new(
                     vm.model.clone(),
-                    self.terms,
+                    self.timing,
                     self.id.clone(),
                     self.placement,
                 );
@@ -334,8 +329,8 @@
                 address,
                 per_mille: 0,
                 report: None,
-                is_polled: false,
-                polled_ms: Millis::ZERO,
+                has_open_poll: false,
+                last_poll_ms: Millis::ZERO,
             });
         }
     }
@@ -365,7 +360,7 @@
                         revision: None,
                     };
                     // Without the table's revision nothing can be written.
-                    self.read_ms = None;
+                    self.record_read_ms = None;
                     self.on_record(now, record);
                 }
             }
@@ -402,21 +397,21 @@
         };
         if let Some(pool) = self.pools.get_mut(&name) {
             pool.on_message(now, from, message);
-            pool.own(now);
+            pool.run_owner(now);
         }
     }
 
     /// Sends what the pools have to say; what is for this node is handled at once.
-    pub(crate) fn flush(&mut self, now: Millis) {
+    pub(crate) fn send_outgoing(&mut self, now: Millis) {
         loop {
             let pools = self.pools.values_mut();
-            let out: Vec<Out> = pools
-                .flat_map(|pool| std::mem::take(&mut pool.out))
+            let outgoing: Vec<Outgoing> = pools
+                .flat_map(|pool| std::mem::take(&mut pool.outgoing))
                 .collect();
-            if out.is_empty() {
+            if outgoing.is_empty() {
                 return;
             }
-            for Out { to, message } in out {
+            for Outgoing { to, message } in outgoing {
                 if to == self.id {
                     self.on_grant_message(now, &to, message);
                 } else {
--- a/filbertpaddle/src/coordinator_inputs.rs
+++ b/filbertpaddle/src/coordinator_messages.rs
@@ -26,7 +26,7 @@
 use crate::pools::Slot;
 use crate::pools::SlotRequest;
 use crate::record::Record;
-use crate::registrar;
+use crate::record_edit;
 
 /// When a refused caller may come back.
 const RETRY_AFTER_MS: Millis = Millis(1_000);
@@ -44,7 +44,7 @@
 }
 
 /// What a leaving node needs to take itself out of the record.
-pub(crate) struct Leaving {
+pub(crate) struct LeaveContext {
     pub(crate) platform: Client,
     pub(crate) data_centre: Name,
     pub(crate) id: NodeId,
@@ -54,25 +54,25 @@
 pub(crate) struct Leave;
 
 /// The work of a slot has reached its target.
-pub(crate) struct Sent(pub(crate) Slot);
+pub(crate) struct WorkSent(pub(crate) Slot);
 
 pub(crate) struct Tick;
 
-pub(crate) struct Listed(pub(crate) Vec<Vm>);
+pub(crate) struct VmsListed(pub(crate) Vec<Vm>);
 
-pub(crate) struct IsReader;
+pub(crate) struct IsRecordReader;
 
-pub(crate) struct ReadRecord {
-    pub(crate) asked_ms: Millis,
+pub(crate) struct RecordRead {
+    pub(crate) requested_ms: Millis,
     pub(crate) record: Option<Record>,
 }
 
-pub(crate) struct Written;
+pub(crate) struct RecordWritten;
 
-pub(crate) struct Polled {
+pub(crate) struct TargetPolled {
     pub(crate) pool: Name,
     pub(crate) target: Name,
-    pub(crate) asked_ms: Millis,
+    pub(crate) requested_ms: Millis,
     pub(crate) load: Option<LoadReport>,
 }
 
@@ -100,11 +100,11 @@
             refuse(acquire.reply, Reason::NoTarget);
             return;
         }
-        pool.wait(now, &acquire.request, acquire.reply);
+        pool.add_waiter(now, &acquire.request, acquire.reply);
         if self.mode_state.mode() == Mode::Granted {
-            pool.ask(now);
+            pool.request_slots(now);
         }
-        self.flush(now);
+        self.send_outgoing(now);
     }
 }
 
@@ -116,16 +116,16 @@
         if let Some(pool) = self.pools.get_mut(&release.slot.pool) {
             pool.release(now, &release.slot, release.end);
         }
-        self.flush(now);
+        self.send_outgoing(now);
     }
 }
 
 impl Handler<Leave> for Coordinator {
-    type Return = Leaving;
+    type Return = LeaveContext;
 
-    async fn handle(&mut self, _: Leave, _: &mut Context<Self>) -> Leaving {
+    async fn handle(&mut self, _: Leave, _: &mut Context<Self>) -> LeaveContext {
         self.is_leaving = true;
-        Leaving {
+        LeaveContext {
             platform: self.platform.clone(),
             data_centre: self.own.data_centre.clone(),
             id: self.id.clone(),
@@ -133,42 +133,42 @@
     }
 }
 
-impl Handler<Sent> for Coordinator {
+impl Handler<WorkSent> for Coordinator {
     type Return = ();
 
-    async fn handle(&mut self, sent: Sent, _: &mut Context<Self>) {
+    async fn handle(&mut self, sent: WorkSent, _: &mut Context<Self>) {
         if let Some(pool) = self.pools.get_mut(&sent.0.pool) {
             pool.member.on_sent(&sent.0.key);
         }
     }
 }
 
-impl Handler<Listed> for Coordinator {
+impl Handler<VmsListed> for Coordinator {
     type Return = ();
 
-    async fn handle(&mut self, listed: Listed, _: &mut Context<Self>) {
+    async fn handle(&mut self, list: VmsListed, _: &mut Context<Self>) {
         let now = self.clock.now();
-        self.on_vms(now, &listed.0);
+        self.on_vms(now, &list.0);
     }
 }
 
-impl Handler<IsReader> for Coordinator {
+impl Handler<IsRecordReader> for Coordinator {
     type Return = bool;
 
     /// The relay reads the record for all, and a node that is no member yet
     /// or knows no relay for itself.
-    async fn handle(&mut self, _: IsReader, _: &mut Context<Self>) -> bool {
+    async fn handle(&mut self, _: IsRecordReader, _: &mut Context<Self>) -> bool {
         let now = self.clock.now();
-        let is_member = registrar::is_member(&self.id, &self.record.roster);
+        let is_member = record_edit::is_member(&self.id, &self.record.roster);
         let is_relay = self.heartbeats.relay() == Some(&self.id);
         is_relay || !is_member || self.heartbeats.is_lost(now)
     }
 }
 
-impl Handler<ReadRecord> for Coordinator {
+impl Handler<RecordRead> for Coordinator {
     type Return = ();
 
-    async fn handle(&mut self, read: ReadRecord, _: &mut Context<Self>) {
+    async fn handle(&mut self, read: RecordRead, _: &mut Context<Self>) {
         let now = self.clock.now();
         let Some(record) = read.record else {
             warn!(self.log, "Record not read.");
@@ -178,32 +178,32 @@
         if record.roster.version < self.record.roster.version {
             return;
         }
-        self.read_ms = Some(read.asked_ms);
-        self.relay.on_record_read(read.asked_ms);
+        self.record_read_ms = Some(read.requested_ms);
+        self.relay.on_record_read(read.requested_ms);
         self.on_record(now, record);
     }
 }
 
-impl Handler<Written> for Coordinator {
+impl Handler<RecordWritten> for Coordinator {
     type Return = ();
 
-    async fn handle(&mut self, _: Written, _: &mut Context<Self>) {
+    async fn handle(&mut self, _: RecordWritten, _: &mut Context<Self>) {
         self.is_writing = false;
         // Only a new reading tells what came of it.
-        self.read_ms = None;
+        self.record_read_ms = None;
     }
 }
 
-impl Handler<Polled> for Coordinator {
+impl Handler<TargetPolled> for Coordinator {
     type Return = ();
 
-    async fn handle(&mut self, polled: Polled, _: &mut Context<Self>) {
+    async fn handle(&mut self, polled: TargetPolled, _: &mut Context<Self>) {
         let now = self.clock.now();
         let Some(pool) = self.pools.get_mut(&polled.pool) else {
             return;
         };
         if let Some(target) = pool.targets.get_mut(&polled.target) {
-            target.is_polled = false;
+            target.has_open_poll = false;
         }
         let Some(load) = polled.load else {
             return;
@@ -211,9 +211,14 @@
         if load.leaving {
             self.service.on_reclaim(&polled.target);
         }
-        pool.on_report(now, &polled.target, report(polled.asked_ms, &load), &load);
-        pool.own(now);
-        self.flush(now);
+        pool.on_report(
+            now,
+            &polled.target,
+            report(polled.requested_ms, &load),
+            &load,
+        );
+        pool.run_owner(now);
+        self.send_outgoing(now);
     }
 }
 
@@ -235,14 +240,14 @@
         let now = self.clock.now();
         if from.peer.data_centre == self.own.data_centre {
             self.on_grant_message(now, &id(&from.peer), from.message);
-            self.flush(now);
+            self.send_outgoing(now);
         }
     }
 }
 
-fn report(asked_ms: Millis, load: &LoadReport) -> Report {
+fn report(requested_ms: Millis, load: &LoadReport) -> Report {
     Report {
-        taken_ms: Millis(asked_ms.0.saturating_sub(load.age_ms.0)),
+        taken_ms: Millis(requested_ms.0.saturating_sub(load.age_ms.0)),
         incarnation: load.incarnation,
         warm: load.warmth == Warmth::Warm,
         cold_limit: load.cold_limit,
--- a/filbertpaddle/src/coordinator_tasks.rs
+++ b/filbertpaddle/src/coordinator_tasks.rs
@@ -12,27 +12,29 @@
 use crate::clock;
 use crate::clock::Clock;
 use crate::coordinator::Coordinator;
-use crate::coordinator_inputs::IsReader;
-use crate::coordinator_inputs::Listed;
-use crate::coordinator_inputs::ReadRecord;
-use crate::coordinator_inputs::Tick;
+use crate::coordinator_messages::IsRecordReader;
+use crate::coordinator_messages::RecordRead;
+use crate::coordinator_messages::Tick;
+use crate::coordinator_messages::VmsListed;
 use crate::inbox::Incoming;
 use crate::record;
 
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time between two reads of the VM list.
-const LIST_INTERVAL: Duration = Duration::from_secs(1);
+const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between two reads of the record.
-const RECORD_INTERVAL_MS: Millis = Millis(500);
+const RECORD_READ_INTERVAL_MS: Millis = Millis(500);
 
 pub(crate) async fn tick(actor: WeakAddress<Coordinator>) {
     while actor.send(Tick).await.is_ok() {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
-pub(crate) async fn pass<M>(actor: WeakAddress<Coordinator>, mut inbox: mpsc::Receiver<Incoming<M>>)
-where
+pub(crate) async fn forward<M>(
+    actor: WeakAddress<Coordinator>,
+    mut inbox: mpsc::Receiver<Incoming<M>>,
+) where
     M: Send + 'static,
     Coordinator: Handler<Incoming<M>, Return = ()>,
 {
@@ -44,27 +46,33 @@
 }
 
 // The last good list is kept while the platform is out.
-pub(crate) async fn follow_vms(actor: WeakAddress<Coordinator>, platform: Client) {
+pub(crate) async fn poll_vms(actor: WeakAddress<Coordinator>, platform: Client) {
     while actor.is_connected() {
         if let Ok(list) = platform.vms().await {
-            actor.send(Listed(list.vms)).await.ok();
+            actor.send(VmsListed(list.vms)).await.ok();
         }
-        tokio::time::sleep(LIST_INTERVAL).await;
+        tokio::time::sleep(VM_LIST_INTERVAL).await;
     }
 }
 
-pub(crate) async fn follow_record(
+pub(crate) async fn poll_record(
     actor: WeakAddress<Coordinator>,
     platform: Client,
     data_centre: Name,
     clock: Clock,
 ) {
-    while let Ok(is_reader) = actor.send(IsReader).await {
+    while let Ok(is_reader) = actor.send(IsRecordReader).await {
         if is_reader {
-            let asked_ms = clock.now();
+            let requested_ms = clock.now();
             let record = record::read(&platform, &data_centre).await.ok();
-            actor.send(ReadRecord { asked_ms, record }).await.ok();
+            actor
+                .send(RecordRead {
+                    requested_ms,
+                    record,
+                })
+                .await
+                .ok();
         }
-        tokio::time::sleep(clock::duration(RECORD_INTERVAL_MS)).await;
+        tokio::time::sleep(clock::duration(RECORD_READ_INTERVAL_MS)).await;
     }
 }
--- a/filbertpaddle/src/inbox.rs
+++ b/filbertpaddle/src/inbox.rs
@@ -12,7 +12,7 @@
 use crate::peers::Received;
 
 /// Most messages that wait for one part.
-const PART_MESSAGES: usize = 8_192;
+const MAX_INBOX_MESSAGES: usize = 8_192;
 
 /// A message for one part and the node that sent it.
 #[derive(Clone, Debug, PartialEq)]
@@ -40,7 +40,7 @@
 
 /// The other ends of [`Inboxes`].
 #[derive(Debug)]
-pub struct Outlets {
+pub struct InboxSenders {
     member: mpsc::Sender<Incoming<member::Message>>,
     grant: mpsc::Sender<Incoming<grant::Message>>,
     config: mpsc::Sender<Incoming<config::Message>>,
@@ -49,13 +49,13 @@
 }
 
 /// Opens one inbox for each part.
-pub fn open() -> (Outlets, Inboxes) {
-    let (member, member_inbox) = mpsc::channel(PART_MESSAGES);
-    let (grant, grant_inbox) = mpsc::channel(PART_MESSAGES);
-    let (config, config_inbox) = mpsc::channel(PART_MESSAGES);
-    let (claim, claim_inbox) = mpsc::channel(PART_MESSAGES);
-    let (remote, remote_inbox) = mpsc::channel(PART_MESSAGES);
-    let outlets = Outlets {
+pub fn channels() -> (InboxSenders, Inboxes) {
+    let (member, member_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
+    let (grant, grant_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
+    let (config, config_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
+    let (claim, claim_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
+    let (remote, remote_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
+    let senders = InboxSenders {
         member,
         grant,
         config,
@@ -69,24 +69,24 @@
         claim: claim_inbox,
         remote: remote_inbox,
     };
-    (outlets, inboxes)
+    (senders, inboxes)
 }
 
 /// Hands messages on until all links are gone.
 ///
 /// A part that does not keep up loses messages; every part tolerates that.
-pub async fn dispatch(mut received: mpsc::Receiver<Received>, outlets: Outlets) {
+pub async fn dispatch(mut received: mpsc::Receiver<Received>, senders: InboxSenders) {
     while let Some(Received { from, message }) = received.recv().await {
         match message {
-            Message::Member(message) => pass(&outlets.member, from, message),
-            Message::Grant(message) => pass(&outlets.grant, from, message),
-            Message::Config(message) => pass(&outlets.config, from, message),
-            Message::Claim(message) => pass(&outlets.claim, from, message),
-            Message::Remote(message) => pass(&outlets.remote, from, message),
+            Message::Member(message) => forward(&senders.member, from, message),
+            Message::Grant(message) => forward(&senders.grant, from, message),
+            Message::Config(message) => forward(&senders.config, from, message),
+            Message::Claim(message) => forward(&senders.claim, from, message),
+            Message::Remote(message) => forward(&senders.remote, from, message),
         }
     }
 }
 
-fn pass<M>(outlet: &mpsc::Sender<Incoming<M>>, peer: Peer, message: M) {
-    outlet.try_send(Incoming { peer, message }).ok();
+fn forward<M>(sender: &mpsc::Sender<Incoming<M>>, peer: Peer, message: M) {
+    sender.try_send(Incoming { peer, message }).ok();
 }
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -51,7 +51,7 @@
 use crate::templates::Templates;
 
 /// Most messages from peers that wait to be handled.
-const INBOX_MESSAGES: usize = 16_384;
+const MAX_RECEIVED_MESSAGES: usize = 16_384;
 
 /// Most connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1_024;
@@ -109,7 +109,7 @@
         };
         let (peers, inboxes) = start_peers(&settings, identity, peers, &common);
         let service = Service::new(common.clock, log::part(&log, "service"));
-        let pools = Pools::start(pools::Parts {
+        let pools = Pools::start(pools::Dependencies {
             own: common.own.clone(),
             peers: peers.clone(),
             member: inboxes.member,
@@ -281,15 +281,15 @@
     listener: TcpListener,
     common: &Common,
 ) -> (Peers, Inboxes) {
-    let (inbox, received) = mpsc::channel(INBOX_MESSAGES);
+    let (inbox, received) = mpsc::channel(MAX_RECEIVED_MESSAGES);
     let metrics = Arc::clone(&common.metrics);
     let log = log::part(&common.log, "peer");
     let peers = Peers::start(identity, listener, inbox, metrics, log);
     for address in &settings.peers {
         peers.add(*address);
     }
-    let (outlets, inboxes) = inbox::open();
-    tokio::spawn(inbox::dispatch(received, outlets));
+    let (senders, inboxes) = inbox::channels();
+    tokio::spawn(inbox::dispatch(received, senders));
     (peers, inboxes)
 }
 
--- a/filbertpaddle/src/peers.rs
+++ b/filbertpaddle/src/peers.rs
@@ -34,17 +34,17 @@
 use crate::metrics::Metrics;
 
 /// Most messages that wait for one link.
-const QUEUE_MESSAGES: usize = 4_096;
+const MAX_QUEUED_MESSAGES: usize = 4_096;
 /// Most messages in one frame.
-const BATCH_MESSAGES: usize = 256;
+const MAX_BATCH_MESSAGES: usize = 256;
 /// Time between two attempts to dial.
 const REDIAL_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest wait for a connection and its greeting.
-const GREETING_TIMEOUT: Duration = Duration::from_secs(3);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time between two pings on a link.
 const PING_INTERVAL: Duration = Duration::from_secs(2);
 /// Longest silence of the other side before the link is taken as gone.
-const SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest wait for a frame to be taken by the other side.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 const CHALLENGE_BYTES: usize = 16;
@@ -132,7 +132,7 @@
         if links.contains_key(&address) {
             return;
         }
-        let (queue, messages) = mpsc::channel(QUEUE_MESSAGES);
+        let (queue, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
         links.insert(address, Link { peer: None, queue });
         tokio::spawn(dial(self.clone(), address, messages));
     }
@@ -193,7 +193,7 @@
         greeting.sign(self.shared.identity.secret.as_bytes())
     }
 
-    fn check(&self, greeting: Greeting, challenge: &[u8]) -> eyre::Result<Peer> {
+    fn verify_greeting(&self, greeting: Greeting, challenge: &[u8]) -> eyre::Result<Peer> {
         eyre::ensure!(greeting.version == VERSION, "unknown protocol version");
         eyre::ensure!(greeting.challenge == challenge, "wrong challenge");
         let secret = self.shared.identity.secret.as_bytes();
@@ -211,7 +211,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(serve(peers.clone(), stream));
+                tokio::spawn(receive_messages(peers.clone(), stream));
             }
             Err(error) => {
                 warn!(peers.shared.log, "Cannot accept peers."; "error" => %error);
@@ -221,11 +221,11 @@
     }
 }
 
-async fn serve(peers: Peers, stream: TcpStream) {
+async fn receive_messages(peers: Peers, stream: TcpStream) {
     stream.set_nodelay(true).ok();
-    let greeted = tokio::time::timeout(GREETING_TIMEOUT, greet_dialler(&peers, stream)).await;
-    let (from, mut socket) = match greeted.unwrap_or_else(|_| Err(eyre::eyre!("timeout"))) {
-        Ok(greeted) => greeted,
+    let handshake = tokio::time::timeout(HANDSHAKE_TIMEOUT, accept_handshake(&peers, stream)).await;
+    let (from, mut socket) = match handshake.unwrap_or_else(|_| Err(eyre::eyre!("timeout"))) {
+        Ok(accepted) => accepted,
         Err(error) => {
             peers.shared.metrics.count("peer.refused");
             warn!(peers.shared.log, "Peer refused."; "error" => %error);
@@ -253,30 +253,31 @@
     }
 }
 
-async fn greet_dialler(
+async fn accept_handshake(
     peers: &Peers,
     stream: TcpStream,
 ) -> eyre::Result<(Peer, WebSocketStream<TcpStream>)> {
-    let mut socket = tokio_tungstenite::accept_async_with_config(stream, Some(config())).await?;
-    let asked = receive_bytes(&mut socket).await?;
+    let mut socket =
+        tokio_tungstenite::accept_async_with_config(stream, Some(websocket_config())).await?;
+    let dialler_challenge = receive_bytes(&mut socket).await?;
     let challenge = challenge();
-    let greeting = peers.greeting(asked, challenge.clone());
+    let greeting = peers.greeting(dialler_challenge, challenge.clone());
     send_greeting(&mut socket, &greeting).await?;
     let answer = receive_greeting(&mut socket).await?;
     // A listener's greeting sent back to it carries an offer.
     eyre::ensure!(answer.offer.is_empty(), "reflected greeting");
-    let peer = peers.check(answer, &challenge)?;
+    let peer = peers.verify_greeting(answer, &challenge)?;
     Ok((peer, socket))
 }
 
 async fn dial(peers: Peers, address: SocketAddr, mut messages: mpsc::Receiver<Message>) {
     while !messages.is_closed() {
-        let connected = tokio::time::timeout(GREETING_TIMEOUT, greet_listener(&peers, address));
+        let connected = tokio::time::timeout(HANDSHAKE_TIMEOUT, dial_handshake(&peers, address));
         match connected.await {
             Ok(Ok((peer, socket))) => {
                 info!(peers.shared.log, "Peer connected."; "peer" => %peer.name);
                 peers.set_peer(address, Some(peer.clone()));
-                write(&peers, socket, &mut messages).await;
+                write_frames(&peers, socket, &mut messages).await;
                 peers.set_peer(address, None);
                 info!(peers.shared.log, "Peer disconnected."; "peer" => %peer.name);
             }
@@ -289,7 +290,7 @@
     }
 }
 
-async fn greet_listener(
+async fn dial_handshake(
     peers: &Peers,
     address: SocketAddr,
 ) -> eyre::Result<(Peer, WebSocketStream<TcpStream>)> {
@@ -297,13 +298,13 @@
     stream.set_nodelay(true)?;
     let url = format!("ws://{address}/");
     let (mut socket, _) =
-        tokio_tungstenite::client_async_with_config(url, stream, Some(config())).await?;
+        tokio_tungstenite::client_async_with_config(url, stream, Some(websocket_config())).await?;
     let challenge = challenge();
     send_bytes(&mut socket, challenge.clone()).await?;
     let greeting = receive_greeting(&mut socket).await?;
     let offer = greeting.offer.clone();
     eyre::ensure!(!offer.is_empty(), "greeting without an offer");
-    let peer = peers.check(greeting, &challenge)?;
+    let peer = peers.verify_greeting(greeting, &challenge)?;
     send_greeting(&mut socket, &peers.greeting(offer, Vec::new())).await?;
     Ok((peer, socket))
 }
@@ -313,33 +314,33 @@
 }
 
 // What is queued while one frame is being written goes into the next.
-async fn write(
+async fn write_frames(
     peers: &Peers,
     mut socket: WebSocketStream<TcpStream>,
     messages: &mut mpsc::Receiver<Message>,
 ) {
-    let mut batch = Vec::with_capacity(BATCH_MESSAGES);
-    let mut keepalive = tokio::time::interval(PING_INTERVAL);
-    let mut heard = Instant::now();
+    let mut batch = Vec::with_capacity(MAX_BATCH_MESSAGES);
+    let mut ping_timer = tokio::time::interval(PING_INTERVAL);
+    let mut last_received = Instant::now();
     loop {
         let frame = tokio::select! {
-            count = messages.recv_many(&mut batch, BATCH_MESSAGES) => {
+            count = messages.recv_many(&mut batch, MAX_BATCH_MESSAGES) => {
                 if count == 0 {
                     break;
                 }
-                frame(peers, &mut batch)
+                encode_frame(peers, &mut batch)
             }
             // The listener sends nothing but pongs; its end shows that the link is gone.
             received = socket.next() => match received {
                 Some(Ok(_)) => {
-                    heard = Instant::now();
+                    last_received = Instant::now();
                     None
                 }
                 _ => break,
             },
-            _ = keepalive.tick() => {
+            _ = ping_timer.tick() => {
                 // Writing to a stalled link succeeds for a long time.
-                if heard.elapsed() > SILENCE_TIMEOUT {
+                if last_received.elapsed() > RECEIVE_TIMEOUT {
                     break;
                 }
                 Some(tungstenite::Message::Ping(Vec::new().into()))
@@ -358,7 +359,7 @@
         .ok();
 }
 
-fn frame(peers: &Peers, batch: &mut Vec<Message>) -> Option<tungstenite::Message> {
+fn encode_frame(peers: &Peers, batch: &mut Vec<Message>) -> Option<tungstenite::Message> {
     let encoded = frame::encode(batch);
     batch.clear();
     match encoded {
@@ -398,7 +399,7 @@
     }
 }
 
-fn config() -> WebSocketConfig {
+fn websocket_config() -> WebSocketConfig {
     WebSocketConfig::default()
         .max_message_size(Some(frame::MAX_FRAME_BYTES))
         .max_frame_size(Some(frame::MAX_FRAME_BYTES))
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -37,7 +37,7 @@
 /// When a refused caller may come back.
 const RETRY_AFTER_MS: Millis = Millis(1_000);
 /// Wait before a request that the owner did not queue is sent again.
-pub(crate) const REASK_MS: Millis = Millis(200);
+pub(crate) const RETRY_INTERVAL_MS: Millis = Millis(200);
 
 /// One target that the platform lists.
 #[derive(Clone, Debug)]
@@ -48,9 +48,9 @@
     /// Its last report.
     pub(crate) report: Option<Report>,
     /// Whether a report is being read.
-    pub(crate) is_polled: bool,
+    pub(crate) has_open_poll: bool,
     /// When the last poll began.
-    pub(crate) polled_ms: Millis,
+    pub(crate) last_poll_ms: Millis,
 }
 
 /// Someone who waits for a slot.
@@ -60,13 +60,13 @@
     pub(crate) reply: oneshot::Sender<Result<Grant, Refusal>>,
     want: Want,
     /// Number under which the owner has been asked.
-    asked: Option<u64>,
-    ask_ms: Millis,
+    request_number: Option<u64>,
+    next_request_ms: Millis,
 }
 
 /// A message to another node, or to this one.
 #[derive(Debug)]
-pub(crate) struct Out {
+pub(crate) struct Outgoing {
     pub(crate) to: NodeId,
     pub(crate) message: Message,
 }
@@ -75,34 +75,34 @@
 #[derive(Debug)]
 pub(crate) struct Pool {
     pub(crate) name: Name,
-    pub(crate) terms: Timing,
+    pub(crate) timing: Timing,
     pub(crate) member: Member,
     pub(crate) owner: Option<Owner>,
     pub(crate) scheduler: PoolScheduler,
     pub(crate) owned_by: Option<roster::Owner>,
     pub(crate) targets: IndexMap<Name, Target>,
     pub(crate) waiters: Vec<Waiter>,
-    pub(crate) stamped_ms: Millis,
-    pub(crate) collected_ms: Millis,
-    pub(crate) recounted_ms: Millis,
-    pub(crate) out: Vec<Out>,
+    pub(crate) last_stamp_ms: Millis,
+    pub(crate) last_collect_ms: Millis,
+    pub(crate) last_recount_ms: Millis,
+    pub(crate) outgoing: Vec<Outgoing>,
 }
 
 impl Pool {
-    pub(crate) fn new(name: Name, terms: Timing, id: NodeId, placement: policy::Settings) -> Self {
+    pub(crate) fn new(name: Name, timing: Timing, id: NodeId, placement: policy::Settings) -> Self {
         Self {
             name,
-            terms,
-            member: Member::new(terms, id),
+            timing,
+            member: Member::new(timing, id),
             owner: None,
             scheduler: PoolScheduler::new(placement),
             owned_by: None,
             targets: IndexMap::new(),
             waiters: Vec::new(),
-            stamped_ms: Millis::ZERO,
-            collected_ms: Millis::ZERO,
-            recounted_ms: Millis::ZERO,
-            out: Vec::new(),
+            last_stamp_ms: Millis::ZERO,
+            last_collect_ms: Millis::ZERO,
+            last_recount_ms: Millis::ZERO,
+            outgoing: Vec::new(),
         }
     }
 
@@ -113,7 +113,7 @@
         if self.owned_by.as_ref().map(|owner| owner.epoch) != epoch {
             self.waiters
                 .iter_mut()
-                .for_each(|waiter| waiter.asked = None);
+                .for_each(|waiter| waiter.request_number = None);
         }
         let is_own = named.as_ref().is_some_and(|owner| owner.member == *own);
         self.owned_by = named;
@@ -122,7 +122,7 @@
                 owner.on_roster(now, roster.clone());
             }
             (slot, Some(epoch)) => {
-                *slot = Some(Owner::new(self.terms, epoch, now, roster.clone()));
+                *slot = Some(Owner::new(self.timing, epoch, now, roster.clone()));
                 self.scheduler.reset(now);
                 self.add_targets();
             }
@@ -131,7 +131,7 @@
     }
 
     /// Adds someone who waits.
-    pub(crate) fn wait(
+    pub(crate) fn add_waiter(
         &mut self,
         now: Millis,
         request: &SlotRequest,
@@ -141,40 +141,40 @@
             deadline_ms: now + request.want.wait_ms,
             reply,
             want: request.want.clone(),
-            asked: None,
-            ask_ms: now,
+            request_number: None,
+            next_request_ms: now,
         });
     }
 
     /// Asks the owner for all who wait and have not been asked for.
-    pub(crate) fn ask(&mut self, now: Millis) {
+    pub(crate) fn request_slots(&mut self, now: Millis) {
         let Some(owner) = self.owned_by.clone() else {
             return;
         };
         for waiter in &mut self.waiters {
-            if waiter.asked.is_some() || now < waiter.ask_ms {
+            if waiter.request_number.is_some() || now < waiter.next_request_ms {
                 continue;
             }
-            let ask = self.member.request_slot(now);
-            waiter.asked = Some(ask.number);
-            self.stamped_ms = now;
-            let ask = grant::Ask {
-                number: ask.number,
-                stamp: ask.stamp,
-                session: ask.session,
+            let request = self.member.request_slot(now);
+            waiter.request_number = Some(request.number);
+            self.last_stamp_ms = now;
+            let request = grant::Ask {
+                number: request.number,
+                stamp: request.stamp,
+                session: request.session,
                 want: Want {
                     wait_ms: waiter.deadline_ms.since(now),
                     ..waiter.want.clone()
                 },
             };
-            let message = Message::Ask(self.name.clone(), ask);
+            let message = Message::Ask(self.name.clone(), request);
             let to = owner.member.clone();
-            self.out.push(Out { to, message });
+            self.outgoing.push(Outgoing { to, message });
         }
     }
 
     /// Returns whether the owner is this node or one of the nodes linked to it.
-    pub(crate) fn is_owner_among(&self, linked: &[Peer]) -> bool {
+    pub(crate) fn is_owner_reachable(&self, linked: &[Peer]) -> bool {
         let Some(owner) = &self.owned_by else {
             return true;
         };
@@ -185,36 +185,41 @@
     }
 
     /// Asks again once the owner can be reached, since what was sent may be lost.
-    pub(crate) fn on_owner_unlinked(&mut self, now: Millis) {
+    pub(crate) fn on_owner_unreachable(&mut self, now: Millis) {
         for waiter in &mut self.waiters {
-            waiter.asked = None;
-            waiter.ask_ms = now + REASK_MS;
+            waiter.request_number = None;
+            waiter.next_request_ms = now + RETRY_INTERVAL_MS;
         }
     }
 
     /// Drops those whose time is over or who have gone, and keeps the owner
     /// from granting to them.
-    pub(crate) fn sweep(&mut self, now: Millis) {
+    pub(crate) fn expire_waiters(&mut self, now: Millis) {
         let (over, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiters)
             .into_iter()
             .partition(|waiter| now >= waiter.deadline_ms || waiter.reply.is_closed());
         self.waiters = waiting;
         for waiter in over {
-            if let Some(number) = waiter.asked {
-                self.tell_owner(Message::Withdraw(self.name.clone(), number));
+            if let Some(number) = waiter.request_number {
+                self.send_to_owner(Message::Withdraw(self.name.clone(), number));
             }
             waiter.reply.send(Err(overloaded_refusal())).ok();
         }
-        let due = now.since(self.stamped_ms).0 * 3 >= self.terms.accept_ms.0;
-        if due && self.waiters.iter().any(|waiter| waiter.asked.is_some()) {
-            self.stamped_ms = now;
+        let due = now.since(self.last_stamp_ms).0 * 3 >= self.timing.accept_ms.0;
+        if due
+            && self
+                .waiters
+                .iter()
+                .any(|waiter| waiter.request_number.is_some())
+        {
+            self.last_stamp_ms = now;
             let stamp = self.member.stamp(now);
-            self.tell_owner(Message::Stamp(self.name.clone(), stamp));
+            self.send_to_owner(Message::Stamp(self.name.clone(), stamp));
         }
     }
 
     /// Uses this node's shares for those who wait.
-    pub(crate) fn share(&mut self, now: Millis, roster: &Roster) {
+    pub(crate) fn take_shares(&mut self, now: Millis, roster: &Roster) {
         while let Some(waiter) = self.waiters.first() {
             if self.scheduler.is_blocked(waiter.want.digest) {
                 let waiter = self.waiters.remove(0);
@@ -239,14 +244,14 @@
             let waiter = self.waiters.remove(0);
             self.scheduler
                 .record_local_start(now, &held.key, &held.target, &waiter.want);
-            self.hand_over(now, waiter, held);
+            self.deliver_grant(now, waiter, held);
         }
     }
 
     /// Handles a message of another member, or of this one.
     pub(crate) fn on_message(&mut self, now: Millis, from: &NodeId, message: Message) {
         match message {
-            Message::Ask(_, ask) => self.on_ask(now, from, &ask),
+            Message::Ask(_, request) => self.on_slot_request(now, from, &request),
             Message::Stamp(_, stamp) => {
                 if let Some(owner) = &mut self.owner {
                     owner.on_stamp(from, stamp);
@@ -294,12 +299,12 @@
             self.scheduler.record_end(now, &slot.key, end);
         }
         let used = body::used(&slot.key);
-        self.tell_owner(Message::Release(self.name.clone(), used, end));
+        self.send_to_owner(Message::Release(self.name.clone(), used, end));
     }
 
     fn on_deny(&mut self, number: u64, denial: Denial) {
-        let asked = |waiter: &Waiter| waiter.asked == Some(number);
-        let Some(index) = self.waiters.iter().position(asked) else {
+        let is_denied = |waiter: &Waiter| waiter.request_number == Some(number);
+        let Some(index) = self.waiters.iter().position(is_denied) else {
             return;
         };
         let waiter = self.waiters.remove(index);
@@ -312,9 +317,9 @@
 
     fn on_refuse(&mut self, now: Millis, number: u64) {
         let mut waiters = self.waiters.iter_mut();
-        if let Some(waiter) = waiters.find(|waiter| waiter.asked == Some(number)) {
-            waiter.asked = None;
-            waiter.ask_ms = now + REASK_MS;
+        if let Some(waiter) = waiters.find(|waiter| waiter.request_number == Some(number)) {
+            waiter.request_number = None;
+            waiter.next_request_ms = now + RETRY_INTERVAL_MS;
         }
     }
 
@@ -338,7 +343,7 @@
         };
         let message = Message::Holding(self.name.clone(), message);
         let to = from.clone();
-        self.out.push(Out { to, message });
+        self.outgoing.push(Outgoing { to, message });
     }
 
     fn on_grant(&mut self, now: Millis, from: &NodeId, granted: grant::Grant) {
@@ -348,10 +353,9 @@
             source: Source::Granted,
             number: granted.number,
         };
-        let index = self
-            .waiters
-            .iter()
-            .position(|waiter| waiter.asked == Some(granted.ask) && !waiter.reply.is_closed());
+        let index = self.waiters.iter().position(|waiter| {
+            waiter.request_number == Some(granted.ask) && !waiter.reply.is_closed()
+        });
         let own = self.member.id().clone();
         let grant = slot::Grant {
             key: body::used_key(&own, used),
@@ -373,21 +377,21 @@
             None => Err(filbertpaddle_core::member::Refusal::Expired),
         };
         match accepted {
-            Ok((waiter, held)) => self.hand_over(now, waiter, held),
+            Ok((waiter, held)) => self.deliver_grant(now, waiter, held),
             Err(_) => {
                 let to = from.clone();
                 let message = Message::Release(self.name.clone(), used, End::UNSENT);
-                self.out.push(Out { to, message });
+                self.outgoing.push(Outgoing { to, message });
                 self.on_refuse(now, grant.request);
             }
         }
     }
 
-    fn hand_over(&mut self, now: Millis, mut waiter: Waiter, held: HeldWork) {
+    fn deliver_grant(&mut self, now: Millis, mut waiter: Waiter, held: HeldWork) {
         let Some(target) = self.targets.get(&held.target) else {
             self.member.on_end(&held.key);
-            waiter.asked = None;
-            waiter.ask_ms = now;
+            waiter.request_number = None;
+            waiter.next_request_ms = now;
             self.waiters.push(waiter);
             return;
         };
@@ -408,10 +412,10 @@
         }
     }
 
-    fn tell_owner(&mut self, message: Message) {
+    fn send_to_owner(&mut self, message: Message) {
         if let Some(owner) = &self.owned_by {
             let to = owner.member.clone();
-            self.out.push(Out { to, message });
+            self.outgoing.push(Outgoing { to, message });
         }
     }
 }
--- a/filbertpaddle/src/pool_owner.rs
+++ b/filbertpaddle/src/pool_owner.rs
@@ -10,13 +10,13 @@
 use filbertpaddle_wire::grant::Message;
 
 use crate::body;
-use crate::pool::Out;
+use crate::pool::Outgoing;
 use crate::pool::Pool;
-use crate::pool::REASK_MS;
+use crate::pool::RETRY_INTERVAL_MS;
 
 /// Time between two questions to every member what it holds, which find what
 /// lost messages have left counted.
-const RECOUNT_MS: Millis = Millis(10_000);
+const RECOUNT_INTERVAL_MS: Millis = Millis(10_000);
 
 impl Pool {
     /// Lets the owner know the targets and how much of them may be used.
@@ -55,21 +55,21 @@
     }
 
     /// Grants what can be granted, and asks members what they hold.
-    pub(crate) fn own(&mut self, now: Millis) {
+    pub(crate) fn run_owner(&mut self, now: Millis) {
         let Some(owner) = &mut self.owner else {
             return;
         };
         for granted in self.scheduler.make_grants(now, owner) {
             let to = granted.key.holder.clone();
             let message = Message::Grant(self.name.clone(), body::grant_message(granted));
-            self.out.push(Out { to, message });
+            self.outgoing.push(Outgoing { to, message });
         }
         for denied in self.scheduler.take_denied(now) {
             let number = denied.request.number;
             owner.on_withdraw(&denied.request.holder, number);
             let message = Message::Deny(self.name.clone(), number, body::denial(&denied.refusal));
             let to = denied.request.holder;
-            self.out.push(Out { to, message });
+            self.outgoing.push(Outgoing { to, message });
         }
         for suspect in self.scheduler.take_changed_suspects(now) {
             let own = self.member.id();
@@ -77,17 +77,17 @@
                 let record = suspect.record.clone();
                 let message = Message::Suspect(self.name.clone(), suspect.digest, record);
                 let to = to.clone();
-                self.out.push(Out { to, message });
+                self.outgoing.push(Outgoing { to, message });
             }
         }
-        if now.since(self.collected_ms) < REASK_MS {
+        if now.since(self.last_collect_ms) < RETRY_INTERVAL_MS {
             return;
         }
-        self.collected_ms = now;
-        let collects = match now.since(self.recounted_ms) < RECOUNT_MS {
+        self.last_collect_ms = now;
+        let collects = match now.since(self.last_recount_ms) < RECOUNT_INTERVAL_MS {
             true => owner.due_collects(),
             false => {
-                self.recounted_ms = now;
+                self.last_recount_ms = now;
                 owner.recount_requests()
             }
         };
@@ -98,29 +98,29 @@
             };
             let to = collect.holder;
             let message = Message::Collect(self.name.clone(), message);
-            self.out.push(Out { to, message });
+            self.outgoing.push(Outgoing { to, message });
         }
     }
 
-    pub(crate) fn on_ask(&mut self, now: Millis, from: &NodeId, ask: &grant::Ask) {
-        let asked = owner::SlotRequest {
+    pub(crate) fn on_slot_request(&mut self, now: Millis, from: &NodeId, request: &grant::Ask) {
+        let queued = owner::SlotRequest {
             holder: from.clone(),
-            number: ask.number,
-            stamp: ask.stamp,
-            session: ask.session,
+            number: request.number,
+            stamp: request.stamp,
+            session: request.session,
         };
         let to = from.clone();
         let owner = self.owner.as_mut();
-        let Some(owner) = owner.and_then(|owner| owner.on_request(asked.clone()).then_some(owner))
+        let Some(owner) = owner.and_then(|owner| owner.on_request(queued.clone()).then_some(owner))
         else {
-            let message = Message::Refuse(self.name.clone(), ask.number);
-            self.out.push(Out { to, message });
+            let message = Message::Refuse(self.name.clone(), request.number);
+            self.outgoing.push(Outgoing { to, message });
             return;
         };
-        if let Err(refusal) = self.scheduler.push(now, asked, &ask.want) {
-            owner.on_withdraw(from, ask.number);
-            let message = Message::Deny(self.name.clone(), ask.number, body::denial(&refusal));
-            self.out.push(Out { to, message });
+        if let Err(refusal) = self.scheduler.push(now, queued, &request.want) {
+            owner.on_withdraw(from, request.number);
+            let message = Message::Deny(self.name.clone(), request.number, body::denial(&refusal));
+            self.outgoing.push(Outgoing { to, message });
         }
     }
 }
--- a/filbertpaddle/src/pool_scheduler.rs
+++ b/filbertpaddle/src/pool_scheduler.rs
@@ -111,12 +111,12 @@
             let Some(placement) = self.scheduler.next_placement(now, &views) else {
                 break;
             };
-            let Some(request) = self.requests.swap_remove(&placement.request.id) else {
+            let Some(slot_request) = self.requests.swap_remove(&placement.request.id) else {
                 continue;
             };
             let slot = SlotId(self.next_number());
             self.scheduler.record_start(now, slot, &placement);
-            if let Some(grant) = owner.grant_at(now, &placement.target, &request) {
+            if let Some(grant) = owner.grant_at(now, &placement.target, &slot_request) {
                 let target = placement.target;
                 self.placed
                     .insert(grant.key.clone(), PlacedWork { slot, target });
@@ -124,10 +124,10 @@
                 continue;
             }
             self.scheduler.record_end(now, slot, 0, Ending::Unsent);
-            if owner.is_queued(&request) {
+            if owner.is_queued(&slot_request) {
                 // The target's room is kept for other members; try again later.
                 if self.scheduler.push(now, placement.request.clone()).is_ok() {
-                    self.requests.insert(placement.request.id, request);
+                    self.requests.insert(placement.request.id, slot_request);
                 }
                 break;
             }
--- a/filbertpaddle/src/pools.rs
+++ b/filbertpaddle/src/pools.rs
@@ -15,11 +15,11 @@
 
 use crate::coordinator;
 use crate::coordinator::Coordinator;
-pub use crate::coordinator::Parts;
-use crate::coordinator_inputs::Acquire;
-use crate::coordinator_inputs::Leave;
-use crate::coordinator_inputs::Release;
-use crate::coordinator_inputs::Sent;
+pub use crate::coordinator::Dependencies;
+use crate::coordinator_messages::Acquire;
+use crate::coordinator_messages::Leave;
+use crate::coordinator_messages::Release;
+use crate::coordinator_messages::WorkSent;
 use crate::record;
 pub use crate::remote_slots::BorrowedSlot;
 
@@ -92,9 +92,9 @@
 
 impl Pools {
     /// Joins the data centre and starts to follow its targets.
-    pub fn start(parts: Parts) -> Self {
+    pub fn start(dependencies: Dependencies) -> Self {
         Self {
-            actor: coordinator::start(parts),
+            actor: coordinator::start(dependencies),
         }
     }
 
@@ -119,7 +119,7 @@
     /// Notes that the work of a grant has reached its target or never will.
     pub fn mark_sent(&self, grant: &Grant) {
         if let Some(slot) = grant.slot.clone() {
-            tokio::spawn(self.actor.send(Sent(slot)).detach());
+            tokio::spawn(self.actor.send(WorkSent(slot)).detach());
         }
     }
 
--- a/filbertpaddle/src/registrar.rs
+++ b/filbertpaddle/src/record_edit.rs
@@ -11,11 +11,11 @@
 
 /// One change of the record.
 #[derive(Debug)]
-pub(crate) struct Edit {
+pub(crate) struct RecordEdit {
     /// The record after the change.
     pub(crate) roster: Roster,
     /// What changes, for the log.
-    pub(crate) what: &'static str,
+    pub(crate) description: &'static str,
 }
 
 /// Returns whether a life of a node is in the record.
@@ -27,15 +27,15 @@
 ///
 /// Each node adds itself; all else is left to the relay, which hears every
 /// member.
-pub(crate) fn edit(
+pub(crate) fn due_edit(
     now: Millis,
     own: &Peer,
     roster: &Roster,
     relay: &Relay,
     pools: &[Name],
-    listed: &[Name],
+    entry_vms: &[Name],
     is_relay: bool,
-) -> Option<Edit> {
+) -> Option<RecordEdit> {
     let id = NodeId {
         name: own.name.clone(),
         incarnation: own.incarnation,
@@ -45,61 +45,66 @@
             id,
             address: own.address.clone(),
         };
-        return Some(Edit {
+        return Some(RecordEdit {
             roster: roster.join(member),
-            what: "joined",
+            description: "joined",
         });
     }
     if !is_relay {
         return None;
     }
-    settle(roster, relay)
-        .or_else(|| retire(now, &id, roster, relay))
-        .or_else(|| remove(now, roster, relay, listed))
-        .or_else(|| assign(roster, pools))
+    activate_sharers(roster, relay)
+        .or_else(|| retire_silent(now, &id, roster, relay))
+        .or_else(|| remove_unlisted(now, roster, relay, entry_vms))
+        .or_else(|| assign_owners(roster, pools))
 }
 
-fn settle(roster: &Roster, relay: &Relay) -> Option<Edit> {
+fn activate_sharers(roster: &Roster, relay: &Relay) -> Option<RecordEdit> {
     let roster = roster.activate_next_sharers(|id, version| relay.has_version(id, version))?;
-    Some(Edit {
+    Some(RecordEdit {
         roster,
-        what: "sharers settled",
+        description: "sharers activated",
     })
 }
 
-fn retire(now: Millis, own: &NodeId, roster: &Roster, relay: &Relay) -> Option<Edit> {
+fn retire_silent(now: Millis, own: &NodeId, roster: &Roster, relay: &Relay) -> Option<RecordEdit> {
     let members = roster.members.iter();
     let silent = members
         .filter(|member| member.id != *own)
         .find(|member| relay.is_silent(now, &member.id))?;
-    Some(Edit {
+    Some(RecordEdit {
         roster: roster.retire(&silent.id),
-        what: "silent member retired",
+        description: "silent member retired",
     })
 }
 
 /// Removes a retired node that the platform no longer lists, so that nothing
 /// is kept for it. A list without any entry VM says nothing.
-fn remove(now: Millis, roster: &Roster, relay: &Relay, listed: &[Name]) -> Option<Edit> {
-    if listed.is_empty() {
+fn remove_unlisted(
+    now: Millis,
+    roster: &Roster,
+    relay: &Relay,
+    entry_vms: &[Name],
+) -> Option<RecordEdit> {
+    if entry_vms.is_empty() {
         return None;
     }
     let gone = roster.peers().iter().find(|id| {
-        !is_member(id, roster) && !listed.contains(&id.name) && relay.is_silent(now, id)
+        !is_member(id, roster) && !entry_vms.contains(&id.name) && relay.is_silent(now, id)
     })?;
-    Some(Edit {
+    Some(RecordEdit {
         roster: roster.remove(gone),
-        what: "gone member removed",
+        description: "unlisted member removed",
     })
 }
 
-fn assign(roster: &Roster, pools: &[Name]) -> Option<Edit> {
+fn assign_owners(roster: &Roster, pools: &[Name]) -> Option<RecordEdit> {
     let known = roster.owners.iter().map(|owner| owner.pool.clone());
     let mut all: Vec<Name> = known.chain(pools.iter().cloned()).collect();
     all.sort();
     all.dedup();
-    Some(Edit {
+    Some(RecordEdit {
         roster: roster.assign(&all)?,
-        what: "owners assigned",
+        description: "owners assigned",
     })
 }
