--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -1,4 +1,5 @@
-//! Ties a node's pools to its data centre: record, relay, heartbeats, targets.
+//! Actor that connects a node's pools to its data centre: record, relay,
+//! heartbeats and targets.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::grant_mode::Mode;
@@ -44,37 +45,37 @@
 use crate::record_edit;
 use crate::service::Service;
 
-/// Time between two reports of one target.
+/// Interval between two polls of one target's load report.
 const POLL_INTERVAL_MS: Millis = Millis(250);
-/// Age up to which a reading of the record is acted upon.
+/// Maximum age of a read of the record for this node to edit it.
 const MAX_RECORD_AGE_MS: Millis = Millis(2_000);
 
-/// What a coordinator is built from.
+/// What a coordinator needs to start.
 #[derive(Debug)]
 pub struct Dependencies {
     /// This node.
     pub own: Peer,
     /// Links to other nodes.
     pub peers: Peers,
-    /// Messages about membership.
+    /// Inbox of membership messages.
     pub member: mpsc::Receiver<Incoming<wire::Message>>,
-    /// Messages about slots.
+    /// Inbox of slot messages.
     pub grant: mpsc::Receiver<Incoming<grant::Message>>,
-    /// The platform.
+    /// Client of the platform.
     pub platform: Client,
-    /// Targets, for their reports.
+    /// Client of the targets, for their load reports.
     pub targets: target::Client,
-    /// What may get new work.
+    /// VMs and data centres that may get new work.
     pub service: Service,
     /// The node's clock.
     pub clock: Clock,
-    /// How queued work is ordered and placed.
+    /// Policy for the order and placement of queued requests.
     pub placement: policy::Settings,
-    /// Log of ownership.
+    /// Log of membership and ownership.
     pub log: Logger,
 }
 
-/// Starts a coordinator.
+/// Starts a coordinator and its background tasks.
 pub(crate) fn start(dependencies: Dependencies) -> Address<Coordinator> {
     let now = dependencies.clock.now();
     let timing = Timing::default();
@@ -154,7 +155,7 @@
             for (name, target) in &mut pool.targets {
                 target.per_mille = self.service.vm_share(name).per_mille();
             }
-            pool.add_targets();
+            pool.update_owner_targets();
             match uses_shares {
                 true => pool.take_shares(now, roster),
                 false => pool.request_slots(now),
@@ -201,13 +202,13 @@
             return;
         }
         let mode = self.mode_state.mode();
-        info!(self.log, "Mode changed."; "mode" => ?mode);
+        info!(self.log, "grant mode changed"; "mode" => ?mode);
         let session = self.mode_state.session();
         let pools = self.pools.values_mut();
         pools.for_each(|pool| pool.member.on_mode(mode, session));
     }
 
-    /// Changes the record if that is for this node to do.
+    /// Writes the edit of the record that is due, if this node has to make it.
     fn edit_record(&mut self, now: Millis, address: &WeakAddress<Self>) {
         let recent = |read_ms: Millis| now.since(read_ms) < MAX_RECORD_AGE_MS;
         if self.is_leaving || self.is_writing || !self.record_read_ms.is_some_and(recent) {
@@ -227,7 +228,7 @@
         let Some(edit) = edit else {
             return;
         };
-        info!(self.log, "Record changed."; "change" => edit.description, "version" => edit.roster.version);
+        info!(self.log, "writing an edit of the data centre's record"; "change" => edit.description, "version" => edit.roster.version);
         self.is_writing = true;
         let platform = self.platform.clone();
         let data_centre = self.own.data_centre.clone();
@@ -294,7 +295,7 @@
         for pool in self.pools.values_mut() {
             pool.on_roster(now, &self.id, roster);
         }
-        info!(self.log, "Record known."; "version" => roster.version);
+        info!(self.log, "newer version of the data centre's record applied"; "version" => roster.version);
     }
 
     pub(crate) fn on_vms(&mut self, now: Millis, vms: &[Vm]) {
@@ -359,7 +360,7 @@
                         roster: *roster,
                         revision: None,
                     };
-                    // Without the table's revision nothing can be written.
+                    // The record lacks a table revision, so it cannot be edited until it is read.
                     self.record_read_ms = None;
                     self.on_record(now, record);
                 }
@@ -401,7 +402,7 @@
         }
     }
 
-    /// Sends what the pools have to say; what is for this node is handled at once.
+    /// Sends the pools' outgoing messages; those to this node are handled at once.
     pub(crate) fn send_outgoing(&mut self, now: Millis) {
         loop {
             let pools = self.pools.values_mut();
--- a/filbertpaddle/src/coordinator_messages.rs
+++ b/filbertpaddle/src/coordinator_messages.rs
@@ -1,4 +1,4 @@
-//! What a coordinator is told, and how it takes it in.
+//! Messages to the coordinator actor and their handlers.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::grant_mode::Mode;
@@ -28,32 +28,32 @@
 use crate::record::Record;
 use crate::record_edit;
 
-/// When a refused caller may come back.
+/// Time after which a refused caller may retry.
 const RETRY_AFTER_MS: Millis = Millis(1_000);
 
-/// Asks for a slot; the answer goes to `reply`.
+/// Requests a slot; the result is sent to `reply`.
 pub(crate) struct Acquire {
     pub(crate) request: SlotRequest,
     pub(crate) reply: oneshot::Sender<Result<Grant, Refusal>>,
 }
 
-/// Gives a slot back.
+/// Releases a slot.
 pub(crate) struct Release {
     pub(crate) slot: Slot,
     pub(crate) end: grant::End,
 }
 
-/// What a leaving node needs to take itself out of the record.
+/// What a leaving node needs to remove itself from the record.
 pub(crate) struct LeaveContext {
     pub(crate) platform: Client,
     pub(crate) data_centre: Name,
     pub(crate) id: NodeId,
 }
 
-/// The node holds no work and stops for good.
+/// Stops edits of the record, since the node holds no work and is shutting down.
 pub(crate) struct Leave;
 
-/// The work of a slot has reached its target.
+/// Records that the work of a slot has reached its target or never will.
 pub(crate) struct WorkSent(pub(crate) Slot);
 
 pub(crate) struct Tick;
@@ -155,8 +155,10 @@
 impl Handler<IsRecordReader> for Coordinator {
     type Return = bool;
 
-    /// The relay reads the record for all, and a node that is no member yet
-    /// or knows no relay for itself.
+    /// Returns whether this node reads the record from the platform.
+    ///
+    /// The relay reads it for all members. A node that is not a member yet, or
+    /// that no relay answers, reads it for itself.
     async fn handle(&mut self, _: IsRecordReader, _: &mut Context<Self>) -> bool {
         let now = self.clock.now();
         let is_member = record_edit::is_member(&self.id, &self.record.roster);
@@ -171,10 +173,13 @@
     async fn handle(&mut self, read: RecordRead, _: &mut Context<Self>) {
         let now = self.clock.now();
         let Some(record) = read.record else {
-            warn!(self.log, "Record not read.");
+            warn!(
+                self.log,
+                "Cannot read the data centre's record; keeping the last version."
+            );
             return;
         };
-        // An older record than is known here does not confirm anything.
+        // A record older than the one applied here confirms nothing.
         if record.roster.version < self.record.roster.version {
             return;
         }
@@ -189,7 +194,7 @@
 
     async fn handle(&mut self, _: RecordWritten, _: &mut Context<Self>) {
         self.is_writing = false;
-        // Only a new reading tells what came of it.
+        // Only a new read shows whether the write succeeded.
         self.record_read_ms = None;
     }
 }
--- a/filbertpaddle/src/coordinator_tasks.rs
+++ b/filbertpaddle/src/coordinator_tasks.rs
@@ -1,4 +1,5 @@
-//! What a coordinator follows: time, messages, the VM list and the record.
+//! Background tasks that feed a coordinator: timer, peer messages, VM list and
+//! record.
 
 use std::time::Duration;
 
@@ -20,9 +21,9 @@
 use crate::record;
 
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two reads of the VM list.
+/// Interval between two reads of the VM list.
 const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two reads of the record.
+/// Interval between two reads of the record.
 const RECORD_READ_INTERVAL_MS: Millis = Millis(500);
 
 pub(crate) async fn tick(actor: WeakAddress<Coordinator>) {
@@ -45,7 +46,7 @@
     }
 }
 
-// The last good list is kept while the platform is out.
+// The coordinator keeps the last list while the platform is unavailable.
 pub(crate) async fn poll_vms(actor: WeakAddress<Coordinator>, platform: Client) {
     while actor.is_connected() {
         if let Ok(list) = platform.vms().await {
--- a/filbertpaddle/src/heartbeat.rs
+++ b/filbertpaddle/src/heartbeat.rs
@@ -1,4 +1,5 @@
-//! A node's heartbeats to its data centre's relay.
+//! Chooses a data centre's relay, sends it a node's heartbeats and keeps its last
+//! answer.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::grant_mode::ModeState;
@@ -10,14 +11,14 @@
 use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::roster::Roster;
 
-/// How long an unanswered relay is waited for before the next is tried.
+/// Time without an answer after which another relay is chosen.
 const RELAY_TIMEOUT_MS: Millis = Millis(1_500);
-/// How long the last answer is relied on.
+/// Time for which the last answer is valid.
 const ANSWER_VALID_MS: Millis = Millis(3_000);
-/// How long a relay that did not answer is passed over.
+/// Time for which a relay that did not answer is avoided.
 const RELAY_AVOID_MS: Millis = Millis(5_000);
 
-/// The member's side of membership.
+/// The member's side of the heartbeat protocol.
 #[derive(Debug)]
 pub struct HeartbeatClient {
     relay: Option<NodeId>,
@@ -29,7 +30,7 @@
 }
 
 impl HeartbeatClient {
-    /// Returns a heart that has not beaten.
+    /// Returns a client that has sent no heartbeat.
     pub fn new(now: Millis) -> Self {
         Self {
             relay: None,
@@ -41,23 +42,23 @@
         }
     }
 
-    /// Returns the relay that is asked.
+    /// Returns the current relay.
     pub fn relay(&self) -> Option<&NodeId> {
         self.relay.as_ref()
     }
 
-    /// Returns what the relay said last, if that is recent.
+    /// Returns what the relay confirmed last, if its last answer is still valid.
     pub fn confirmation(&self, now: Millis) -> Option<&Confirmation> {
         let recent = now.since(self.last_answer_ms) < ANSWER_VALID_MS;
         self.confirmation.as_ref().filter(|_| recent)
     }
 
-    /// Returns whether no relay has answered for a while.
+    /// Returns whether the last answer is no longer valid.
     pub fn is_lost(&self, now: Millis) -> bool {
         now.since(self.last_answer_ms) >= ANSWER_VALID_MS
     }
 
-    /// Returns the heartbeat that is due, and for whom.
+    /// Returns the heartbeat that is due, if any, and the relay to send it to.
     pub fn next_heartbeat(
         &mut self,
         now: Millis,
@@ -75,7 +76,7 @@
         }
         let relay = self.choose_relay(now, roster, data_centre)?;
         self.last_sent_ms = Some(now);
-        // Without a recent answer, no promise: the node may have to use its share.
+        // Without a valid answer the node may have to use its shares: no promise.
         let may_promise = may_promise && self.confirmation(now).is_some();
         let promise = match may_promise && self.last_relay_ms.is_some() {
             true => mode_state.promise(now),
@@ -90,7 +91,7 @@
         Some((relay, heartbeat))
     }
 
-    /// Takes in the relay's answer.
+    /// Records the current relay's answer; ignores answers of other nodes.
     pub fn on_answer(&mut self, now: Millis, from: &NodeId, answer: &Answer, roster: &Roster) {
         if self.relay.as_ref() != Some(from) {
             return;
--- a/filbertpaddle/src/inbox.rs
+++ b/filbertpaddle/src/inbox.rs
@@ -1,4 +1,4 @@
-//! Hands what peers send to the part it is for.
+//! Dispatches messages from peers to one inbox for each kind of message.
 
 use filbertpaddle_wire::claim;
 use filbertpaddle_wire::config;
@@ -11,34 +11,34 @@
 use crate::peers::Peer;
 use crate::peers::Received;
 
-/// Most messages that wait for one part.
+/// Maximum number of messages queued in one inbox.
 const MAX_INBOX_MESSAGES: usize = 8_192;
 
-/// A message for one part and the node that sent it.
+/// A message of one kind and the node that sent it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Incoming<M> {
     /// Sender.
     pub peer: Peer,
-    /// What was sent.
+    /// The message.
     pub message: M,
 }
 
-/// Where each part receives its messages.
+/// Receivers of the inboxes.
 #[derive(Debug)]
 pub struct Inboxes {
-    /// For membership.
+    /// Membership messages.
     pub member: mpsc::Receiver<Incoming<member::Message>>,
-    /// For slots on targets.
+    /// Messages about slots on targets.
     pub grant: mpsc::Receiver<Incoming<grant::Message>>,
-    /// For configuration.
+    /// Configuration messages.
     pub config: mpsc::Receiver<Incoming<config::Message>>,
-    /// For claims.
+    /// Claim messages.
     pub claim: mpsc::Receiver<Incoming<claim::Message>>,
-    /// For slots in another data centre.
+    /// Messages about slots in another data centre.
     pub remote: mpsc::Receiver<Incoming<remote::Message>>,
 }
 
-/// The other ends of [`Inboxes`].
+/// Senders to the [`Inboxes`].
 #[derive(Debug)]
 pub struct InboxSenders {
     member: mpsc::Sender<Incoming<member::Message>>,
@@ -48,7 +48,7 @@
     remote: mpsc::Sender<Incoming<remote::Message>>,
 }
 
-/// Opens one inbox for each part.
+/// Creates the channels of all inboxes.
 pub fn channels() -> (InboxSenders, Inboxes) {
     let (member, member_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
     let (grant, grant_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
@@ -72,9 +72,9 @@
     (senders, inboxes)
 }
 
-/// Hands messages on until all links are gone.
+/// Dispatches messages until all links are gone.
 ///
-/// A part that does not keep up loses messages; every part tolerates that.
+/// Messages to a full inbox are dropped; every receiver tolerates lost messages.
 pub async fn dispatch(mut received: mpsc::Receiver<Received>, senders: InboxSenders) {
     while let Some(Received { from, message }) = received.recv().await {
         match message {
--- a/filbertpaddle/src/lent_slot.rs
+++ b/filbertpaddle/src/lent_slot.rs
@@ -1,4 +1,5 @@
-//! One slot lent to a node of another data centre, from ask to return.
+//! Lends one slot to a node of another data centre, from its request to its
+//! release.
 
 use std::time::Duration;
 
@@ -18,23 +19,23 @@
 use crate::remote_slots::Borrower;
 use crate::remote_slots::RemoteSlots;
 
-/// When a refused asker may come back.
+/// Time after which a refused node may request a slot again.
 pub(crate) const RETRY_AFTER_MS: Millis = Millis(1_000);
-/// Time between two questions whether the slot is still in use.
+/// Interval between two checks whether the borrower still uses the slot.
 const CHECK_INTERVAL: Duration = Duration::from_secs(5);
-/// Questions without a link after which the borrower is taken as gone.
+/// Consecutive checks without a link after which the borrower counts as gone.
 const MAX_MISSED_CHECKS: u32 = 3;
 
-/// What the borrower tells of its slot.
+/// Message of the borrower about its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BorrowerEvent {
     /// The work has reached its target or never will.
     Sent,
-    /// The slot, or the ask for it, is given back.
+    /// The slot is released, or the request for it is withdrawn.
     Released(End),
 }
 
-/// Acquires a slot, lends it and takes it back.
+/// Acquires a slot, lends it and releases it after use.
 pub(crate) async fn run(
     remote: RemoteSlots,
     local: Pools,
@@ -91,7 +92,7 @@
             _ = check.tick() => {
                 missed_checks = if is_linked(remote, borrower) { 0 } else { missed_checks + 1 };
                 if missed_checks >= MAX_MISSED_CHECKS {
-                    // Reports of the target show when its work has gone.
+                    // The target's load reports show when the work has ended.
                     break End::UNKNOWN;
                 }
                 let message = wire::Message::Check(borrower.number);
@@ -102,7 +103,7 @@
     local.release(grant, end.ending, end.tokens);
 }
 
-// The name starts with this node's, which holds the slot.
+// The name starts with this node's prefix, as this node holds the slot.
 fn attempt_name(own: &Peer, borrower: &Borrower, grant: &Grant) -> Name {
     let prefix = attempt::prefix(&NodeId {
         name: own.name.clone(),
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: its parts, its listeners and its graceful stop.
+//! A node: its components, its listeners and its graceful shutdown.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -50,10 +50,10 @@
 use crate::slot_router::SlotRouter;
 use crate::templates::Templates;
 
-/// Most messages from peers that wait to be handled.
+/// Maximum number of messages from peers queued for dispatch.
 const MAX_RECEIVED_MESSAGES: usize = 16_384;
 
-/// Most connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1_024;
 
 /// Addresses a node listens on.
@@ -83,7 +83,7 @@
 }
 
 impl Node {
-    /// Binds the listeners and starts all parts.
+    /// Binds the listeners and starts all components.
     ///
     /// # Errors
     ///
@@ -143,7 +143,7 @@
             ),
         ];
         let log = log::part(&log, "node");
-        info!(log, "Node started."; "name" => %settings.node.name);
+        info!(log, "node started"; "name" => %settings.node.name);
         Ok(Self {
             addresses,
             front,
@@ -152,14 +152,14 @@
         })
     }
 
-    /// Returns where the node listens.
+    /// Returns the addresses that the node listens on.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Refuses new work, lets all that runs end, and stops.
+    /// Refuses new requests, waits for running ones to end, and stops.
     pub async fn close(self) {
-        info!(self.log, "Node drains.");
+        info!(self.log, "node draining; new requests are refused");
         self.front.gate.drain().await;
         self.front.slots.leave().await;
         self.front.claims.close().await;
@@ -167,7 +167,7 @@
             server.stop.send(()).ok();
             server.task.await.ok();
         }
-        info!(self.log, "Node stopped.");
+        info!(self.log, "node stopped");
     }
 }
 
@@ -183,7 +183,7 @@
     }
 }
 
-/// What most parts of a node use.
+/// What most components of a node use.
 struct Common {
     own: Peer,
     platform: Client,
@@ -293,8 +293,8 @@
     (peers, inboxes)
 }
 
-// Accepted connections inherit the option, so that small writes, each a
-// token, are not held back.
+// Accepted connections inherit `TCP_NODELAY`, so that small writes, one for each
+// token, are sent without delay.
 fn bind(address: SocketAddr) -> eyre::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
--- a/filbertpaddle/src/peers.rs
+++ b/filbertpaddle/src/peers.rs
@@ -1,7 +1,7 @@
-//! Links to other nodes.
+//! WebSocket links to other nodes.
 //!
 //! A node sends on the connections it dials and receives on those it
-//! accepts, so that a link cut one way is cut for one direction only.
+//! accepts, so that a one-way network fault affects one direction only.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,28 +33,28 @@
 
 use crate::metrics::Metrics;
 
-/// Most messages that wait for one link.
+/// Maximum number of messages queued for one link.
 const MAX_QUEUED_MESSAGES: usize = 4_096;
-/// Most messages in one frame.
+/// Maximum number of messages in one frame.
 const MAX_BATCH_MESSAGES: usize = 256;
-/// Time between two attempts to dial.
+/// Delay between two attempts to dial or accept.
 const REDIAL_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait for a connection and its greeting.
+/// Time limit for a connection and its handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time between two pings on a link.
+/// Interval between two pings on a link.
 const PING_INTERVAL: Duration = Duration::from_secs(2);
-/// Longest silence of the other side before the link is taken as gone.
+/// Time without a frame from the other side after which the link counts as lost.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest wait for a frame to be taken by the other side.
+/// Time limit for writing a frame.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 const CHALLENGE_BYTES: usize = 16;
 
-/// A node as its greeting names it.
+/// A node as identified by its greeting.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Peer {
     /// Name of the node.
     pub name: Name,
-    /// Distinguishes two lives of the node.
+    /// Number of the node's incarnation; a restart gets a higher one.
     pub incarnation: u64,
     /// Data centre of the node.
     pub data_centre: Name,
@@ -67,16 +67,16 @@
 pub struct Received {
     /// Sender.
     pub from: Peer,
-    /// What was sent.
+    /// The message.
     pub message: Message,
 }
 
-/// What every link needs to know of its own node.
+/// This node's identity and the peer secret, used by every link.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Name, incarnation, data centre and address of this node.
     pub own: Peer,
-    /// Secret that peers share.
+    /// Secret shared by all peers, which signs greetings.
     pub secret: Arc<str>,
 }
 
@@ -102,7 +102,7 @@
 }
 
 impl Peers {
-    /// Accepts peers on `listener` and passes what they send to `inbox`.
+    /// Starts to accept peers on `listener`; their messages go to `inbox`.
     pub fn start(
         identity: Identity,
         listener: TcpListener,
@@ -123,7 +123,8 @@
         peers
     }
 
-    /// Dials a node and keeps the link, if it is not there yet.
+    /// Adds a link to a node and keeps it connected; does nothing if there is one
+    /// already or the address is this node's.
     pub fn add(&self, address: SocketAddr) {
         if address.to_string() == self.shared.identity.own.address {
             return;
@@ -137,12 +138,12 @@
         tokio::spawn(dial(self.clone(), address, messages));
     }
 
-    /// Drops the link to an address; nothing more is sent there.
+    /// Removes the link to an address; nothing more is sent there.
     pub fn remove(&self, address: SocketAddr) {
         self.links().swap_remove(&address);
     }
 
-    /// Returns the nodes that can be sent to now.
+    /// Returns the nodes that messages can be sent to now.
     pub fn connected(&self) -> Vec<Peer> {
         self.links()
             .values()
@@ -150,7 +151,8 @@
             .collect()
     }
 
-    /// Queues a message; returns whether the node is connected and has room.
+    /// Queues a message; returns whether the node is connected and its queue
+    /// has room.
     ///
     /// A queued message may still be lost.
     pub fn send(&self, node: &str, message: Message) -> bool {
@@ -194,10 +196,20 @@
     }
 
     fn verify_greeting(&self, greeting: Greeting, challenge: &[u8]) -> eyre::Result<Peer> {
-        eyre::ensure!(greeting.version == VERSION, "unknown protocol version");
-        eyre::ensure!(greeting.challenge == challenge, "wrong challenge");
+        eyre::ensure!(
+            greeting.version == VERSION,
+            "peer uses protocol version {}, expected {VERSION}",
+            greeting.version
+        );
+        eyre::ensure!(
+            greeting.challenge == challenge,
+            "greeting answers a different challenge"
+        );
         let secret = self.shared.identity.secret.as_bytes();
-        eyre::ensure!(greeting.verify(secret), "wrong peer secret");
+        eyre::ensure!(
+            greeting.verify(secret),
+            "greeting not signed with the peer secret"
+        );
         Ok(Peer {
             name: greeting.node,
             incarnation: greeting.incarnation,
@@ -214,7 +226,7 @@
                 tokio::spawn(receive_messages(peers.clone(), stream));
             }
             Err(error) => {
-                warn!(peers.shared.log, "Cannot accept peers."; "error" => %error);
+                warn!(peers.shared.log, "cannot accept a peer connection; retrying"; "error" => %error);
                 tokio::time::sleep(REDIAL_INTERVAL).await;
             }
         }
@@ -224,11 +236,15 @@
 async fn receive_messages(peers: Peers, stream: TcpStream) {
     stream.set_nodelay(true).ok();
     let handshake = tokio::time::timeout(HANDSHAKE_TIMEOUT, accept_handshake(&peers, stream)).await;
-    let (from, mut socket) = match handshake.unwrap_or_else(|_| Err(eyre::eyre!("timeout"))) {
+    let (from, mut socket) = match handshake.unwrap_or_else(|_| {
+        Err(eyre::eyre!(
+            "handshake not completed within {HANDSHAKE_TIMEOUT:?}"
+        ))
+    }) {
         Ok(accepted) => accepted,
         Err(error) => {
             peers.shared.metrics.count("peer.refused");
-            warn!(peers.shared.log, "Peer refused."; "error" => %error);
+            warn!(peers.shared.log, "peer handshake failed; connection closed"; "error" => %error);
             return;
         }
     };
@@ -240,7 +256,7 @@
             continue;
         };
         let Ok(messages) = frame::decode(&bytes) else {
-            warn!(peers.shared.log, "Malformed frame."; "peer" => %from.name);
+            warn!(peers.shared.log, "malformed frame from peer; connection closed"; "peer" => %from.name);
             return;
         };
         for message in messages {
@@ -264,8 +280,11 @@
     let greeting = peers.greeting(dialler_challenge, challenge.clone());
     send_greeting(&mut socket, &greeting).await?;
     let answer = receive_greeting(&mut socket).await?;
-    // A listener's greeting sent back to it carries an offer.
-    eyre::ensure!(answer.offer.is_empty(), "reflected greeting");
+    // Only a listener's greeting carries an offer, so this one was reflected.
+    eyre::ensure!(
+        answer.offer.is_empty(),
+        "greeting carries an offer: the listener's own greeting was sent back"
+    );
     let peer = peers.verify_greeting(answer, &challenge)?;
     Ok((peer, socket))
 }
@@ -275,16 +294,18 @@
         let connected = tokio::time::timeout(HANDSHAKE_TIMEOUT, dial_handshake(&peers, address));
         match connected.await {
             Ok(Ok((peer, socket))) => {
-                info!(peers.shared.log, "Peer connected."; "peer" => %peer.name);
+                info!(peers.shared.log, "peer connected"; "peer" => %peer.name);
                 peers.set_peer(address, Some(peer.clone()));
                 write_frames(&peers, socket, &mut messages).await;
                 peers.set_peer(address, None);
-                info!(peers.shared.log, "Peer disconnected."; "peer" => %peer.name);
+                info!(peers.shared.log, "peer disconnected; dialling again"; "peer" => %peer.name);
             }
             Ok(Err(error)) => {
-                debug!(peers.shared.log, "Peer not reached."; "address" => %address, "error" => %error);
+                debug!(peers.shared.log, "cannot connect to peer; dialling again"; "address" => %address, "error" => %error);
+            }
+            Err(_) => {
+                debug!(peers.shared.log, "peer did not complete the handshake in time; dialling again"; "address" => %address)
             }
-            Err(_) => debug!(peers.shared.log, "Peer silent."; "address" => %address),
         }
         tokio::time::sleep(REDIAL_INTERVAL).await;
     }
@@ -303,7 +324,7 @@
     send_bytes(&mut socket, challenge.clone()).await?;
     let greeting = receive_greeting(&mut socket).await?;
     let offer = greeting.offer.clone();
-    eyre::ensure!(!offer.is_empty(), "greeting without an offer");
+    eyre::ensure!(!offer.is_empty(), "listener's greeting carries no offer");
     let peer = peers.verify_greeting(greeting, &challenge)?;
     send_greeting(&mut socket, &peers.greeting(offer, Vec::new())).await?;
     Ok((peer, socket))
@@ -313,7 +334,7 @@
     rand::random::<[u8; CHALLENGE_BYTES]>().to_vec()
 }
 
-// What is queued while one frame is being written goes into the next.
+// Messages queued while a frame is being written are batched into the next one.
 async fn write_frames(
     peers: &Peers,
     mut socket: WebSocketStream<TcpStream>,
@@ -330,7 +351,7 @@
                 }
                 encode_frame(peers, &mut batch)
             }
-            // The listener sends nothing but pongs; its end shows that the link is gone.
+            // The listener sends only pongs; the end of its stream closes the link.
             received = socket.next() => match received {
                 Some(Ok(_)) => {
                     last_received = Instant::now();
@@ -339,7 +360,7 @@
                 _ => break,
             },
             _ = ping_timer.tick() => {
-                // Writing to a stalled link succeeds for a long time.
+                // Writes to a stalled link succeed for a long time; only missing pongs show it.
                 if last_received.elapsed() > RECEIVE_TIMEOUT {
                     break;
                 }
@@ -365,7 +386,7 @@
     match encoded {
         Ok(bytes) => Some(tungstenite::Message::Binary(bytes.into())),
         Err(error) => {
-            warn!(peers.shared.log, "Frame not sent."; "error" => %error);
+            warn!(peers.shared.log, "cannot encode frame; its messages are dropped"; "error" => %error);
             None
         }
     }
@@ -382,7 +403,10 @@
 
 async fn send_bytes(socket: &mut WebSocketStream<TcpStream>, bytes: Vec<u8>) -> eyre::Result<()> {
     let message = tungstenite::Message::Binary(bytes.into());
-    socket.send(message).await.wrap_err("cannot greet")
+    socket
+        .send(message)
+        .await
+        .wrap_err("cannot send a handshake message")
 }
 
 async fn receive_greeting(socket: &mut WebSocketStream<TcpStream>) -> eyre::Result<Greeting> {
@@ -393,9 +417,9 @@
 async fn receive_bytes(socket: &mut WebSocketStream<TcpStream>) -> eyre::Result<Vec<u8>> {
     match socket.next().await {
         Some(Ok(tungstenite::Message::Binary(bytes))) => Ok(bytes.to_vec()),
-        Some(Ok(_)) => Err(eyre::eyre!("unexpected message")),
+        Some(Ok(_)) => Err(eyre::eyre!("expected a binary handshake message")),
         Some(Err(error)) => Err(error.into()),
-        None => Err(eyre::eyre!("connection closed")),
+        None => Err(eyre::eyre!("connection closed during the handshake")),
     }
 }
 
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -1,4 +1,5 @@
-//! One pool of targets on this node: its member, its owner and who waits.
+//! State of one pool of targets on this node: its membership, its waiting
+//! requests and, if this node owns the pool, the owner.
 
 use std::net::SocketAddr;
 
@@ -34,44 +35,45 @@
 use crate::pools::Slot;
 use crate::pools::SlotRequest;
 
-/// When a refused caller may come back.
+/// Time after which a refused caller may retry.
 const RETRY_AFTER_MS: Millis = Millis(1_000);
-/// Wait before a request that the owner did not queue is sent again.
+/// Delay before a slot request that the owner did not queue is sent again, and
+/// interval between two rounds of collect requests.
 pub(crate) const RETRY_INTERVAL_MS: Millis = Millis(200);
 
-/// One target that the platform lists.
+/// A target in the platform's VM list.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     pub(crate) address: SocketAddr,
-    /// How much of its limit may be used, in thousandths.
+    /// Portion of its limit that may be used, in thousandths.
     pub(crate) per_mille: u16,
-    /// Its last report.
+    /// Last load report.
     pub(crate) report: Option<Report>,
-    /// Whether a report is being read.
+    /// Whether a poll of its load report is in progress.
     pub(crate) has_open_poll: bool,
-    /// When the last poll began.
+    /// When the last poll was started.
     pub(crate) last_poll_ms: Millis,
 }
 
-/// Someone who waits for a slot.
+/// A request on this node that waits for a slot.
 #[derive(Debug)]
 pub(crate) struct Waiter {
     pub(crate) deadline_ms: Millis,
     pub(crate) reply: oneshot::Sender<Result<Grant, Refusal>>,
     want: Want,
-    /// Number under which the owner has been asked.
+    /// Number of the slot request that is pending at the owner.
     request_number: Option<u64>,
     next_request_ms: Millis,
 }
 
-/// A message to another node, or to this one.
+/// A message to a member, which may be this node.
 #[derive(Debug)]
 pub(crate) struct Outgoing {
     pub(crate) to: NodeId,
     pub(crate) message: Message,
 }
 
-/// One pool.
+/// One pool of targets.
 #[derive(Debug)]
 pub(crate) struct Pool {
     pub(crate) name: Name,
@@ -79,7 +81,7 @@
     pub(crate) member: Member,
     pub(crate) owner: Option<Owner>,
     pub(crate) scheduler: PoolScheduler,
-    pub(crate) owned_by: Option<roster::Owner>,
+    pub(crate) named_owner: Option<roster::Owner>,
     pub(crate) targets: IndexMap<Name, Target>,
     pub(crate) waiters: Vec<Waiter>,
     pub(crate) last_stamp_ms: Millis,
@@ -96,7 +98,7 @@
             member: Member::new(timing, id),
             owner: None,
             scheduler: PoolScheduler::new(placement),
-            owned_by: None,
+            named_owner: None,
             targets: IndexMap::new(),
             waiters: Vec::new(),
             last_stamp_ms: Millis::ZERO,
@@ -106,17 +108,18 @@
         }
     }
 
-    /// Follows the record.
+    /// Applies a new version of the record: starts or ends this node's ownership, and
+    /// marks all slot requests to be sent again if the epoch changed.
     pub(crate) fn on_roster(&mut self, now: Millis, own: &NodeId, roster: &Roster) {
         let named = roster.owner(&self.name).cloned();
         let epoch = named.as_ref().map(|owner| owner.epoch);
-        if self.owned_by.as_ref().map(|owner| owner.epoch) != epoch {
+        if self.named_owner.as_ref().map(|owner| owner.epoch) != epoch {
             self.waiters
                 .iter_mut()
                 .for_each(|waiter| waiter.request_number = None);
         }
         let is_own = named.as_ref().is_some_and(|owner| owner.member == *own);
-        self.owned_by = named;
+        self.named_owner = named;
         match (&mut self.owner, epoch.filter(|_| is_own)) {
             (Some(owner), Some(epoch)) if owner.epoch() == epoch => {
                 owner.on_roster(now, roster.clone());
@@ -124,13 +127,13 @@
             (slot, Some(epoch)) => {
                 *slot = Some(Owner::new(self.timing, epoch, now, roster.clone()));
                 self.scheduler.reset(now);
-                self.add_targets();
+                self.update_owner_targets();
             }
             (slot, None) => *slot = None,
         }
     }
 
-    /// Adds someone who waits.
+    /// Adds a request that waits for a slot.
     pub(crate) fn add_waiter(
         &mut self,
         now: Millis,
@@ -146,9 +149,9 @@
         });
     }
 
-    /// Asks the owner for all who wait and have not been asked for.
+    /// Sends the owner a slot request for each waiter that has none pending.
     pub(crate) fn request_slots(&mut self, now: Millis) {
-        let Some(owner) = self.owned_by.clone() else {
+        let Some(owner) = self.named_owner.clone() else {
             return;
         };
         for waiter in &mut self.waiters {
@@ -173,9 +176,10 @@
         }
     }
 
-    /// Returns whether the owner is this node or one of the nodes linked to it.
+    /// Returns whether the owner is this node or a connected peer; true for a pool
+    /// without an owner.
     pub(crate) fn is_owner_reachable(&self, linked: &[Peer]) -> bool {
-        let Some(owner) = &self.owned_by else {
+        let Some(owner) = &self.named_owner else {
             return true;
         };
         let is_owner = |peer: &Peer| {
@@ -184,7 +188,8 @@
         self.owner.is_some() || linked.iter().any(is_owner)
     }
 
-    /// Asks again once the owner can be reached, since what was sent may be lost.
+    /// Marks all slot requests to be sent again, since those sent to the
+    /// unreachable owner may be lost.
     pub(crate) fn on_owner_unreachable(&mut self, now: Millis) {
         for waiter in &mut self.waiters {
             waiter.request_number = None;
@@ -192,14 +197,14 @@
         }
     }
 
-    /// Drops those whose time is over or who have gone, and keeps the owner
-    /// from granting to them.
+    /// Removes waiters that are past their deadline or whose caller has gone, and
+    /// withdraws their slot requests; renews the stamp of the remaining ones.
     pub(crate) fn expire_waiters(&mut self, now: Millis) {
-        let (over, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiters)
+        let (expired, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiters)
             .into_iter()
             .partition(|waiter| now >= waiter.deadline_ms || waiter.reply.is_closed());
         self.waiters = waiting;
-        for waiter in over {
+        for waiter in expired {
             if let Some(number) = waiter.request_number {
                 self.send_to_owner(Message::Withdraw(self.name.clone(), number));
             }
@@ -218,7 +223,7 @@
         }
     }
 
-    /// Uses this node's shares for those who wait.
+    /// Grants waiters slots within this node's shares of the targets.
     pub(crate) fn take_shares(&mut self, now: Millis, roster: &Roster) {
         while let Some(waiter) = self.waiters.first() {
             if self.scheduler.is_blocked(waiter.want.digest) {
@@ -248,7 +253,7 @@
         }
     }
 
-    /// Handles a message of another member, or of this one.
+    /// Handles a message from a member, which may be this node.
     pub(crate) fn on_message(&mut self, now: Millis, from: &NodeId, message: Message) {
         match message {
             Message::Ask(_, request) => self.on_slot_request(now, from, &request),
@@ -290,7 +295,7 @@
         }
     }
 
-    /// Takes a slot back from whoever used it.
+    /// Releases a slot that this node holds.
     pub(crate) fn release(&mut self, now: Millis, slot: &Slot, end: End) {
         if !self.member.on_end(&slot.key) {
             return;
@@ -368,7 +373,7 @@
             .targets
             .get(&grant.target)
             .is_some_and(|t| t.per_mille > 0);
-        let is_wanted = is_open && self.owned_by.as_ref().is_some_and(is_owner);
+        let is_wanted = is_open && self.named_owner.as_ref().is_some_and(is_owner);
         let accepted = match index.filter(|_| is_wanted) {
             Some(index) => self
                 .member
@@ -413,14 +418,14 @@
     }
 
     fn send_to_owner(&mut self, message: Message) {
-        if let Some(owner) = &self.owned_by {
+        if let Some(owner) = &self.named_owner {
             let to = owner.member.clone();
             self.outgoing.push(Outgoing { to, message });
         }
     }
 }
 
-/// Returns the refusal of a request for which no slot came in time.
+/// Returns the refusal for a request that got no slot before its deadline.
 pub(crate) fn overloaded_refusal() -> Refusal {
     Refusal {
         reason: Reason::Overloaded,
--- a/filbertpaddle/src/pool_owner.rs
+++ b/filbertpaddle/src/pool_owner.rs
@@ -1,4 +1,4 @@
-//! The owner's side of a pool: targets, grants and questions to members.
+//! The owner's side of a pool: targets, grants and collect requests.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
@@ -14,13 +14,14 @@
 use crate::pool::Pool;
 use crate::pool::RETRY_INTERVAL_MS;
 
-/// Time between two questions to every member what it holds, which find what
-/// lost messages have left counted.
+/// Interval between two collect requests to every member, which find slots that
+/// are still counted because a release was lost.
 const RECOUNT_INTERVAL_MS: Millis = Millis(10_000);
 
 impl Pool {
-    /// Lets the owner know the targets and how much of them may be used.
-    pub(crate) fn add_targets(&mut self) {
+    /// Passes the targets and the usable portions of their limits to the owner;
+    /// targets that are no longer listed get a portion of zero.
+    pub(crate) fn update_owner_targets(&mut self) {
         let Some(owner) = &mut self.owner else {
             return;
         };
@@ -36,7 +37,7 @@
         unlisted.iter().for_each(|name| owner.set_portion(name, 0));
     }
 
-    /// Takes in a target's report.
+    /// Applies a target's load report.
     pub(crate) fn on_report(
         &mut self,
         now: Millis,
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Grants what can be granted, and asks members what they hold.
+    /// Grants and refuses queued requests, sends changed crash records to members,
+    /// and sends the collect requests that are due.
     pub(crate) fn run_owner(&mut self, now: Millis) {
         let Some(owner) = &mut self.owner else {
             return;
--- a/filbertpaddle/src/pool_scheduler.rs
+++ b/filbertpaddle/src/pool_scheduler.rs
@@ -1,4 +1,5 @@
-//! Ties a pool's scheduler to its owner: who asked, and which work holds which slot.
+//! Links a pool's scheduler to its owner: maps the scheduler's identifiers to
+//! members' slot requests and to the work that holds slots.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
@@ -25,14 +26,14 @@
 use filbertpaddle_wire::grant::Want;
 use indexmap::IndexMap;
 
-/// A request that gets no slot.
+/// A request that is refused a slot.
 #[derive(Debug)]
 pub(crate) struct Denied {
     pub(crate) request: owner::SlotRequest,
     pub(crate) refusal: Refusal,
 }
 
-/// One request's record of crashes.
+/// Crash record of one request digest.
 #[derive(Debug)]
 pub(crate) struct Suspect {
     pub(crate) digest: u64,
@@ -46,7 +47,7 @@
     target: Name,
 }
 
-/// A pool's scheduler and what its numbers stand for.
+/// A pool's scheduler, with the requests and work that its identifiers stand for.
 #[derive(Debug)]
 pub(crate) struct PoolScheduler {
     settings: Settings,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Starts anew for a new ownership; only the suspects stay known.
+    /// Resets the state for a new ownership; only crash records are kept.
     pub(crate) fn reset(&mut self, now: Millis) {
         let old = std::mem::replace(self, Self::new(self.settings));
         for (digest, record) in old.scheduler.suspects().changed_since(Millis::ZERO) {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Queues a request of a member.
+    /// Queues a member's request.
     pub(crate) fn push(
         &mut self,
         now: Millis,
@@ -92,7 +93,7 @@
         Ok(())
     }
 
-    /// Forgets a request that its holder has given up.
+    /// Removes a request that its holder has withdrawn.
     pub(crate) fn withdraw(&mut self, holder: &NodeId, number: u64) {
         let same =
             |request: &owner::SlotRequest| request.holder == *holder && request.number == number;
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Grants what the scheduler places and the owner allows.
+    /// Returns grants for the requests that the scheduler places and the owner has
+    /// room for.
     pub(crate) fn make_grants(&mut self, now: Millis, owner: &mut Owner) -> Vec<Grant> {
         let mut grants = Vec::new();
         while owner.may_grant(now) && self.scheduler.queued() > 0 {
@@ -125,7 +127,7 @@
             }
             self.scheduler.record_end(now, slot, 0, Ending::Unsent);
             if owner.is_queued(&slot_request) {
-                // The target's room is kept for other members; try again later.
+                // The target's free slots are reserved for other members; retry later.
                 if self.scheduler.push(now, placement.request.clone()).is_ok() {
                     self.requests.insert(placement.request.id, slot_request);
                 }
@@ -149,7 +151,7 @@
             .collect()
     }
 
-    /// Returns the requests that get no slot any more.
+    /// Returns the requests that the scheduler has refused since the last call.
     pub(crate) fn take_denied(&mut self, now: Millis) -> Vec<Denied> {
         let refusals = self.scheduler.take_refusals(now);
         refusals
@@ -161,7 +163,7 @@
             .collect()
     }
 
-    /// Notes work that this node started by its own share.
+    /// Records work that this node started within its own share.
     pub(crate) fn record_local_start(
         &mut self,
         now: Millis,
@@ -179,7 +181,7 @@
         self.placed.insert(key.clone(), PlacedWork { slot, target });
     }
 
-    /// Notes how the use of a slot ended.
+    /// Records how the work in a slot ended.
     pub(crate) fn record_end(&mut self, now: Millis, key: &WorkKey, end: End) {
         if let Some(placed) = self.placed.swap_remove(key) {
             self.scheduler
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Takes in a target's report and ends what its owner counts no more.
+    /// Records a target's load and ends work on it that the owner no longer counts.
     pub(crate) fn record_load(
         &mut self,
         now: Millis,
@@ -229,17 +231,17 @@
             .for_each(|key| self.record_end(now, key, end));
     }
 
-    /// Returns whether a request has crashed too many targets.
+    /// Returns whether a request digest is blocked for crashing too many targets.
     pub(crate) fn is_blocked(&self, digest: u64) -> bool {
         self.scheduler.suspects().status(digest) == QuarantineStatus::Blocked
     }
 
-    /// Takes in what another node knows of a request.
+    /// Merges another node's crash record of a request digest.
     pub(crate) fn merge_crash_record(&mut self, now: Millis, digest: u64, record: &CrashRecord) {
         self.scheduler.merge_crash_record(now, digest, record);
     }
 
-    /// Returns the suspects whose records changed since the last call.
+    /// Returns the crash records that changed since the last call.
     pub(crate) fn take_changed_suspects(&mut self, now: Millis) -> Vec<Suspect> {
         let since = std::mem::replace(&mut self.suspects_taken_ms, now + Millis(1));
         let changes = self.scheduler.suspects().changed_since(since);
@@ -257,7 +259,7 @@
     }
 }
 
-/// Returns the refusal of a request that has crashed too many targets.
+/// Returns the refusal for a request that has crashed too many targets.
 pub(crate) fn quarantined_refusal() -> crate::pools::Refusal {
     crate::pools::Refusal {
         reason: Reason::Quarantined,
--- a/filbertpaddle/src/pools.rs
+++ b/filbertpaddle/src/pools.rs
@@ -1,4 +1,4 @@
-//! Slots on targets.
+//! Handle to the pools of targets in this node's data centre, which grant slots.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -23,12 +23,12 @@
 use crate::record;
 pub use crate::remote_slots::BorrowedSlot;
 
-/// Asks for a slot on a target.
+/// A request for a slot on a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotRequest {
-    /// Model or plain service that is wanted.
+    /// Model or plain service, which names the pool.
     pub model: Name,
-    /// What is to be run there.
+    /// What the request is to run, as far as it decides order and target.
     pub want: Want,
 }
 
@@ -41,9 +41,9 @@
     pub address: SocketAddr,
     /// Fencing number that the target is sent.
     pub fence: u64,
-    /// The slot; none for an attempt that holds its slot elsewhere.
+    /// The slot in this data centre; `None` if it is lent or held elsewhere.
     pub slot: Option<Slot>,
-    /// The slot, if another data centre lends it.
+    /// The slot, if it is lent by another data centre.
     pub borrowed: Option<BorrowedSlot>,
 }
 
@@ -52,12 +52,13 @@
 pub struct Slot {
     /// Pool of the target.
     pub pool: Name,
-    /// Which work.
+    /// Identifies the work that holds the slot.
     pub key: WorkKey,
 }
 
 impl Grant {
-    /// Names the target of an attempt that runs already and holds its slot elsewhere.
+    /// Returns a grant without a slot, for an attempt that is already running and
+    /// whose slot is held elsewhere.
     pub fn to_resume(target: Name, address: SocketAddr) -> Self {
         Self {
             target,
@@ -69,16 +70,16 @@
     }
 }
 
-/// Why no slot was given; nothing was sent to any target.
+/// Refusal of a slot; nothing was sent to any target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after_ms: Option<Millis>,
 }
 
-/// Gives out slots.
+/// Grants slots on targets of this data centre.
 #[derive(Clone)]
 pub struct Pools {
     actor: Address<Coordinator>,
@@ -91,7 +92,7 @@
 }
 
 impl Pools {
-    /// Joins the data centre and starts to follow its targets.
+    /// Joins the data centre and starts to track its targets.
     pub fn start(dependencies: Dependencies) -> Self {
         Self {
             actor: coordinator::start(dependencies),
@@ -102,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Refusal`] if none is given in time.
+    /// Returns a [`Refusal`] if none is granted in time.
     pub async fn acquire(&self, request: SlotRequest) -> Result<Grant, Refusal> {
         let stopped = || Refusal {
             reason: Reason::Draining,
@@ -116,23 +117,25 @@
         answer.await.unwrap_or_else(|_| Err(stopped()))
     }
 
-    /// Notes that the work of a grant has reached its target or never will.
+    /// Records that the work of a grant has reached its target or never will.
     pub fn mark_sent(&self, grant: &Grant) {
         if let Some(slot) = grant.slot.clone() {
             tokio::spawn(self.actor.send(WorkSent(slot)).detach());
         }
     }
 
-    /// Takes the node out of its data centre's record, once it holds no work.
+    /// Removes the node from its data centre's record; to be called once the node
+    /// holds no work.
     ///
-    /// If the platform is out, the others find that the node is silent.
+    /// If the platform is unavailable, the relay retires the node when its
+    /// heartbeats stop.
     pub async fn leave(&self) {
         if let Ok(leaving) = self.actor.send(Leave).await {
             record::leave(&leaving.platform, &leaving.data_centre, &leaving.id).await;
         }
     }
 
-    /// Gives a slot back.
+    /// Releases a slot.
     pub fn release(&self, grant: Grant, ending: Ending, tokens: u32) {
         let Some(slot) = grant.slot else {
             return;
--- a/filbertpaddle/src/record.rs
+++ b/filbertpaddle/src/record.rs
@@ -1,4 +1,4 @@
-//! The record of a data centre as a row of the platform's table.
+//! Reads and writes a data centre's record, a row of the platform's table.
 
 use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::roster::Roster;
@@ -10,8 +10,9 @@
 
 use crate::table;
 
-/// Tries of a leaving node, against changes by others.
-const LEAVE_TRIES: usize = 4;
+/// Maximum number of attempts of a leaving node to remove itself; an attempt
+/// fails if another node changes the record at the same time.
+const MAX_LEAVE_ATTEMPTS: usize = 4;
 
 /// The record and the table revision of its last write.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -42,9 +43,9 @@
     })
 }
 
-/// Takes a node out of the record, with few tries.
+/// Removes a node from the record, in a limited number of attempts.
 pub async fn leave(platform: &Client, data_centre: &str, id: &NodeId) {
-    for _ in 0..LEAVE_TRIES {
+    for _ in 0..MAX_LEAVE_ATTEMPTS {
         let Ok(record) = read(platform, data_centre).await else {
             return;
         };
@@ -57,8 +58,10 @@
     }
 }
 
-/// Replaces the record if it is still at `revision`; whether that worked is
-/// seen by reading it again, since the answer may be lost.
+/// Replaces the record if it is still at `revision`.
+///
+/// The answer may be lost, so only reading the record again shows whether the
+/// write succeeded.
 pub async fn write(platform: &Client, data_centre: &str, roster: &Roster, revision: Option<u64>) {
     let Ok(value) = serde_json::to_string(roster) else {
         return;
--- a/filbertpaddle/src/record_edit.rs
+++ b/filbertpaddle/src/record_edit.rs
@@ -1,4 +1,4 @@
-//! Which change of a data centre's record a node has to make.
+//! Determines which edit of a data centre's record a node has to make.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::membership::Relay;
@@ -9,24 +9,24 @@
 
 use crate::peers::Peer;
 
-/// One change of the record.
+/// An edit of the record.
 #[derive(Debug)]
 pub(crate) struct RecordEdit {
-    /// The record after the change.
+    /// The record after the edit.
     pub(crate) roster: Roster,
-    /// What changes, for the log.
+    /// Description for the log.
     pub(crate) description: &'static str,
 }
 
-/// Returns whether a life of a node is in the record.
+/// Returns whether an incarnation of a node is a member.
 pub(crate) fn is_member(id: &NodeId, roster: &Roster) -> bool {
     roster.members.iter().any(|member| member.id == *id)
 }
 
-/// Returns the change that is due, if it is for this node.
+/// Returns the edit that is due, if this node has to make it.
 ///
-/// Each node adds itself; all else is left to the relay, which hears every
-/// member.
+/// Each node adds itself; all other edits are made by the relay, which receives
+/// the heartbeats of all members.
 pub(crate) fn due_edit(
     now: Millis,
     own: &Peer,
@@ -78,8 +78,8 @@
     })
 }
 
-/// Removes a retired node that the platform no longer lists, so that nothing
-/// is kept for it. A list without any entry VM says nothing.
+/// Removes a retired node that the platform no longer lists, so that no share is
+/// kept for it. A list without any entry VM does not show that a node is gone.
 fn remove_unlisted(
     now: Millis,
     roster: &Roster,
--- a/filbertpaddle/src/remote_slots.rs
+++ b/filbertpaddle/src/remote_slots.rs
@@ -1,7 +1,8 @@
-//! Slots in other data centres, for work that the own one cannot take.
+//! Borrows slots of other data centres for work that this one has no target for,
+//! and lends this one's.
 //!
-//! The member that is asked takes the slot as its own, so that owners deal
-//! with members of their data centre only.
+//! The lender acquires the slot as its own, so that owners deal with members of
+//! their data centre only.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -36,13 +37,13 @@
 use crate::pools::Refusal;
 use crate::pools::SlotRequest;
 
-/// Longest wait for a slot of another data centre; the lender takes a slot back
-/// from a borrower that it cannot reach only after a longer time.
+/// Maximum wait for a slot of another data centre; shorter than the time after
+/// which a lender takes a slot back from an unreachable borrower.
 const MAX_WAIT_MS: Millis = Millis::from_secs(8);
-/// How much longer than the ask itself an answer may take.
+/// Time allowed for an answer beyond the wait of the request.
 const ANSWER_GRACE: Duration = Duration::from_secs(1);
 
-/// Asks other data centres for slots and lends the own one's.
+/// Requests slots of other data centres and lends this data centre's.
 #[derive(Clone, Debug)]
 pub(crate) struct RemoteSlots {
     shared: Arc<Shared>,
@@ -59,9 +60,9 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Slots that this node has asked for or uses, by number.
+    /// Slots that this node has requested or uses, by number.
     requested: IndexMap<u64, RequestState>,
-    /// Slots that this node lends, by asker and number.
+    /// Event channels of the slots that this node lends.
     lent: IndexMap<Borrower, mpsc::UnboundedSender<BorrowerEvent>>,
 }
 
@@ -71,30 +72,30 @@
     InUse,
 }
 
-/// Who uses a lent slot.
+/// Identifies a lent slot by the node that uses it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Borrower {
     /// Name of the node.
     pub(crate) node: Name,
-    /// Life of the node.
+    /// Incarnation of the node.
     pub(crate) incarnation: u64,
-    /// The node's number for the slot.
+    /// Number that the node gave the slot.
     pub(crate) number: u64,
 }
 
-/// A slot that another node lends.
+/// A slot lent by a node of another data centre.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BorrowedSlot {
     /// Node that holds the slot.
     pub lender: Name,
-    /// This node's number for it.
+    /// Number that this node gave the slot.
     pub number: u64,
-    /// Name for the attempt.
+    /// Name for the attempt, chosen by the lender.
     pub attempt: Name,
 }
 
 impl RemoteSlots {
-    /// Starts to answer other data centres.
+    /// Starts to handle messages from other data centres.
     pub(crate) fn start(
         own: Peer,
         peers: Peers,
@@ -114,11 +115,12 @@
         remote
     }
 
-    /// Asks one member of each other data centre in turn.
+    /// Requests a slot from one node of each other data centre in turn.
     ///
     /// # Errors
     ///
-    /// Returns the last [`Refusal`] if none gives a slot.
+    /// Returns the last [`Refusal`] that is not for lack of a target, or else
+    /// `refused`, if none grants a slot.
     pub(crate) async fn acquire(
         &self,
         request: &SlotRequest,
@@ -135,12 +137,12 @@
         Err(last_refusal)
     }
 
-    /// Notes that the work has reached its target or never will.
+    /// Records that the work has reached its target or never will.
     pub(crate) fn mark_sent(&self, slot: &BorrowedSlot) {
         self.send(&slot.lender, wire::Message::Sent(slot.number));
     }
 
-    /// Gives a slot back.
+    /// Releases a slot.
     pub(crate) fn release(&self, slot: &BorrowedSlot, end: End) {
         self.state().requested.swap_remove(&slot.number);
         self.send(&slot.lender, wire::Message::Release(slot.number, end));
@@ -158,7 +160,7 @@
         self.state().lent.swap_remove(borrower);
     }
 
-    // One connected node of each other data centre, in random order.
+    // Returns one connected node of each other data centre, in random order.
     fn lenders(&self) -> Vec<Peer> {
         let mut peers = self.shared.peers.connected();
         peers.retain(|peer| peer.data_centre != self.shared.own.data_centre);
@@ -176,7 +178,7 @@
         self.state()
             .requested
             .insert(number, RequestState::Waiting(reply));
-        // A caller that goes away leaves the ask to be given up.
+        // Gives the request up if the caller goes away.
         let mut pending = PendingRequest {
             remote: self,
             lender: &lender.name,
@@ -191,7 +193,7 @@
         self.send(&lender.name, message);
         let answer = tokio::time::timeout(answer_timeout, answer).await;
         if requested_at.elapsed() > answer_timeout {
-            // A node that was paused may find a grant that its lender has given up.
+            // If this node was paused, the lender may have taken the granted slot back.
             return Err(no_answer_refusal());
         }
         let granted = match answer {
@@ -235,14 +237,14 @@
             }
             wire::Message::Check(number) => {
                 if !self.state().requested.contains_key(&number) {
-                    // What is not known here is never sent, or was given back.
+                    // No work is sent under a slot that is not recorded here.
                     self.send(&from.name, wire::Message::Release(number, End::UNSENT));
                 }
             }
         }
     }
 
-    // A grant that comes too late finds no entry; the lender's check frees it.
+    // A late grant finds no entry; its slot is released after the lender's next check.
     fn on_answer(&self, number: u64, answer: Result<wire::Grant, Denial>) {
         let mut state = self.state();
         let Some(requested) = state.requested.get_mut(&number) else {
@@ -292,7 +294,7 @@
     }
 }
 
-/// Gives an ask up unless it was answered.
+/// Gives a slot request up when dropped, unless it was answered.
 struct PendingRequest<'a> {
     remote: &'a RemoteSlots,
     lender: &'a Name,
--- a/filbertpaddle/src/slot_router.rs
+++ b/filbertpaddle/src/slot_router.rs
@@ -1,4 +1,5 @@
-//! Slots on targets: the own data centre's first, then another's.
+//! Acquires slots in this data centre or, if it has no target for the request, in
+//! another one.
 
 use filbertpaddle_core::outcome::Reason;
 use filbertpaddle_core::scheduler::Ending;
@@ -10,7 +11,7 @@
 use crate::pools::SlotRequest;
 use crate::remote_slots::RemoteSlots;
 
-/// Gives out slots.
+/// Acquires and releases slots in this and in other data centres.
 #[derive(Clone, Debug)]
 pub struct SlotRouter {
     local: Pools,
@@ -22,7 +23,8 @@
         Self { local, remote }
     }
 
-    /// Takes the node out of its data centre's record, once it holds no work.
+    /// Removes the node from its data centre's record; to be called once the node
+    /// holds no work.
     pub async fn leave(&self) {
         self.local.leave().await;
     }
@@ -31,7 +33,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Refusal`] if none is given in time.
+    /// Returns a [`Refusal`] if none is granted in time.
     pub async fn acquire(&self, request: SlotRequest) -> Result<Grant, Refusal> {
         match self.local.acquire(request.clone()).await {
             Err(refusal) if refusal.reason == Reason::NoTarget => {
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Notes that the work of a grant has reached its target or never will.
+    /// Records that the work of a grant has reached its target or never will.
     pub fn mark_sent(&self, grant: &Grant) {
         match &grant.borrowed {
             Some(borrowed) => self.remote.mark_sent(borrowed),
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Gives a slot back.
+    /// Releases a slot.
     pub fn release(&self, grant: Grant, ending: Ending, tokens: u32) {
         match &grant.borrowed {
             Some(borrowed) => self.remote.release(borrowed, End { ending, tokens }),
