--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -147,9 +147,9 @@
         self.edit_record(now, address);
         let uses_shares = self.mode_state.mode() != Mode::Granted;
         let roster = &self.record.roster;
-        let linked = self.peers.connected();
+        let connected = self.peers.connected();
         for pool in self.pools.values_mut() {
-            if !pool.is_owner_reachable(&linked) {
+            if !pool.is_owner_reachable(&connected) {
                 pool.on_owner_unreachable(now);
             }
             for (name, target) in &mut pool.targets {
@@ -228,7 +228,8 @@
         let Some(edit) = edit else {
             return;
         };
-        info!(self.log, "writing an edit of the data centre's record"; "change" => edit.description, "version" => edit.roster.version);
+        info!(self.log, "writing an edit of the data centre's record";
+            "change" => edit.description, "version" => edit.roster.version);
         self.is_writing = true;
         let platform = self.platform.clone();
         let data_centre = self.own.data_centre.clone();
@@ -295,7 +296,8 @@
         for pool in self.pools.values_mut() {
             pool.on_roster(now, &self.id, roster);
         }
-        info!(self.log, "newer version of the data centre's record applied"; "version" => roster.version);
+        info!(self.log, "newer version of the data centre's record applied";
+            "version" => roster.version);
     }
 
     pub(crate) fn on_vms(&mut self, now: Millis, vms: &[Vm]) {
@@ -374,8 +376,8 @@
             .values_mut()
             .filter_map(|pool| pool.owner.as_mut());
         for owner in owners {
-            if let Some(reading_ms) = confirmation.read_ms {
-                owner.on_confirm(reading_ms);
+            if let Some(read_ms) = confirmation.read_ms {
+                owner.on_confirm(read_ms);
             }
             for (id, promise) in &confirmation.promises {
                 owner.on_promise(id, *promise);
--- a/filbertpaddle/src/coordinator_messages.rs
+++ b/filbertpaddle/src/coordinator_messages.rs
@@ -175,7 +175,7 @@
         let Some(record) = read.record else {
             warn!(
                 self.log,
-                "Cannot read the data centre's record; keeping the last version."
+                "cannot read the data centre's record; keeping the last version"
             );
             return;
         };
--- a/filbertpaddle/src/peers.rs
+++ b/filbertpaddle/src/peers.rs
@@ -226,7 +226,8 @@
                 tokio::spawn(receive_messages(peers.clone(), stream));
             }
             Err(error) => {
-                warn!(peers.shared.log, "cannot accept a peer connection; retrying"; "error" => %error);
+                warn!(peers.shared.log, "cannot accept a peer connection; retrying";
+                    "error" => %error);
                 tokio::time::sleep(REDIAL_INTERVAL).await;
             }
         }
@@ -256,7 +257,8 @@
             continue;
         };
         let Ok(messages) = frame::decode(&bytes) else {
-            warn!(peers.shared.log, "malformed frame from peer; connection closed"; "peer" => %from.name);
+            warn!(peers.shared.log, "malformed frame from peer; connection closed";
+                "peer" => %from.name);
             return;
         };
         for message in messages {
@@ -301,10 +303,12 @@
                 info!(peers.shared.log, "peer disconnected; dialling again"; "peer" => %peer.name);
             }
             Ok(Err(error)) => {
-                debug!(peers.shared.log, "cannot connect to peer; dialling again"; "address" => %address, "error" => %error);
+                debug!(peers.shared.log, "cannot connect to peer; dialling again";
+                    "address" => %address, "error" => %error);
             }
             Err(_) => {
-                debug!(peers.shared.log, "peer did not complete the handshake in time; dialling again"; "address" => %address)
+                debug!(peers.shared.log, "peer did not complete the handshake in time; dialling again";
+                    "address" => %address)
             }
         }
         tokio::time::sleep(REDIAL_INTERVAL).await;
@@ -386,7 +390,8 @@
     match encoded {
         Ok(bytes) => Some(tungstenite::Message::Binary(bytes.into())),
         Err(error) => {
-            warn!(peers.shared.log, "cannot encode frame; its messages are dropped"; "error" => %error);
+            warn!(peers.shared.log, "cannot encode frame; its messages are dropped";
+                "error" => %error);
             None
         }
     }
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -178,14 +178,14 @@
 
     /// Returns whether the owner is this node or a connected peer; true for a pool
     /// without an owner.
-    pub(crate) fn is_owner_reachable(&self, linked: &[Peer]) -> bool {
+    pub(crate) fn is_owner_reachable(&self, connected: &[Peer]) -> bool {
         let Some(owner) = &self.named_owner else {
             return true;
         };
         let is_owner = |peer: &Peer| {
             peer.name == owner.member.name && peer.incarnation == owner.member.incarnation
         };
-        self.owner.is_some() || linked.iter().any(is_owner)
+        self.owner.is_some() || connected.iter().any(is_owner)
     }
 
     /// Marks all slot requests to be sent again, since those sent to the
--- a/filbertpaddle/tests/ownership.rs
+++ b/filbertpaddle/tests/ownership.rs
@@ -1,5 +1,5 @@
-//! Pool ownership over real processes: cold targets, dead and paused owners,
-//! the table out, a data centre cut off.
+//! Pool ownership across node processes: the cold limit of a target holds while
+//! owners are killed or paused and while the platform is unavailable.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -25,10 +25,10 @@
 
 const MODEL: &str = "teacher";
 const COLD_LIMIT: &str = "2";
-/// Far longer than a test takes, at the engine's speed.
+/// Far longer than a test, at the engine's speed, so that the target stays cold.
 const NEVER_WARM_MS: &str = "1000000000";
-/// Longer than the span in which owners and shares change hands.
-const HAND_OVER: Duration = Duration::from_secs(30);
+/// Longer than the time limits after which owners are replaced and shares used.
+const OUTAGE_DURATION: Duration = Duration::from_secs(30);
 
 struct Deployment {
     platform: Platform,
@@ -81,18 +81,19 @@
         engine,
         nodes,
     };
-    deployment.settled().await;
+    deployment.wait_for_stable_record().await;
     deployment
 }
 
 impl Deployment {
-    /// Waits until all nodes are settled sharers and the pool has an owner.
-    async fn settled(&self) -> Roster {
+    /// Waits until all nodes are sharers, no change of sharers is pending and the
+    /// pool has an owner.
+    async fn wait_for_stable_record(&self) -> Roster {
         let count = self.nodes.len();
-        wait::until("the record settles", async || {
+        wait::until("the record is stable", async || {
             let roster = self.roster().await;
-            let whole = roster.sharers.len() == count && roster.next.is_none();
-            (whole && roster.owner(MODEL).is_some()).then_some(roster)
+            let is_complete = roster.sharers.len() == count && roster.next.is_none();
+            (is_complete && roster.owner(MODEL).is_some()).then_some(roster)
         })
         .await
     }
@@ -109,12 +110,12 @@
         (self.nodes.iter().position(named).unwrap(), owner.epoch)
     }
 
-    /// Sends requests through the nodes at once; returns how many were completed.
-    async fn load(&self, nodes: &[usize], requests: usize) -> usize {
+    /// Sends requests through the nodes concurrently; returns how many were completed.
+    async fn send_requests(&self, nodes: &[usize], requests: usize) -> usize {
         let tasks: Vec<_> = (0..requests)
             .map(|number| {
                 let node = self.nodes[nodes[number % nodes.len()]].addresses.callers;
-                tokio::spawn(async move { one(node, number).await })
+                tokio::spawn(async move { send_request(node, number).await })
             })
             .collect();
         let mut complete = 0;
@@ -125,20 +126,20 @@
     }
 
     /// Sends requests through the nodes until one is completed.
-    async fn serves(&self, nodes: &[usize]) {
+    async fn wait_until_served(&self, nodes: &[usize]) {
         wait::until("a request is completed", async || {
-            (self.load(nodes, 6).await > 0).then_some(())
+            (self.send_requests(nodes, 6).await > 0).then_some(())
         })
         .await;
     }
 
-    /// Returns the engine's own count of work beyond its cold limit.
-    async fn excess(&self) -> u64 {
+    /// Returns the engine's count of work beyond its cold limit.
+    async fn cold_excess(&self) -> u64 {
         let counters: Value = self.engine.read("counters").await;
         counters["totals"]["cold_excess"].as_u64().unwrap()
     }
 
-    /// Returns how much work the engine runs, by its own report.
+    /// Returns the number of requests running on the engine, from its load report.
     async fn running(&self) -> u64 {
         let url = format!("http://{}/v1/load", self.engine.address);
         let load: Value = reqwest::get(url).await.unwrap().json().await.unwrap();
@@ -150,14 +151,14 @@
         links::set(&self.proxy, link).await;
     }
 
-    fn others(&self, node: usize) -> Vec<usize> {
+    fn other_nodes(&self, node: usize) -> Vec<usize> {
         (0..self.nodes.len())
             .filter(|other| *other != node)
             .collect()
     }
 }
 
-async fn one(node: std::net::SocketAddr, number: usize) -> bool {
+async fn send_request(node: std::net::SocketAddr, number: usize) -> bool {
     let text = format!("pupil {number}");
     let response = caller::send(node, "summary", &text, None).await;
     if response.status() != 200 {
@@ -168,93 +169,93 @@
 }
 
 #[tokio::test]
-async fn a_cold_target_bears_three_nodes_at_once() {
+async fn the_cold_limit_holds_under_load_from_three_nodes() {
     let deployment = start().await;
-    deployment.serves(&[0, 1, 2]).await;
-    let complete = deployment.load(&[0, 1, 2], 60).await;
+    deployment.wait_until_served(&[0, 1, 2]).await;
+    let complete = deployment.send_requests(&[0, 1, 2], 60).await;
     assert!(complete > 0);
-    assert_eq!(deployment.excess().await, 0);
+    assert_eq!(deployment.cold_excess().await, 0);
 }
 
 #[tokio::test]
 async fn a_successor_serves_after_the_owner_is_killed() {
     let mut deployment = start().await;
-    deployment.serves(&[0, 1, 2]).await;
+    deployment.wait_until_served(&[0, 1, 2]).await;
     let (owner, epoch) = deployment.owner().await;
     deployment.nodes.remove(owner).process.close();
-    wait::until("another owner", async || {
+    wait::until("the pool has a new owner", async || {
         let roster = deployment.roster().await;
         (roster.owner(MODEL)?.epoch > epoch).then_some(())
     })
     .await;
-    deployment.serves(&[0, 1]).await;
-    deployment.load(&[0, 1], 40).await;
-    assert_eq!(deployment.excess().await, 0);
+    deployment.wait_until_served(&[0, 1]).await;
+    deployment.send_requests(&[0, 1], 40).await;
+    assert_eq!(deployment.cold_excess().await, 0);
 }
 
 #[tokio::test]
-async fn a_paused_owner_wakes_deposed() {
+async fn the_cold_limit_holds_after_a_replaced_owner_resumes() {
     let deployment = start().await;
-    deployment.serves(&[0, 1, 2]).await;
+    deployment.wait_until_served(&[0, 1, 2]).await;
     let (owner, epoch) = deployment.owner().await;
     deployment.nodes[owner].process.pause().unwrap();
-    wait::until("another owner", async || {
+    wait::until("the pool has a new owner", async || {
         let roster = deployment.roster().await;
         (roster.owner(MODEL)?.epoch > epoch).then_some(())
     })
     .await;
-    let others = deployment.others(owner);
-    deployment.serves(&others).await;
+    let others = deployment.other_nodes(owner);
+    deployment.wait_until_served(&others).await;
     deployment.nodes[owner].process.wake().unwrap();
-    deployment.load(&[0, 1, 2], 60).await;
-    deployment.serves(&[owner]).await;
-    assert_eq!(deployment.excess().await, 0);
+    deployment.send_requests(&[0, 1, 2], 60).await;
+    deployment.wait_until_served(&[owner]).await;
+    assert_eq!(deployment.cold_excess().await, 0);
 }
 
 #[tokio::test]
-async fn the_owner_goes_on_while_the_platform_is_out() {
+async fn the_owner_keeps_granting_while_the_platform_is_unavailable() {
     let deployment = start().await;
-    deployment.serves(&[0, 1, 2]).await;
+    deployment.wait_until_served(&[0, 1, 2]).await;
     let before = deployment.owner().await;
     deployment.cut_platform(true).await;
-    tokio::time::sleep(HAND_OVER).await;
+    tokio::time::sleep(OUTAGE_DURATION).await;
     for node in 0..3 {
-        deployment.serves(&[node]).await;
+        deployment.wait_until_served(&[node]).await;
     }
     deployment.cut_platform(false).await;
     assert_eq!(deployment.owner().await, before);
-    assert_eq!(deployment.excess().await, 0);
+    assert_eq!(deployment.cold_excess().await, 0);
 }
 
 #[tokio::test]
-async fn shares_serve_while_platform_and_owner_are_out() {
+async fn nodes_use_their_shares_while_platform_and_owner_are_unavailable() {
     let mut deployment = start().await;
-    deployment.serves(&[0, 1, 2]).await;
+    deployment.wait_until_served(&[0, 1, 2]).await;
     let (owner, _) = deployment.owner().await;
     deployment.cut_platform(true).await;
     deployment.nodes.remove(owner).process.close();
-    deployment.serves(&[0, 1]).await;
-    deployment.load(&[0, 1], 40).await;
+    deployment.wait_until_served(&[0, 1]).await;
+    deployment.send_requests(&[0, 1], 40).await;
     deployment.cut_platform(false).await;
-    wait::until("another owner", async || {
+    wait::until("the pool has a new owner", async || {
         let roster = deployment.roster().await;
         let named = &roster.owner(MODEL)?.member.name;
         let mut nodes = deployment.nodes.iter();
         nodes.any(|node| node.name == *named).then_some(())
     })
     .await;
-    deployment.serves(&[0]).await;
-    deployment.serves(&[1]).await;
-    assert_eq!(deployment.excess().await, 0);
+    deployment.wait_until_served(&[0]).await;
+    deployment.wait_until_served(&[1]).await;
+    assert_eq!(deployment.cold_excess().await, 0);
 }
 
 #[tokio::test]
-async fn a_target_that_turns_cold_with_a_full_batch_gets_nothing_new() {
-    // In real time, as the engine counts from two seconds after the turn.
+async fn a_target_that_turns_cold_with_a_full_batch_gets_no_new_work() {
+    // At real speed, as the engine counts excess from two seconds after it turned cold.
     let deployment = start_at("1").await;
     deployment.engine.control("faults", &Fault::Warm).await;
-    deployment.serves(&[0, 1, 2]).await;
-    let load = deployment.load(&[0, 1, 2], 30);
+    deployment.wait_until_served(&[0, 1, 2]).await;
+    let load = deployment.send_requests(&[0, 1, 2], 30);
     let turn = async {
         wait::until("a batch beyond the cold limit", async || {
             let running = deployment.running().await;
--- a/filbertpaddle/tests/peers.rs
+++ b/filbertpaddle/tests/peers.rs
@@ -1,4 +1,5 @@
-//! Links carry messages between nodes that share the peer secret, and no others.
+//! Links carry messages between nodes that share the peer secret, recover from
+//! network faults, and refuse nodes without the secret.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -32,7 +33,7 @@
 struct Node {
     peers: Peers,
     inbox: mpsc::Receiver<Received>,
-    /// Address of the proxy, which is all that others know.
+    /// Address of the proxy, which the other nodes dial.
     address: SocketAddr,
     proxy: Proxy,
 }
@@ -66,15 +67,15 @@
     Message::Grant(grant::Message::Stamp("pool".into(), 1))
 }
 
-async fn gone(node: &Node) {
-    wait::until("the cut is seen", async || {
+async fn wait_disconnected(node: &Node) {
+    wait::until("the node is disconnected", async || {
         node.peers.connected().is_empty().then_some(())
     })
     .await;
 }
 
-async fn connected(node: &Node, to: &str) {
-    wait::until("connected", async || {
+async fn wait_connected(node: &Node, to: &str) {
+    wait::until("the node is connected", async || {
         let peers = node.peers.connected();
         peers.iter().any(|peer| peer.name == to).then_some(())
     })
@@ -86,9 +87,9 @@
     let mut first = start("first", SECRET).await;
     let mut second = start("second", SECRET).await;
     first.peers.add(second.address);
-    connected(&first, "second").await;
-    // The listener learns the dialler's address from its greeting.
-    connected(&second, "first").await;
+    wait_connected(&first, "second").await;
+    // The listener takes the dialler's address from its greeting and dials it.
+    wait_connected(&second, "first").await;
     assert!(first.peers.send("second", message()));
     assert_eq!(second.inbox.recv().await.unwrap().from.name, "first");
     assert!(second.peers.send("first", message()));
@@ -96,31 +97,31 @@
 }
 
 #[tokio::test]
-async fn a_link_comes_back_after_a_cut() {
+async fn a_link_reconnects_after_a_cut() {
     let first = start("first", SECRET).await;
     let mut second = start("second", SECRET).await;
     first.peers.add(second.address);
-    connected(&first, "second").await;
+    wait_connected(&first, "second").await;
     second.proxy.set_link(Link::Cut);
-    gone(&first).await;
+    wait_disconnected(&first).await;
     assert!(!first.peers.send("second", message()));
     second.proxy.heal();
-    connected(&first, "second").await;
+    wait_connected(&first, "second").await;
     assert!(first.peers.send("second", message()));
     assert!(second.inbox.recv().await.is_some());
 }
 
 #[tokio::test]
-async fn a_stalled_link_is_noticed_and_comes_back() {
+async fn a_stalled_link_is_detected_and_reconnects() {
     for fault in [Link::Stall, Link::CutForward, Link::CutBackward] {
         let first = start("first", SECRET).await;
         let second = start("second", SECRET).await;
         first.peers.add(second.address);
-        connected(&first, "second").await;
+        wait_connected(&first, "second").await;
         second.proxy.set_link(fault);
-        gone(&first).await;
+        wait_disconnected(&first).await;
         second.proxy.heal();
-        connected(&first, "second").await;
+        wait_connected(&first, "second").await;
     }
 }
 
@@ -132,7 +133,7 @@
     second.peers.add(first.address);
     let third = start("third", SECRET).await;
     first.peers.add(third.address);
-    connected(&first, "third").await;
+    wait_connected(&first, "third").await;
     assert!(
         first
             .peers
@@ -144,10 +145,10 @@
 }
 
 #[tokio::test]
-async fn a_greeting_sent_back_is_refused() {
+async fn a_reflected_greeting_is_refused() {
     let mut first = start("first", SECRET).await;
     let url = format!("ws://{}/", first.address);
-    // One connection makes the node sign the number that another must answer.
+    // The second connection makes the node sign the challenge of the first one.
     let (mut victim, _) = tokio_tungstenite::connect_async(&url).await.unwrap();
     victim
         .send(tungstenite::Message::Binary(vec![1; 16].into()))
@@ -168,7 +169,7 @@
         .send(tungstenite::Message::Binary(frame.into()))
         .await
         .ok();
-    // The node hangs up without having taken the message in.
+    // The node closes the connection without receiving the message.
     while let Some(Ok(_)) = victim.next().await {}
     assert!(first.inbox.try_recv().is_err());
 }
