--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -33,7 +33,7 @@
 use crate::coordinator_tasks::poll_record;
 use crate::coordinator_tasks::poll_vms;
 use crate::coordinator_tasks::tick;
-use crate::heartbeat::HeartbeatClient;
+use crate::heartbeat::RelayClient;
 use crate::inbox::Incoming;
 use crate::peers::Peer;
 use crate::peers::Peers;
@@ -97,7 +97,7 @@
         is_leaving: false,
         entry_vms: Vec::new(),
         relay: Relay::new(now),
-        heartbeats: HeartbeatClient::new(now),
+        heartbeats: RelayClient::new(now),
         pools: IndexMap::new(),
     };
     let clock = state.clock;
@@ -130,7 +130,7 @@
     pub(crate) is_leaving: bool,
     pub(crate) entry_vms: Vec<Name>,
     pub(crate) relay: Relay,
-    pub(crate) heartbeats: HeartbeatClient,
+    pub(crate) heartbeats: RelayClient,
     pub(crate) pools: IndexMap<Name, Pool>,
 }
 
--- a/filbertpaddle/src/heartbeat.rs
+++ b/filbertpaddle/src/heartbeat.rs
@@ -20,7 +20,7 @@
 
 /// The member's side of the heartbeat protocol.
 #[derive(Debug)]
-pub struct HeartbeatClient {
+pub struct RelayClient {
     relay: Option<NodeId>,
     last_relay_ms: Option<Millis>,
     last_sent_ms: Option<Millis>,
@@ -29,7 +29,7 @@
     confirmation: Option<Confirmation>,
 }
 
-impl HeartbeatClient {
+impl RelayClient {
     /// Returns a client that has sent no heartbeat.
     pub fn new(now: Millis) -> Self {
         Self {
--- a/filbertpaddle/src/inbox.rs
+++ b/filbertpaddle/src/inbox.rs
@@ -40,7 +40,7 @@
 
 /// Senders to the [`Inboxes`].
 #[derive(Debug)]
-pub struct InboxSenders {
+pub struct Senders {
     member: mpsc::Sender<Incoming<member::Message>>,
     grant: mpsc::Sender<Incoming<grant::Message>>,
     config: mpsc::Sender<Incoming<config::Message>>,
@@ -49,13 +49,13 @@
 }
 
 /// Creates the channels of all inboxes.
-pub fn channels() -> (InboxSenders, Inboxes) {
+pub fn channels() -> (Senders, Inboxes) {
     let (member, member_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
     let (grant, grant_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
     let (config, config_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
     let (claim, claim_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
     let (remote, remote_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
-    let senders = InboxSenders {
+    let senders = Senders {
         member,
         grant,
         config,
@@ -75,7 +75,7 @@
 /// Dispatches messages until all links are gone.
 ///
 /// Messages to a full inbox are dropped; every receiver tolerates lost messages.
-pub async fn dispatch(mut received: mpsc::Receiver<Received>, senders: InboxSenders) {
+pub async fn dispatch(mut received: mpsc::Receiver<Received>, senders: Senders) {
     while let Some(Received { from, message }) = received.recv().await {
         match message {
             Message::Member(message) => forward(&senders.member, from, message),
--- a/filbertpaddle/src/remote_slots.rs
+++ b/filbertpaddle/src/remote_slots.rs
@@ -62,7 +62,7 @@
 struct State {
     /// Slots that this node has requested or uses, by number.
     requested: IndexMap<u64, RequestState>,
-    /// Event channels of the slots that this node lends.
+    /// Slots that this node lends, each with the event channel of its task.
     lent: IndexMap<Borrower, mpsc::UnboundedSender<BorrowerEvent>>,
 }
 
@@ -237,7 +237,7 @@
             }
             wire::Message::Check(number) => {
                 if !self.state().requested.contains_key(&number) {
-                    // No work is sent under a slot that is not recorded here.
+                    // A slot that is not recorded here was released or is never used.
                     self.send(&from.name, wire::Message::Release(number, End::UNSENT));
                 }
             }
