--- a/filbertpaddle/src/coordinator_messages.rs
+++ b/filbertpaddle/src/coordinator_messages.rs
@@ -56,19 +56,25 @@
 /// Records that the work of a slot has reached its target or never will.
 pub(crate) struct WorkSent(pub(crate) Slot);
 
+/// Runs the periodic work of the coordinator.
 pub(crate) struct Tick;
 
+/// The platform's list of VMs was read.
 pub(crate) struct VmsListed(pub(crate) Vec<Vm>);
 
+/// Asks whether this node reads the record from the platform.
 pub(crate) struct IsRecordReader;
 
+/// A read of the record ended; `None` if it failed.
 pub(crate) struct RecordRead {
     pub(crate) requested_ms: Millis,
     pub(crate) record: Option<Record>,
 }
 
+/// A write of the record ended, with or without success.
 pub(crate) struct RecordWritten;
 
+/// A poll of a target's load report ended; `None` if it failed.
 pub(crate) struct TargetPolled {
     pub(crate) pool: Name,
     pub(crate) target: Name,
@@ -155,8 +161,6 @@
 impl Handler<IsRecordReader> for Coordinator {
     type Return = bool;
 
-    /// Returns whether this node reads the record from the platform.
-    ///
     /// The relay reads it for all members. A node that is not a member yet, or
     /// that no relay answers, reads it for itself.
     async fn handle(&mut self, _: IsRecordReader, _: &mut Context<Self>) -> bool {
--- a/filbertpaddle/src/heartbeat.rs
+++ b/filbertpaddle/src/heartbeat.rs
@@ -1,5 +1,5 @@
-//! Chooses a data centre's relay, sends it a node's heartbeats and keeps its last
-//! answer.
+//! Chooses a data centre's relay, schedules a node's heartbeats to it and keeps its
+//! last answer.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::grant_mode::ModeState;
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -102,7 +102,7 @@
         let identity = identity(&settings, advertised);
         let common = Common {
             own: identity.own.clone(),
-            platform: platform(&settings)?,
+            platform: platform_client(&settings)?,
             metrics,
             clock: Clock::start(),
             log: log.clone(),
@@ -192,7 +192,7 @@
     log: Logger,
 }
 
-fn platform(settings: &Settings) -> eyre::Result<Client> {
+fn platform_client(settings: &Settings) -> eyre::Result<Client> {
     let base = format!("http://{}", settings.platform.address);
     let timeout = clock::duration(settings.platform.timeout_ms);
     Ok(Client::new(base, timeout)?)
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -124,12 +124,12 @@
             (Some(owner), Some(epoch)) if owner.epoch() == epoch => {
                 owner.on_roster(now, roster.clone());
             }
-            (slot, Some(epoch)) => {
-                *slot = Some(Owner::new(self.timing, epoch, now, roster.clone()));
+            (owner_state, Some(epoch)) => {
+                *owner_state = Some(Owner::new(self.timing, epoch, now, roster.clone()));
                 self.scheduler.reset(now);
                 self.update_owner_targets();
             }
-            (slot, None) => *slot = None,
+            (owner_state, None) => *owner_state = None,
         }
     }
 
