--- a/filbertpaddle/src/coordinator_inputs.rs
+++ b/filbertpaddle/src/coordinator_messages.rs
@@ -1,4 +1,4 @@
-//! What a coordinator is told, and how it takes it in.
+//! Messages to the coordinator actor and their handlers.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::grant_mode::Mode;
@@ -21,58 +21,64 @@
 use crate::coordinator::Coordinator;
 use crate::coordinator::id;
 use crate::inbox::Incoming;
-use crate::pools::Ask;
 use crate::pools::Grant;
 use crate::pools::Refusal;
 use crate::pools::Slot;
+use crate::pools::SlotRequest;
 use crate::record::Record;
-use crate::registrar;
+use crate::record_edit;
 
-/// When a refused caller may come back.
+/// Time after which a refused caller may retry.
 const RETRY_AFTER_MS: Millis = Millis(1_000);
 
-/// Asks for a slot; the answer goes to `reply`.
+/// Requests a slot; the result is sent to `reply`.
 pub(crate) struct Acquire {
-    pub(crate) ask: Ask,
+    pub(crate) request: SlotRequest,
     pub(crate) reply: oneshot::Sender<Result<Grant, Refusal>>,
 }
 
-/// Gives a slot back.
+/// Releases a slot.
 pub(crate) struct Release {
     pub(crate) slot: Slot,
     pub(crate) end: grant::End,
 }
 
-/// What a leaving node needs to take itself out of the record.
-pub(crate) struct Leaving {
+/// What a leaving node needs to remove itself from the record.
+pub(crate) struct LeaveContext {
     pub(crate) platform: Client,
     pub(crate) data_centre: Name,
     pub(crate) id: NodeId,
 }
 
-/// The node holds no work and stops for good.
+/// Stops edits of the record, since the node holds no work and is shutting down.
 pub(crate) struct Leave;
 
-/// The work of a slot has reached its target.
-pub(crate) struct Sent(pub(crate) Slot);
+/// Records that the work of a slot has reached its target or never will.
+pub(crate) struct WorkSent(pub(crate) Slot);
 
+/// Runs the periodic work of the coordinator.
 pub(crate) struct Tick;
 
-pub(crate) struct Listed(pub(crate) Vec<Vm>);
+/// The platform's list of VMs was read.
+pub(crate) struct VmsListed(pub(crate) Vec<Vm>);
 
-pub(crate) struct IsReader;
+/// Asks whether this node reads the record from the platform.
+pub(crate) struct IsRecordReader;
 
-pub(crate) struct ReadRecord {
-    pub(crate) asked_ms: Millis,
+/// A read of the record ended; `None` if it failed.
+pub(crate) struct RecordRead {
+    pub(crate) requested_ms: Millis,
     pub(crate) record: Option<Record>,
 }
 
-pub(crate) struct Written;
+/// A write of the record ended, with or without success.
+pub(crate) struct RecordWritten;
 
-pub(crate) struct Polled {
+/// A poll of a target's load report ended; `None` if it failed.
+pub(crate) struct TargetPolled {
     pub(crate) pool: Name,
     pub(crate) target: Name,
-    pub(crate) asked_ms: Millis,
+    pub(crate) requested_ms: Millis,
     pub(crate) load: Option<LoadReport>,
 }
 
@@ -91,7 +97,7 @@
 
     async fn handle(&mut self, acquire: Acquire, _: &mut Context<Self>) {
         let now = self.clock.now();
-        let Some(pool) = self.pools.get_mut(&acquire.ask.model) else {
+        let Some(pool) = self.pools.get_mut(&acquire.request.model) else {
             refuse(acquire.reply, Reason::NoTarget);
             return;
         };
@@ -100,11 +106,11 @@
             refuse(acquire.reply, Reason::NoTarget);
             return;
         }
-        pool.wait(now, &acquire.ask, acquire.reply);
-        if self.standing.mode() == Mode::Granted {
-            pool.ask(now);
+        pool.add_waiter(now, &acquire.request, acquire.reply);
+        if self.mode_state.mode() == Mode::Granted {
+            pool.request_slots(now);
         }
-        self.flush(now);
+        self.send_outgoing(now);
     }
 }
 
@@ -116,16 +122,16 @@
         if let Some(pool) = self.pools.get_mut(&release.slot.pool) {
             pool.release(now, &release.slot, release.end);
         }
-        self.flush(now);
+        self.send_outgoing(now);
     }
 }
 
 impl Handler<Leave> for Coordinator {
-    type Return = Leaving;
+    type Return = LeaveContext;
 
-    async fn handle(&mut self, _: Leave, _: &mut Context<Self>) -> Leaving {
+    async fn handle(&mut self, _: Leave, _: &mut Context<Self>) -> LeaveContext {
         self.is_leaving = true;
-        Leaving {
+        LeaveContext {
             platform: self.platform.clone(),
             data_centre: self.own.data_centre.clone(),
             id: self.id.clone(),
@@ -133,77 +139,80 @@
     }
 }
 
-impl Handler<Sent> for Coordinator {
+impl Handler<WorkSent> for Coordinator {
     type Return = ();
 
-    async fn handle(&mut self, sent: Sent, _: &mut Context<Self>) {
+    async fn handle(&mut self, sent: WorkSent, _: &mut Context<Self>) {
         if let Some(pool) = self.pools.get_mut(&sent.0.pool) {
             pool.member.on_sent(&sent.0.key);
         }
     }
 }
 
-impl Handler<Listed> for Coordinator {
+impl Handler<VmsListed> for Coordinator {
     type Return = ();
 
-    async fn handle(&mut self, listed: Listed, _: &mut Context<Self>) {
+    async fn handle(&mut self, list: VmsListed, _: &mut Context<Self>) {
         let now = self.clock.now();
-        self.on_vms(now, &listed.0);
+        self.on_vms(now, &list.0);
     }
 }
 
-impl Handler<IsReader> for Coordinator {
+impl Handler<IsRecordReader> for Coordinator {
     type Return = bool;
 
-    /// The relay reads the record for all, and a node that is no member yet
-    /// or knows no relay for itself.
-    async fn handle(&mut self, _: IsReader, _: &mut Context<Self>) -> bool {
+    /// The relay reads it for all members. A node that is not a member yet, or
+    /// that no relay answers, reads it for itself.
+    async fn handle(&mut self, _: IsRecordReader, _: &mut Context<Self>) -> bool {
         let now = self.clock.now();
-        let is_member = registrar::is_member(&self.id, &self.record.roster);
-        let is_relay = self.heart.relay() == Some(&self.id);
-        is_relay || !is_member || self.heart.is_lost(now)
+        let is_member = record_edit::is_member(&self.id, &self.record.roster);
+        let is_relay = self.heartbeats.relay() == Some(&self.id);
+        is_relay || !is_member || self.heartbeats.is_lost(now)
     }
 }
 
-impl Handler<ReadRecord> for Coordinator {
+impl Handler<RecordRead> for Coordinator {
     type Return = ();
 
-    async fn handle(&mut self, read: ReadRecord, _: &mut Context<Self>) {
+    async fn handle(&mut self, read: RecordRead, _: &mut Context<Self>) {
         let now = self.clock.now();
         let Some(record) = read.record else {
-            warn!(self.log, "Record not read.");
+            warn!(
+                self.log,
+                "cannot read the data centre's record; keeping the last version"
+            );
             return;
         };
-        // An older record than is known here does not confirm anything.
+        // A record older than the one applied here confirms nothing.
         if record.roster.version < self.record.roster.version {
             return;
         }
-        self.read_ms = Some(read.asked_ms);
-        self.relay.on_roster_read(read.asked_ms);
+        self.record_read_ms = Some(read.requested_ms);
+        self.relay.on_roster_read(read.requested_ms);
         self.on_record(now, record);
     }
 }
 
-impl Handler<Written> for Coordinator {
+impl Handler<RecordWritten> for Coordinator {
     type Return = ();
 
-    async fn handle(&mut self, _: Written, _: &mut Context<Self>) {
+    async fn handle(&mut self, _: RecordWritten, _: &mut Context<Self>) {
         self.is_writing = false;
-        // Only a new reading tells what came of it.
-        self.read_ms = None;
+        // Only a new read shows whether the write succeeded.
+        self.record_read_ms = None;
     }
 }
 
-impl Handler<Polled> for Coordinator {
+impl Handler<TargetPolled> for Coordinator {
     type Return = ();
 
-    async fn handle(&mut self, polled: Polled, _: &mut Context<Self>) {
+    async fn handle(&mut self, polled: TargetPolled, _: &mut Context<Self>) {
         let now = self.clock.now();
         let Some(pool) = self.pools.get_mut(&polled.pool) else {
             return;
         };
         if let Some(target) = pool.targets.get_mut(&polled.target) {
-            target.is_polled = false;
+            target.has_open_poll = false;
         }
         let Some(load) = polled.load else {
             return;
@@ -211,9 +220,14 @@
         if load.leaving {
             self.service.on_reclaim(&polled.target);
         }
-        pool.on_report(now, &polled.target, report(polled.asked_ms, &load), &load);
-        pool.own(now);
-        self.flush(now);
+        pool.on_report(
+            now,
+            &polled.target,
+            report(polled.requested_ms, &load),
+            &load,
+        );
+        pool.run_owner(now);
+        self.send_outgoing(now);
     }
 }
 
@@ -235,14 +249,14 @@
         let now = self.clock.now();
         if from.peer.data_centre == self.own.data_centre {
             self.on_grant_message(now, &id(&from.peer), from.message);
-            self.flush(now);
+            self.send_outgoing(now);
         }
     }
 }
 
-fn report(asked_ms: Millis, load: &LoadReport) -> Report {
+fn report(requested_ms: Millis, load: &LoadReport) -> Report {
     Report {
-        taken_ms: Millis(asked_ms.0.saturating_sub(load.age_ms.0)),
+        taken_ms: Millis(requested_ms.0.saturating_sub(load.age_ms.0)),
         incarnation: load.incarnation,
         warm: load.warmth == Warmth::Warm,
         cold_limit: load.cold_limit,
--- a/filbertpaddle/src/generation.rs
+++ b/filbertpaddle/src/generation.rs
@@ -64,7 +64,7 @@
             .targets
             .submit(self.grant.address, submit)
             .await;
-        self.context.slots.sent(self.grant);
+        self.context.slots.mark_sent(self.grant);
         match submitted {
             Ok(stream) => self.relay(stream).await,
             Err(error) if error.is_not_started() => self.not_started(&error),
@@ -83,7 +83,7 @@
     /// Sends a call to a plain service.
     pub(crate) async fn call(mut self, submit: &Submit, idempotent: bool) -> SlotUse {
         let answered = self.context.targets.call(self.grant.address, submit).await;
-        self.context.slots.sent(self.grant);
+        self.context.slots.mark_sent(self.grant);
         match answered {
             Ok(answer) => {
                 self.deliver_token(0, answer.body);
--- a/filbertpaddle/src/inbox.rs
+++ b/filbertpaddle/src/inbox.rs
@@ -1,4 +1,4 @@
-//! Hands what peers send to the part it is for.
+//! Dispatches messages from peers to one inbox for each kind of message.
 
 use filbertpaddle_wire::claim;
 use filbertpaddle_wire::config;
@@ -11,36 +11,36 @@
 use crate::peers::Peer;
 use crate::peers::Received;
 
-/// Most messages that wait for one part.
-const PART_MESSAGES: usize = 8_192;
+/// Maximum number of messages queued in one inbox.
+const MAX_INBOX_MESSAGES: usize = 8_192;
 
-/// A message for one part and the node that sent it.
+/// A message of one kind and the node that sent it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Incoming<M> {
     /// Sender.
     pub peer: Peer,
-    /// What was sent.
+    /// The message.
     pub message: M,
 }
 
-/// Where each part receives its messages.
+/// Receivers of the inboxes.
 #[derive(Debug)]
 pub struct Inboxes {
-    /// For membership.
+    /// Membership messages.
     pub member: mpsc::Receiver<Incoming<member::Message>>,
-    /// For slots on targets.
+    /// Messages about slots on targets.
     pub grant: mpsc::Receiver<Incoming<grant::Message>>,
-    /// For configuration.
+    /// Configuration messages.
     pub config: mpsc::Receiver<Incoming<config::Message>>,
-    /// For claims.
+    /// Claim messages.
     pub claim: mpsc::Receiver<Incoming<claim::Message>>,
-    /// For slots in another data centre.
+    /// Messages about slots in another data centre.
     pub remote: mpsc::Receiver<Incoming<remote::Message>>,
 }
 
-/// The other ends of [`Inboxes`].
+/// Senders to the [`Inboxes`].
 #[derive(Debug)]
-pub struct Outlets {
+pub struct Senders {
     member: mpsc::Sender<Incoming<member::Message>>,
     grant: mpsc::Sender<Incoming<grant::Message>>,
     config: mpsc::Sender<Incoming<config::Message>>,
@@ -48,14 +48,14 @@
     remote: mpsc::Sender<Incoming<remote::Message>>,
 }
 
-/// Opens one inbox for each part.
-pub fn open() -> (Outlets, Inboxes) {
-    let (member, member_inbox) = mpsc::channel(PART_MESSAGES);
-    let (grant, grant_inbox) = mpsc::channel(PART_MESSAGES);
-    let (config, config_inbox) = mpsc::channel(PART_MESSAGES);
-    let (claim, claim_inbox) = mpsc::channel(PART_MESSAGES);
-    let (remote, remote_inbox) = mpsc::channel(PART_MESSAGES);
-    let outlets = Outlets {
+/// Creates the channels of all inboxes.
+pub fn channels() -> (Senders, Inboxes) {
+    let (member, member_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
+    let (grant, grant_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
+    let (config, config_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
+    let (claim, claim_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
+    let (remote, remote_inbox) = mpsc::channel(MAX_INBOX_MESSAGES);
+    let senders = Senders {
         member,
         grant,
         config,
@@ -69,24 +69,24 @@
         claim: claim_inbox,
         remote: remote_inbox,
     };
-    (outlets, inboxes)
+    (senders, inboxes)
 }
 
-/// Hands messages on until all links are gone.
+/// Dispatches messages until all links are gone.
 ///
-/// A part that does not keep up loses messages; every part tolerates that.
-pub async fn dispatch(mut received: mpsc::Receiver<Received>, outlets: Outlets) {
+/// Messages to a full inbox are dropped; every receiver tolerates lost messages.
+pub async fn dispatch(mut received: mpsc::Receiver<Received>, senders: Senders) {
     while let Some(Received { from, message }) = received.recv().await {
         match message {
-            Message::Member(message) => pass(&outlets.member, from, message),
-            Message::Grant(message) => pass(&outlets.grant, from, message),
-            Message::Config(message) => pass(&outlets.config, from, message),
-            Message::Claim(message) => pass(&outlets.claim, from, message),
-            Message::Remote(message) => pass(&outlets.remote, from, message),
+            Message::Member(message) => forward(&senders.member, from, message),
+            Message::Grant(message) => forward(&senders.grant, from, message),
+            Message::Config(message) => forward(&senders.config, from, message),
+            Message::Claim(message) => forward(&senders.claim, from, message),
+            Message::Remote(message) => forward(&senders.remote, from, message),
         }
     }
 }
 
-fn pass<M>(outlet: &mpsc::Sender<Incoming<M>>, peer: Peer, message: M) {
-    outlet.try_send(Incoming { peer, message }).ok();
+fn forward<M>(sender: &mpsc::Sender<Incoming<M>>, peer: Peer, message: M) {
+    sender.try_send(Incoming { peer, message }).ok();
 }
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: its parts, its listeners and its graceful stop.
+//! A node: its components, its listeners and its graceful shutdown.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -43,17 +43,17 @@
 use crate::pools;
 use crate::pools::Pools;
 use crate::refusals::RefusalLog;
-use crate::remote::Remote;
+use crate::remote_slots::RemoteSlots;
 use crate::request_context::RequestContext;
 use crate::retries::Retries;
 use crate::settings::Settings;
 use crate::shared_availability::SharedAvailability;
-use crate::slots::Slots;
+use crate::slot_router::SlotRouter;
 
-/// Most messages from peers that wait to be handled.
-const INBOX_MESSAGES: usize = 16_384;
+/// Maximum number of messages from peers queued for dispatch.
+const MAX_RECEIVED_MESSAGES: usize = 16_384;
 
-/// Most connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1_024;
 
 /// Addresses a node listens on.
@@ -83,7 +83,7 @@
 }
 
 impl Node {
-    /// Binds the listeners and starts all parts.
+    /// Binds the listeners and starts all components.
     ///
     /// # Errors
     ///
@@ -102,14 +102,14 @@
         let identity = identity(&settings, advertised);
         let common = Common {
             own: identity.own.clone(),
-            platform: platform(&settings)?,
+            platform: platform_client(&settings)?,
             metrics,
             clock: Clock::start(),
             log: log.clone(),
         };
         let (peers, inboxes) = start_peers(&settings, identity, peers, &common);
         let service = SharedAvailability::new(common.clock, log::component(&log, "service"));
-        let pools = Pools::start(pools::Parts {
+        let pools = Pools::start(pools::Dependencies {
             own: common.own.clone(),
             peers: peers.clone(),
             member: inboxes.member,
@@ -121,7 +121,7 @@
             placement: settings.placement,
             log: log::component(&log, "pool"),
         });
-        let remote = Remote::start(
+        let remote = RemoteSlots::start(
             common.own.clone(),
             peers.clone(),
             pools.clone(),
@@ -130,7 +130,7 @@
         let claims = start_claims(&settings, &common, peers.clone(), inboxes.claim);
         let (config, templates) = start_config(&common, peers, inboxes.config, &service);
         let desk = Arc::new(desk(&settings, &common, config));
-        let slots = Slots::new(pools, remote);
+        let slots = SlotRouter::new(pools, remote);
         let front = Arc::new(front(&settings, &common, templates, claims, slots)?);
         let servers = vec![
             serve(
@@ -143,7 +143,7 @@
             ),
         ];
         let log = log::component(&log, "node");
-        info!(log, "Node started."; "name" => %settings.node.name);
+        info!(log, "node started"; "name" => %settings.node.name);
         Ok(Self {
             addresses,
             front,
@@ -152,14 +152,14 @@
         })
     }
 
-    /// Returns where the node listens.
+    /// Returns the addresses that the node listens on.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Refuses new work, lets all that runs end, and stops.
+    /// Refuses new requests, waits for running ones to end, and stops.
     pub async fn close(self) {
-        info!(self.log, "Node drains.");
+        info!(self.log, "node draining; new requests are refused");
         self.front.admission.drain().await;
         self.front.slots.leave().await;
         self.front.claims.close().await;
@@ -167,7 +167,7 @@
             server.stop.send(()).ok();
             server.task.await.ok();
         }
-        info!(self.log, "Node stopped.");
+        info!(self.log, "node stopped");
     }
 }
 
@@ -183,7 +183,7 @@
     }
 }
 
-/// What most parts of a node use.
+/// What most components of a node use.
 struct Common {
     own: Peer,
     platform: Client,
@@ -192,7 +192,7 @@
     log: Logger,
 }
 
-fn platform(settings: &Settings) -> eyre::Result<Client> {
+fn platform_client(settings: &Settings) -> eyre::Result<Client> {
     let base = format!("http://{}", settings.platform.address);
     let timeout = clock::duration(settings.platform.timeout_ms);
     Ok(Client::new(base, timeout)?)
@@ -203,7 +203,7 @@
     common: &Common,
     templates: ConfigReader,
     claims: Claims,
-    slots: Slots,
+    slots: SlotRouter,
 ) -> eyre::Result<RequestContext> {
     let own = &common.own;
     let log = &common.log;
@@ -281,20 +281,20 @@
     listener: TcpListener,
     common: &Common,
 ) -> (Peers, Inboxes) {
-    let (inbox, received) = mpsc::channel(INBOX_MESSAGES);
+    let (inbox, received) = mpsc::channel(MAX_RECEIVED_MESSAGES);
     let metrics = Arc::clone(&common.metrics);
     let log = log::component(&common.log, "peer");
     let peers = Peers::start(identity, listener, inbox, metrics, log);
     for address in &settings.peers {
-        peers.learn(*address);
+        peers.add(*address);
     }
-    let (outlets, inboxes) = inbox::open();
-    tokio::spawn(inbox::dispatch(received, outlets));
+    let (senders, inboxes) = inbox::channels();
+    tokio::spawn(inbox::dispatch(received, senders));
     (peers, inboxes)
 }
 
-// Accepted connections inherit the option, so that small writes, each a
-// token, are not held back.
+// Accepted connections inherit `TCP_NODELAY`, so that small writes, one for each
+// token, are sent without delay.
 fn bind(address: SocketAddr) -> eyre::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -1,4 +1,5 @@
-//! One pool of targets on this node: its member, its owner and who waits.
+//! State of one pool of targets on this node: its membership, its waiting
+//! requests and, if this node owns the pool, the owner.
 
 use std::net::SocketAddr;
 
@@ -26,199 +27,211 @@
 use tokio::sync::oneshot;
 
 use crate::peers::Peer;
-use crate::placer;
-use crate::placer::Placer;
-use crate::pools::Ask;
+use crate::pool_scheduler;
+use crate::pool_scheduler::PoolScheduler;
 use crate::pools::Grant;
 use crate::pools::Refusal;
 use crate::pools::Slot;
+use crate::pools::SlotRequest;
 use crate::slot_message;
 
-/// When a refused caller may come back.
+/// Time after which a refused caller may retry.
 const RETRY_AFTER_MS: Millis = Millis(1_000);
-/// Wait before a request that the owner did not queue is sent again.
-pub(crate) const REASK_MS: Millis = Millis(200);
+/// Delay before a slot request that the owner did not queue is sent again, and
+/// interval between two rounds of collect requests.
+pub(crate) const RETRY_INTERVAL_MS: Millis = Millis(200);
 
-/// One target that the platform lists.
+/// A target in the platform's VM list.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     pub(crate) address: SocketAddr,
-    /// How much of its limit may be used, in thousandths.
+    /// Portion of its limit that may be used, in thousandths.
     pub(crate) per_mille: u16,
-    /// Its last report.
+    /// Last load report.
     pub(crate) report: Option<Report>,
-    /// Whether a report is being read.
-    pub(crate) is_polled: bool,
-    /// When the last poll began.
-    pub(crate) polled_ms: Millis,
+    /// Whether a poll of its load report is in progress.
+    pub(crate) has_open_poll: bool,
+    /// When the last poll was started.
+    pub(crate) last_poll_ms: Millis,
 }
 
-/// Someone who waits for a slot.
+/// A request on this node that waits for a slot.
 #[derive(Debug)]
 pub(crate) struct Waiter {
     pub(crate) deadline_ms: Millis,
     pub(crate) reply: oneshot::Sender<Result<Grant, Refusal>>,
     want: WorkSpec,
-    /// Number under which the owner has been asked.
-    asked: Option<u64>,
-    ask_ms: Millis,
+    /// Number of the slot request that is pending at the owner.
+    request_number: Option<u64>,
+    next_request_ms: Millis,
 }
 
-/// A message to another node, or to this one.
+/// A message to a member, which may be this node.
 #[derive(Debug)]
-pub(crate) struct Out {
+pub(crate) struct Outgoing {
     pub(crate) to: NodeId,
     pub(crate) message: Message,
 }
 
-/// One pool.
+/// One pool of targets.
 #[derive(Debug)]
 pub(crate) struct Pool {
     pub(crate) name: Name,
-    pub(crate) terms: Timing,
+    pub(crate) timing: Timing,
     pub(crate) member: Member,
     pub(crate) owner: Option<Owner>,
-    pub(crate) placer: Placer,
-    pub(crate) owned_by: Option<roster::Owner>,
+    pub(crate) scheduler: PoolScheduler,
+    pub(crate) named_owner: Option<roster::Owner>,
     pub(crate) targets: IndexMap<Name, Target>,
     pub(crate) waiters: Vec<Waiter>,
-    pub(crate) stamped_ms: Millis,
-    pub(crate) collected_ms: Millis,
-    pub(crate) recounted_ms: Millis,
-    pub(crate) out: Vec<Out>,
+    pub(crate) last_stamp_ms: Millis,
+    pub(crate) last_collect_ms: Millis,
+    pub(crate) last_recount_ms: Millis,
+    pub(crate) outgoing: Vec<Outgoing>,
 }
 
 impl Pool {
-    pub(crate) fn new(name: Name, terms: Timing, id: NodeId, placement: policy::Settings) -> Self {
+    pub(crate) fn new(name: Name, timing: Timing, id: NodeId, placement: policy::Settings) -> Self {
         Self {
             name,
-            terms,
-            member: Member::new(terms, id),
+            timing,
+            member: Member::new(timing, id),
             owner: None,
-            placer: Placer::new(placement),
-            owned_by: None,
+            scheduler: PoolScheduler::new(placement),
+            named_owner: None,
             targets: IndexMap::new(),
             waiters: Vec::new(),
-            stamped_ms: Millis::ZERO,
-            collected_ms: Millis::ZERO,
-            recounted_ms: Millis::ZERO,
-            out: Vec::new(),
+            last_stamp_ms: Millis::ZERO,
+            last_collect_ms: Millis::ZERO,
+            last_recount_ms: Millis::ZERO,
+            outgoing: Vec::new(),
         }
     }
 
-    /// Follows the record.
+    /// Applies a new version of the record: starts or ends this node's ownership, and
+    /// marks all slot requests to be sent again if the epoch changed.
     pub(crate) fn on_roster(&mut self, now: Millis, own: &NodeId, roster: &Roster) {
         let named = roster.owner(&self.name).cloned();
         let epoch = named.as_ref().map(|owner| owner.epoch);
-        if self.owned_by.as_ref().map(|owner| owner.epoch) != epoch {
+        if self.named_owner.as_ref().map(|owner| owner.epoch) != epoch {
             self.waiters
                 .iter_mut()
-                .for_each(|waiter| waiter.asked = None);
+                .for_each(|waiter| waiter.request_number = None);
         }
         let is_own = named.as_ref().is_some_and(|owner| owner.member == *own);
-        self.owned_by = named;
+        self.named_owner = named;
         match (&mut self.owner, epoch.filter(|_| is_own)) {
             (Some(owner), Some(epoch)) if owner.epoch() == epoch => {
                 owner.on_roster(now, roster.clone());
             }
-            (slot, Some(epoch)) => {
-                *slot = Some(Owner::new(self.terms, epoch, now, roster.clone()));
-                self.placer.restart(now);
-                self.add_targets();
+            (owner_state, Some(epoch)) => {
+                *owner_state = Some(Owner::new(self.timing, epoch, now, roster.clone()));
+                self.scheduler.reset(now);
+                self.update_owner_targets();
             }
-            (slot, None) => *slot = None,
+            (owner_state, None) => *owner_state = None,
         }
     }
 
-    /// Adds someone who waits.
-    pub(crate) fn wait(
+    /// Adds a request that waits for a slot.
+    pub(crate) fn add_waiter(
         &mut self,
         now: Millis,
-        ask: &Ask,
+        request: &SlotRequest,
         reply: oneshot::Sender<Result<Grant, Refusal>>,
     ) {
         self.waiters.push(Waiter {
-            deadline_ms: now + ask.want.wait_ms,
+            deadline_ms: now + request.want.wait_ms,
             reply,
-            want: ask.want.clone(),
-            asked: None,
-            ask_ms: now,
+            want: request.want.clone(),
+            request_number: None,
+            next_request_ms: now,
         });
     }
 
-    /// Asks the owner for all who wait and have not been asked for.
-    pub(crate) fn ask(&mut self, now: Millis) {
-        let Some(owner) = self.owned_by.clone() else {
+    /// Sends the owner a slot request for each waiter that has none pending.
+    pub(crate) fn request_slots(&mut self, now: Millis) {
+        let Some(owner) = self.named_owner.clone() else {
             return;
         };
         for waiter in &mut self.waiters {
-            if waiter.asked.is_some() || now < waiter.ask_ms {
+            if waiter.request_number.is_some() || now < waiter.next_request_ms {
                 continue;
             }
-            let ask = self.member.request_slot(now);
-            waiter.asked = Some(ask.number);
-            self.stamped_ms = now;
-            let ask = grant::SlotRequest {
-                number: ask.number,
-                stamp: ask.stamp,
-                session: ask.session,
+            let request = self.member.request_slot(now);
+            waiter.request_number = Some(request.number);
+            self.last_stamp_ms = now;
+            let request = grant::SlotRequest {
+                number: request.number,
+                stamp: request.stamp,
+                session: request.session,
                 want: WorkSpec {
                     wait_ms: waiter.deadline_ms.since(now),
                     ..waiter.want.clone()
                 },
             };
-            let message = Message::SlotRequest(self.name.clone(), ask);
+            let message = Message::SlotRequest(self.name.clone(), request);
             let to = owner.member.clone();
-            self.out.push(Out { to, message });
+            self.outgoing.push(Outgoing { to, message });
         }
     }
 
-    /// Returns whether the owner is this node or one of the nodes linked to it.
-    pub(crate) fn is_owner_among(&self, linked: &[Peer]) -> bool {
-        let Some(owner) = &self.owned_by else {
+    /// Returns whether the owner is this node or a connected peer; true for a pool
+    /// without an owner.
+    pub(crate) fn is_owner_reachable(&self, connected: &[Peer]) -> bool {
+        let Some(owner) = &self.named_owner else {
             return true;
         };
         let is_owner = |peer: &Peer| {
             peer.name == owner.member.name && peer.incarnation == owner.member.incarnation
         };
-        self.owner.is_some() || linked.iter().any(is_owner)
+        self.owner.is_some() || connected.iter().any(is_owner)
     }
 
-    /// Asks again once the owner can be reached, since what was sent may be lost.
-    pub(crate) fn on_owner_unlinked(&mut self, now: Millis) {
+    /// Marks all slot requests to be sent again, since those sent to the
+    /// unreachable owner may be lost.
+    pub(crate) fn on_owner_unreachable(&mut self, now: Millis) {
         for waiter in &mut self.waiters {
-            waiter.asked = None;
-            waiter.ask_ms = now + REASK_MS;
+            waiter.request_number = None;
+            waiter.next_request_ms = now + RETRY_INTERVAL_MS;
         }
     }
 
-    /// Drops those whose time is over or who have gone, and keeps the owner
-    /// from granting to them.
-    pub(crate) fn sweep(&mut self, now: Millis) {
-        let (over, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiters)
+    /// Removes waiters that are past their deadline or whose caller has gone, and
+    /// withdraws their slot requests; renews the stamp of the remaining ones.
+    pub(crate) fn expire_waiters(&mut self, now: Millis) {
+        let (expired, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiters)
             .into_iter()
             .partition(|waiter| now >= waiter.deadline_ms || waiter.reply.is_closed());
         self.waiters = waiting;
-        for waiter in over {
-            if let Some(number) = waiter.asked {
-                self.tell_owner(Message::Withdraw(self.name.clone(), number));
+        for waiter in expired {
+            if let Some(number) = waiter.request_number {
+                self.send_to_owner(Message::Withdraw(self.name.clone(), number));
             }
-            waiter.reply.send(Err(overloaded())).ok();
+            waiter.reply.send(Err(overloaded_refusal())).ok();
         }
-        let due = now.since(self.stamped_ms).0 * 3 >= self.terms.accept_ms.0;
-        if due && self.waiters.iter().any(|waiter| waiter.asked.is_some()) {
-            self.stamped_ms = now;
+        let due = now.since(self.last_stamp_ms).0 * 3 >= self.timing.accept_ms.0;
+        if due
+            && self
+                .waiters
+                .iter()
+                .any(|waiter| waiter.request_number.is_some())
+        {
+            self.last_stamp_ms = now;
             let stamp = self.member.stamp(now);
-            self.tell_owner(Message::Stamp(self.name.clone(), stamp));
+            self.send_to_owner(Message::Stamp(self.name.clone(), stamp));
         }
     }
 
-    /// Uses this node's shares for those who wait.
-    pub(crate) fn share(&mut self, now: Millis, roster: &Roster) {
+    /// Grants waiters slots within this node's shares of the targets.
+    pub(crate) fn take_shares(&mut self, now: Millis, roster: &Roster) {
         while let Some(waiter) = self.waiters.first() {
-            if self.placer.is_condemned(waiter.want.digest) {
+            if self.scheduler.is_blocked(waiter.want.digest) {
                 let waiter = self.waiters.remove(0);
-                waiter.reply.send(Err(placer::quarantined())).ok();
+                waiter
+                    .reply
+                    .send(Err(pool_scheduler::quarantined_refusal()))
+                    .ok();
                 continue;
             }
             let targets = self
@@ -234,16 +247,16 @@
                 return;
             };
             let waiter = self.waiters.remove(0);
-            self.placer
-                .shared(now, &held.key, &held.target, &waiter.want);
-            self.hand_over(now, waiter, held);
+            self.scheduler
+                .record_local_start(now, &held.key, &held.target, &waiter.want);
+            self.deliver_grant(now, waiter, held);
         }
     }
 
-    /// Handles a message of another member, or of this one.
+    /// Handles a message from a member, which may be this node.
     pub(crate) fn on_message(&mut self, now: Millis, from: &NodeId, message: Message) {
         match message {
-            Message::SlotRequest(_, ask) => self.on_ask(now, from, &ask),
+            Message::SlotRequest(_, request) => self.on_slot_request(now, from, &request),
             Message::Stamp(_, stamp) => {
                 if let Some(owner) = &mut self.owner {
                     owner.on_stamp(from, stamp);
@@ -252,18 +265,20 @@
             Message::Withdraw(_, number) => {
                 if let Some(owner) = &mut self.owner {
                     owner.on_withdraw(from, number);
-                    self.placer.withdraw(from, number);
+                    self.scheduler.withdraw(from, number);
                 }
             }
             Message::Deny(_, number, denial) => self.on_deny(number, denial),
-            Message::Suspect(_, digest, record) => self.placer.suspected(now, digest, &record),
+            Message::Suspect(_, digest, record) => {
+                self.scheduler.merge_crash_record(now, digest, &record)
+            }
             Message::Grant(_, grant) => self.on_grant(now, from, grant),
             Message::Refuse(_, number) => self.on_refuse(now, number),
             Message::Release(_, used, end) => {
                 if let Some(owner) = &mut self.owner {
                     let key = slot_message::key_of_used(from, used);
                     owner.on_release(now, &key, end.ending.is_over());
-                    self.placer.ended(now, &key, end);
+                    self.scheduler.record_end(now, &key, end);
                 }
             }
             Message::CollectRequest(_, collect) => self.on_collect(from, &collect),
@@ -280,21 +295,21 @@
         }
     }
 
-    /// Takes a slot back from whoever used it.
+    /// Releases a slot that this node holds.
     pub(crate) fn release(&mut self, now: Millis, slot: &Slot, end: End) {
         if !self.member.on_end(&slot.key) {
             return;
         }
         if slot.key.source == Source::Share {
-            self.placer.ended(now, &slot.key, end);
+            self.scheduler.record_end(now, &slot.key, end);
         }
         let used = slot_message::to_used(&slot.key);
-        self.tell_owner(Message::Release(self.name.clone(), used, end));
+        self.send_to_owner(Message::Release(self.name.clone(), used, end));
     }
 
     fn on_deny(&mut self, number: u64, denial: Denial) {
-        let asked = |waiter: &Waiter| waiter.asked == Some(number);
-        let Some(index) = self.waiters.iter().position(asked) else {
+        let is_denied = |waiter: &Waiter| waiter.request_number == Some(number);
+        let Some(index) = self.waiters.iter().position(is_denied) else {
             return;
         };
         let waiter = self.waiters.remove(index);
@@ -307,9 +322,9 @@
 
     fn on_refuse(&mut self, now: Millis, number: u64) {
         let mut waiters = self.waiters.iter_mut();
-        if let Some(waiter) = waiters.find(|waiter| waiter.asked == Some(number)) {
-            waiter.asked = None;
-            waiter.ask_ms = now + REASK_MS;
+        if let Some(waiter) = waiters.find(|waiter| waiter.request_number == Some(number)) {
+            waiter.request_number = None;
+            waiter.next_request_ms = now + RETRY_INTERVAL_MS;
         }
     }
 
@@ -333,7 +348,7 @@
         };
         let message = Message::CollectReply(self.name.clone(), message);
         let to = from.clone();
-        self.out.push(Out { to, message });
+        self.outgoing.push(Outgoing { to, message });
     }
 
     fn on_grant(&mut self, now: Millis, from: &NodeId, granted: grant::Grant) {
@@ -343,10 +358,9 @@
             source: Source::Granted,
             number: granted.number,
         };
-        let index = self
-            .waiters
-            .iter()
-            .position(|waiter| waiter.asked == Some(granted.ask) && !waiter.reply.is_closed());
+        let index = self.waiters.iter().position(|waiter| {
+            waiter.request_number == Some(granted.ask) && !waiter.reply.is_closed()
+        });
         let own = self.member.id().clone();
         let grant = slot::Grant {
             key: slot_message::key_of_used(&own, used),
@@ -359,7 +373,7 @@
             .targets
             .get(&grant.target)
             .is_some_and(|t| t.per_mille > 0);
-        let is_wanted = is_open && self.owned_by.as_ref().is_some_and(is_owner);
+        let is_wanted = is_open && self.named_owner.as_ref().is_some_and(is_owner);
         let accepted = match index.filter(|_| is_wanted) {
             Some(index) => self
                 .member
@@ -368,21 +382,21 @@
             None => Err(filbertpaddle_core::member::Refusal::Expired),
         };
         match accepted {
-            Ok((waiter, held)) => self.hand_over(now, waiter, held),
+            Ok((waiter, held)) => self.deliver_grant(now, waiter, held),
             Err(_) => {
                 let to = from.clone();
                 let message = Message::Release(self.name.clone(), used, End::UNSENT);
-                self.out.push(Out { to, message });
+                self.outgoing.push(Outgoing { to, message });
                 self.on_refuse(now, grant.request);
             }
         }
     }
 
-    fn hand_over(&mut self, now: Millis, mut waiter: Waiter, held: HeldWork) {
+    fn deliver_grant(&mut self, now: Millis, mut waiter: Waiter, held: HeldWork) {
         let Some(target) = self.targets.get(&held.target) else {
             self.member.on_end(&held.key);
-            waiter.asked = None;
-            waiter.ask_ms = now;
+            waiter.request_number = None;
+            waiter.next_request_ms = now;
             self.waiters.push(waiter);
             return;
         };
@@ -403,16 +417,16 @@
         }
     }
 
-    fn tell_owner(&mut self, message: Message) {
-        if let Some(owner) = &self.owned_by {
+    fn send_to_owner(&mut self, message: Message) {
+        if let Some(owner) = &self.named_owner {
             let to = owner.member.clone();
-            self.out.push(Out { to, message });
+            self.outgoing.push(Outgoing { to, message });
         }
     }
 }
 
-/// Returns the refusal of a request for which no slot came in time.
-pub(crate) fn overloaded() -> Refusal {
+/// Returns the refusal for a request that got no slot before its deadline.
+pub(crate) fn overloaded_refusal() -> Refusal {
     Refusal {
         reason: Reason::Overloaded,
         retry_after_ms: Some(RETRY_AFTER_MS),
--- a/filbertpaddle/src/pool_owner.rs
+++ b/filbertpaddle/src/pool_owner.rs
@@ -1,4 +1,4 @@
-//! The owner's side of a pool: targets, grants and questions to members.
+//! The owner's side of a pool: targets, grants and collect requests.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
@@ -9,18 +9,19 @@
 use filbertpaddle_wire::grant;
 use filbertpaddle_wire::grant::Message;
 
-use crate::pool::Out;
+use crate::pool::Outgoing;
 use crate::pool::Pool;
-use crate::pool::REASK_MS;
+use crate::pool::RETRY_INTERVAL_MS;
 use crate::slot_message;
 
-/// Time between two questions to every member what it holds, which find what
-/// lost messages have left counted.
-const RECOUNT_MS: Millis = Millis(10_000);
+/// Interval between two collect requests to every member, which find slots that
+/// are still counted because a release was lost.
+const RECOUNT_INTERVAL_MS: Millis = Millis(10_000);
 
 impl Pool {
-    /// Lets the owner know the targets and how much of them may be used.
-    pub(crate) fn add_targets(&mut self) {
+    /// Passes the targets and the usable portions of their limits to the owner;
+    /// targets that are no longer listed get a portion of zero.
+    pub(crate) fn update_owner_targets(&mut self) {
         let Some(owner) = &mut self.owner else {
             return;
         };
@@ -36,7 +37,7 @@
         unlisted.iter().for_each(|name| owner.set_portion(name, 0));
     }
 
-    /// Takes in a target's report.
+    /// Applies a target's load report.
     pub(crate) fn on_report(
         &mut self,
         now: Millis,
@@ -47,50 +48,52 @@
         if let Some(owner) = &mut self.owner {
             owner.on_report(now, name, &report);
         }
-        self.placer.reported(now, name, load, self.owner.as_ref());
+        self.scheduler
+            .record_load(now, name, load, self.owner.as_ref());
         if let Some(target) = self.targets.get_mut(name) {
             target.report = Some(report);
         }
     }
 
-    /// Grants what can be granted, and asks members what they hold.
-    pub(crate) fn own(&mut self, now: Millis) {
+    /// Grants and refuses queued requests, sends changed crash records to members,
+    /// and sends the collect requests that are due.
+    pub(crate) fn run_owner(&mut self, now: Millis) {
         let Some(owner) = &mut self.owner else {
             return;
         };
-        for granted in self.placer.grants(now, owner) {
+        for granted in self.scheduler.make_grants(now, owner) {
             let to = granted.key.holder.clone();
             let message = Message::Grant(self.name.clone(), slot_message::to_grant(granted));
-            self.out.push(Out { to, message });
+            self.outgoing.push(Outgoing { to, message });
         }
-        for denied in self.placer.denied(now) {
-            let number = denied.ask.number;
-            owner.on_withdraw(&denied.ask.holder, number);
+        for denied in self.scheduler.take_denied(now) {
+            let number = denied.request.number;
+            owner.on_withdraw(&denied.request.holder, number);
             let message = Message::Deny(
                 self.name.clone(),
                 number,
                 slot_message::to_denial(&denied.refusal),
             );
-            let to = denied.ask.holder;
-            self.out.push(Out { to, message });
+            let to = denied.request.holder;
+            self.outgoing.push(Outgoing { to, message });
         }
-        for suspect in self.placer.suspects(now) {
+        for suspect in self.scheduler.take_changed_suspects(now) {
             let own = self.member.id();
             for to in owner.members().iter().filter(|id| *id != own) {
                 let record = suspect.record.clone();
                 let message = Message::Suspect(self.name.clone(), suspect.digest, record);
                 let to = to.clone();
-                self.out.push(Out { to, message });
+                self.outgoing.push(Outgoing { to, message });
             }
         }
-        if now.since(self.collected_ms) < REASK_MS {
+        if now.since(self.last_collect_ms) < RETRY_INTERVAL_MS {
             return;
         }
-        self.collected_ms = now;
-        let collects = match now.since(self.recounted_ms) < RECOUNT_MS {
+        self.last_collect_ms = now;
+        let collects = match now.since(self.last_recount_ms) < RECOUNT_INTERVAL_MS {
             true => owner.due_collects(),
             false => {
-                self.recounted_ms = now;
+                self.last_recount_ms = now;
                 owner.recount_requests()
             }
         };
@@ -101,33 +104,38 @@
             };
             let to = collect.holder;
             let message = Message::CollectRequest(self.name.clone(), message);
-            self.out.push(Out { to, message });
+            self.outgoing.push(Outgoing { to, message });
         }
     }
 
-    pub(crate) fn on_ask(&mut self, now: Millis, from: &NodeId, ask: &grant::SlotRequest) {
-        let asked = owner::SlotRequest {
+    pub(crate) fn on_slot_request(
+        &mut self,
+        now: Millis,
+        from: &NodeId,
+        request: &grant::SlotRequest,
+    ) {
+        let queued = owner::SlotRequest {
             holder: from.clone(),
-            number: ask.number,
-            stamp: ask.stamp,
-            session: ask.session,
+            number: request.number,
+            stamp: request.stamp,
+            session: request.session,
         };
         let to = from.clone();
         let owner = self.owner.as_mut();
-        let Some(owner) = owner.and_then(|owner| owner.on_request(asked.clone()).then_some(owner))
+        let Some(owner) = owner.and_then(|owner| owner.on_request(queued.clone()).then_some(owner))
         else {
-            let message = Message::Refuse(self.name.clone(), ask.number);
-            self.out.push(Out { to, message });
+            let message = Message::Refuse(self.name.clone(), request.number);
+            self.outgoing.push(Outgoing { to, message });
             return;
         };
-        if let Err(refusal) = self.placer.push(now, asked, &ask.want) {
-            owner.on_withdraw(from, ask.number);
+        if let Err(refusal) = self.scheduler.push(now, queued, &request.want) {
+            owner.on_withdraw(from, request.number);
             let message = Message::Deny(
                 self.name.clone(),
-                ask.number,
+                request.number,
                 slot_message::to_denial(&refusal),
             );
-            self.out.push(Out { to, message });
+            self.outgoing.push(Outgoing { to, message });
         }
     }
 }
--- a/filbertpaddle/src/pools.rs
+++ b/filbertpaddle/src/pools.rs
@@ -1,4 +1,4 @@
-//! Slots on targets.
+//! Handle to the pools of targets in this node's data centre, which grant slots.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -15,20 +15,20 @@
 
 use crate::coordinator;
 use crate::coordinator::Coordinator;
-pub use crate::coordinator::Parts;
-use crate::coordinator_inputs::Acquire;
-use crate::coordinator_inputs::Leave;
-use crate::coordinator_inputs::Release;
-use crate::coordinator_inputs::Sent;
+pub use crate::coordinator::Dependencies;
+use crate::coordinator_messages::Acquire;
+use crate::coordinator_messages::Leave;
+use crate::coordinator_messages::Release;
+use crate::coordinator_messages::WorkSent;
 use crate::record;
-pub use crate::remote::Borrowed;
+pub use crate::remote_slots::BorrowedSlot;
 
-/// Asks for a slot on a target.
+/// A request for a slot on a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
-    /// Model or plain service that is wanted.
+pub struct SlotRequest {
+    /// Model or plain service, which names the pool.
     pub model: Name,
-    /// What is to be run there.
+    /// What the request is to run, as far as it decides order and target.
     pub want: WorkSpec,
 }
 
@@ -41,10 +41,10 @@
     pub address: SocketAddr,
     /// Fencing number that the target is sent.
     pub fence: u64,
-    /// The slot; none for an attempt that holds its slot elsewhere.
+    /// The slot in this data centre; `None` if it is lent or held elsewhere.
     pub slot: Option<Slot>,
-    /// The slot, if another data centre lends it.
-    pub borrowed: Option<Borrowed>,
+    /// The slot, if it is lent by another data centre.
+    pub borrowed: Option<BorrowedSlot>,
 }
 
 /// A slot that this node holds.
@@ -52,12 +52,13 @@
 pub struct Slot {
     /// Pool of the target.
     pub pool: Name,
-    /// Which work.
+    /// Identifies the work that holds the slot.
     pub key: WorkKey,
 }
 
 impl Grant {
-    /// Names the target of an attempt that runs already and holds its slot elsewhere.
+    /// Returns a grant without a slot, for an attempt that is already running and
+    /// whose slot is held elsewhere.
     pub fn to_resume(target: Name, address: SocketAddr) -> Self {
         Self {
             target,
@@ -69,16 +70,16 @@
     }
 }
 
-/// Why no slot was given; nothing was sent to any target.
+/// Refusal of a slot; nothing was sent to any target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after_ms: Option<Millis>,
 }
 
-/// Gives out slots.
+/// Grants slots on targets of this data centre.
 #[derive(Clone)]
 pub struct Pools {
     actor: Address<Coordinator>,
@@ -91,10 +92,10 @@
 }
 
 impl Pools {
-    /// Joins the data centre and starts to follow its targets.
-    pub fn start(parts: Parts) -> Self {
+    /// Joins the data centre and starts to track its targets.
+    pub fn start(dependencies: Dependencies) -> Self {
         Self {
-            actor: coordinator::start(parts),
+            actor: coordinator::start(dependencies),
         }
     }
 
@@ -102,37 +103,39 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Refusal`] if none is given in time.
-    pub async fn acquire(&self, ask: Ask) -> Result<Grant, Refusal> {
+    /// Returns a [`Refusal`] if none is granted in time.
+    pub async fn acquire(&self, request: SlotRequest) -> Result<Grant, Refusal> {
         let stopped = || Refusal {
             reason: Reason::Draining,
             retry_after_ms: Some(Millis::ZERO),
         };
         let (reply, answer) = oneshot::channel();
-        let acquire = Acquire { ask, reply };
+        let acquire = Acquire { request, reply };
         if self.actor.send(acquire).await.is_err() {
             return Err(stopped());
         }
         answer.await.unwrap_or_else(|_| Err(stopped()))
     }
 
-    /// Notes that the work of a grant has reached its target or never will.
-    pub fn sent(&self, grant: &Grant) {
+    /// Records that the work of a grant has reached its target or never will.
+    pub fn mark_sent(&self, grant: &Grant) {
         if let Some(slot) = grant.slot.clone() {
-            tokio::spawn(self.actor.send(Sent(slot)).detach());
+            tokio::spawn(self.actor.send(WorkSent(slot)).detach());
         }
     }
 
-    /// Takes the node out of its data centre's record, once it holds no work.
+    /// Removes the node from its data centre's record; to be called once the node
+    /// holds no work.
     ///
-    /// If the platform is out, the others find that the node is silent.
+    /// If the platform is unavailable, the relay retires the node when its
+    /// heartbeats stop.
     pub async fn leave(&self) {
         if let Ok(leaving) = self.actor.send(Leave).await {
             record::leave(&leaving.platform, &leaving.data_centre, &leaving.id).await;
         }
     }
 
-    /// Gives a slot back.
+    /// Releases a slot.
     pub fn release(&self, grant: Grant, ending: Ending, tokens: u32) {
         let Some(slot) = grant.slot else {
             return;
--- a/filbertpaddle/src/remote.rs
+++ b/filbertpaddle/src/remote_slots.rs
@@ -1,7 +1,8 @@
-//! Slots in other data centres, for work that the own one cannot take.
+//! Borrows slots of other data centres for work that this one has no target for,
+//! and lends this one's.
 //!
-//! The member that is asked takes the slot as its own, so that owners deal
-//! with members of their data centre only.
+//! The lender acquires the slot as its own, so that owners deal with members of
+//! their data centre only.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -26,25 +27,25 @@
 
 use crate::clock;
 use crate::inbox::Incoming;
-use crate::loan;
-use crate::loan::Note;
+use crate::lent_slot;
+use crate::lent_slot::BorrowerEvent;
 use crate::peers::Peer;
 use crate::peers::Peers;
-use crate::pools::Ask;
 use crate::pools::Grant;
 use crate::pools::Pools;
 use crate::pools::Refusal;
+use crate::pools::SlotRequest;
 use crate::slot_message;
 
-/// Longest wait for a slot of another data centre; the lender takes a slot back
-/// from a borrower that it cannot reach only after a longer time.
-const LONGEST_WAIT_MS: Millis = Millis::from_secs(8);
-/// How much longer than the ask itself an answer may take.
-const ANSWER_SLACK: Duration = Duration::from_secs(1);
+/// Maximum wait for a slot of another data centre; shorter than the time after
+/// which a lender takes a slot back from an unreachable borrower.
+const MAX_WAIT_MS: Millis = Millis::from_secs(8);
+/// Time allowed for an answer beyond the wait of the request.
+const ANSWER_GRACE: Duration = Duration::from_secs(1);
 
-/// Asks other data centres for slots and lends the own one's.
+/// Requests slots of other data centres and lends this data centre's.
 #[derive(Clone, Debug)]
-pub(crate) struct Remote {
+pub(crate) struct RemoteSlots {
     shared: Arc<Shared>,
 }
 
@@ -59,42 +60,42 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Slots that this node has asked for or uses, by number.
-    asked: IndexMap<u64, Asked>,
-    /// Slots that this node lends, by asker and number.
-    lent: IndexMap<Borrower, mpsc::UnboundedSender<Note>>,
+    /// Slots that this node has requested or uses, by number.
+    requested: IndexMap<u64, RequestState>,
+    /// Slots that this node lends, each with the event channel of its task.
+    lent: IndexMap<Borrower, mpsc::UnboundedSender<BorrowerEvent>>,
 }
 
 #[derive(Debug)]
-enum Asked {
+enum RequestState {
     Waiting(oneshot::Sender<Result<wire::Grant, Denial>>),
     InUse,
 }
 
-/// Who uses a lent slot.
+/// Identifies a lent slot by the node that uses it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Borrower {
     /// Name of the node.
     pub(crate) node: Name,
-    /// Life of the node.
+    /// Incarnation of the node.
     pub(crate) incarnation: u64,
-    /// The node's number for the slot.
+    /// Number that the node gave the slot.
     pub(crate) number: u64,
 }
 
-/// A slot that another node lends.
+/// A slot lent by a node of another data centre.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Borrowed {
+pub struct BorrowedSlot {
     /// Node that holds the slot.
     pub lender: Name,
-    /// This node's number for it.
+    /// Number that this node gave the slot.
     pub number: u64,
-    /// Name for the attempt.
+    /// Name for the attempt, chosen by the lender.
     pub attempt: Name,
 }
 
-impl Remote {
-    /// Starts to answer other data centres.
+impl RemoteSlots {
+    /// Starts to handle messages from other data centres.
     pub(crate) fn start(
         own: Peer,
         peers: Peers,
@@ -114,31 +115,36 @@
         remote
     }
 
-    /// Asks one member of each other data centre in turn.
+    /// Requests a slot from one node of each other data centre in turn.
     ///
     /// # Errors
     ///
-    /// Returns the last [`Refusal`] if none gives a slot.
-    pub(crate) async fn acquire(&self, ask: &Ask, refused: Refusal) -> Result<Grant, Refusal> {
-        let mut last = refused;
+    /// Returns the last [`Refusal`] that is not for lack of a target, or else
+    /// `refused`, if none grants a slot.
+    pub(crate) async fn acquire(
+        &self,
+        request: &SlotRequest,
+        refused: Refusal,
+    ) -> Result<Grant, Refusal> {
+        let mut last_refusal = refused;
         for lender in self.lenders() {
-            match self.ask(&lender, ask).await {
+            match self.request_slot(&lender, request).await {
                 Ok(grant) => return Ok(grant),
                 Err(refusal) if refusal.reason == Reason::NoTarget => {}
-                Err(refusal) => last = refusal,
+                Err(refusal) => last_refusal = refusal,
             }
         }
-        Err(last)
+        Err(last_refusal)
     }
 
-    /// Notes that the work has reached its target or never will.
-    pub(crate) fn sent(&self, slot: &Borrowed) {
+    /// Records that the work has reached its target or never will.
+    pub(crate) fn mark_sent(&self, slot: &BorrowedSlot) {
         self.send(&slot.lender, wire::Message::Sent(slot.number));
     }
 
-    /// Gives a slot back.
-    pub(crate) fn release(&self, slot: &Borrowed, end: End) {
-        self.state().asked.swap_remove(&slot.number);
+    /// Releases a slot.
+    pub(crate) fn release(&self, slot: &BorrowedSlot, end: End) {
+        self.state().requested.swap_remove(&slot.number);
         self.send(&slot.lender, wire::Message::Release(slot.number, end));
     }
 
@@ -150,11 +156,11 @@
         self.shared.peers.send(node, Message::Remote(message));
     }
 
-    pub(crate) fn forget_lent(&self, borrower: &Borrower) {
+    pub(crate) fn remove_lent(&self, borrower: &Borrower) {
         self.state().lent.swap_remove(borrower);
     }
 
-    // One connected node of each other data centre, in random order.
+    // Returns one connected node of each other data centre, in random order.
     fn lenders(&self) -> Vec<Peer> {
         let mut peers = self.shared.peers.connected();
         peers.retain(|peer| peer.data_centre != self.shared.own.data_centre);
@@ -166,47 +172,49 @@
         chosen.into_values().collect()
     }
 
-    async fn ask(&self, lender: &Peer, ask: &Ask) -> Result<Grant, Refusal> {
+    async fn request_slot(&self, lender: &Peer, request: &SlotRequest) -> Result<Grant, Refusal> {
         let number = self.shared.next_number.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
-        self.state().asked.insert(number, Asked::Waiting(reply));
-        // A caller that goes away leaves the ask to be given up.
-        let mut pending = Pending {
+        self.state()
+            .requested
+            .insert(number, RequestState::Waiting(reply));
+        // Gives the request up if the caller goes away.
+        let mut pending = PendingRequest {
             remote: self,
             lender: &lender.name,
             number,
-            open: true,
+            is_open: true,
         };
-        let mut want = ask.want.clone();
-        want.wait_ms = want.wait_ms.min(LONGEST_WAIT_MS);
-        let longest = clock::duration(want.wait_ms) + ANSWER_SLACK;
-        let asked = Instant::now();
-        let message = wire::Message::SlotRequest(number, ask.model.clone(), Box::new(want));
+        let mut want = request.want.clone();
+        want.wait_ms = want.wait_ms.min(MAX_WAIT_MS);
+        let answer_timeout = clock::duration(want.wait_ms) + ANSWER_GRACE;
+        let requested_at = Instant::now();
+        let message = wire::Message::SlotRequest(number, request.model.clone(), Box::new(want));
         self.send(&lender.name, message);
-        let answer = tokio::time::timeout(longest, answer).await;
-        if asked.elapsed() > longest {
-            // A node that was paused may find a grant that its lender has given up.
-            return Err(unanswered());
+        let answer = tokio::time::timeout(answer_timeout, answer).await;
+        if requested_at.elapsed() > answer_timeout {
+            // If this node was paused, the lender may have taken the granted slot back.
+            return Err(no_answer_refusal());
         }
         let granted = match answer {
             Ok(Ok(Ok(granted))) => granted,
             Ok(Ok(Err(refusal))) => {
-                pending.open = false;
-                self.state().asked.swap_remove(&number);
+                pending.is_open = false;
+                self.state().requested.swap_remove(&number);
                 return Err(slot_message::to_refusal(refusal));
             }
-            Ok(Err(_)) | Err(_) => return Err(unanswered()),
+            Ok(Err(_)) | Err(_) => return Err(no_answer_refusal()),
         };
         let Ok(address) = granted.address.parse() else {
-            return Err(unanswered());
+            return Err(no_answer_refusal());
         };
-        pending.open = false;
+        pending.is_open = false;
         Ok(Grant {
             target: granted.target,
             address,
             fence: granted.fence,
             slot: None,
-            borrowed: Some(Borrowed {
+            borrowed: Some(BorrowedSlot {
                 lender: lender.name.clone(),
                 number,
                 attempt: granted.attempt,
@@ -217,53 +225,64 @@
     fn on_message(&self, from: Peer, message: wire::Message) {
         match message {
             wire::Message::SlotRequest(number, model, want) => {
-                self.lend(from, number, Ask { model, want: *want });
+                self.lend(from, number, SlotRequest { model, want: *want });
             }
             wire::Message::Grant(number, grant) => self.on_answer(number, Ok(grant)),
             wire::Message::Refuse(number, refusal) => self.on_answer(number, Err(refusal)),
-            wire::Message::Sent(number) => self.note(&from, number, Note::Sent),
-            wire::Message::Release(number, end) => self.note(&from, number, Note::Released(end)),
+            wire::Message::Sent(number) => {
+                self.on_borrower_event(&from, number, BorrowerEvent::Sent)
+            }
+            wire::Message::Release(number, end) => {
+                self.on_borrower_event(&from, number, BorrowerEvent::Released(end))
+            }
             wire::Message::Check(number) => {
-                if !self.state().asked.contains_key(&number) {
-                    // What is not known here is never sent, or was given back.
+                if !self.state().requested.contains_key(&number) {
+                    // A slot that is not recorded here was released or is never used.
                     self.send(&from.name, wire::Message::Release(number, End::UNSENT));
                 }
             }
         }
     }
 
-    // A grant that comes too late finds no entry; the lender's check frees it.
+    // A late grant finds no entry; its slot is released after the lender's next check.
     fn on_answer(&self, number: u64, answer: Result<wire::Grant, Denial>) {
         let mut state = self.state();
-        let Some(asked) = state.asked.get_mut(&number) else {
+        let Some(requested) = state.requested.get_mut(&number) else {
             return;
         };
-        if let Asked::Waiting(reply) = std::mem::replace(asked, Asked::InUse) {
+        if let RequestState::Waiting(reply) = std::mem::replace(requested, RequestState::InUse) {
             reply.send(answer).ok();
         }
     }
 
-    fn lend(&self, from: Peer, number: u64, ask: Ask) {
+    fn lend(&self, from: Peer, number: u64, request: SlotRequest) {
         let borrower = Borrower {
             node: from.name,
             incarnation: from.incarnation,
             number,
         };
-        let (notes, inbox) = mpsc::unbounded_channel();
-        self.state().lent.insert(borrower.clone(), notes);
+        let (events, inbox) = mpsc::unbounded_channel();
+        self.state().lent.insert(borrower.clone(), events);
         let own = self.shared.own.clone();
         let local = self.shared.local.clone();
-        tokio::spawn(loan::run(self.clone(), local, own, borrower, ask, inbox));
+        tokio::spawn(lent_slot::run(
+            self.clone(),
+            local,
+            own,
+            borrower,
+            request,
+            inbox,
+        ));
     }
 
-    fn note(&self, from: &Peer, number: u64, note: Note) {
+    fn on_borrower_event(&self, from: &Peer, number: u64, event: BorrowerEvent) {
         let borrower = Borrower {
             node: from.name.clone(),
             incarnation: from.incarnation,
             number,
         };
-        if let Some(notes) = self.state().lent.get(&borrower) {
-            notes.send(note).ok();
+        if let Some(events) = self.state().lent.get(&borrower) {
+            events.send(event).ok();
         }
     }
 
@@ -275,33 +294,33 @@
     }
 }
 
-/// Gives an ask up unless it was answered.
-struct Pending<'a> {
-    remote: &'a Remote,
+/// Gives a slot request up when dropped, unless it was answered.
+struct PendingRequest<'a> {
+    remote: &'a RemoteSlots,
     lender: &'a Name,
     number: u64,
-    open: bool,
+    is_open: bool,
 }
 
-impl Drop for Pending<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        if self.open {
-            self.remote.state().asked.swap_remove(&self.number);
+        if self.is_open {
+            self.remote.state().requested.swap_remove(&self.number);
             let release = wire::Message::Release(self.number, End::UNSENT);
             self.remote.send(self.lender, release);
         }
     }
 }
 
-async fn receive(remote: Remote, mut inbox: mpsc::Receiver<Incoming<wire::Message>>) {
+async fn receive(remote: RemoteSlots, mut inbox: mpsc::Receiver<Incoming<wire::Message>>) {
     while let Some(Incoming { peer, message }) = inbox.recv().await {
         remote.on_message(peer, message);
     }
 }
 
-fn unanswered() -> Refusal {
+fn no_answer_refusal() -> Refusal {
     Refusal {
         reason: Reason::NoTarget,
-        retry_after_ms: Some(loan::RETRY_AFTER_MS),
+        retry_after_ms: Some(lent_slot::RETRY_AFTER_MS),
     }
 }
--- a/filbertpaddle/src/request_context.rs
+++ b/filbertpaddle/src/request_context.rs
@@ -11,7 +11,7 @@
 use crate::metrics::Metrics;
 use crate::retries::Retries;
 use crate::settings::Limits;
-use crate::slots::Slots;
+use crate::slot_router::SlotRouter;
 
 /// Services and limits shared by all requests of a node.
 #[derive(Debug)]
@@ -21,7 +21,7 @@
     /// Claims of idempotency keys.
     pub claims: Claims,
     /// Slots on targets.
-    pub slots: Slots,
+    pub slots: SlotRouter,
     /// Retry budgets of the pools.
     pub retries: Retries,
     /// Client of targets.
--- a/filbertpaddle/src/run.rs
+++ b/filbertpaddle/src/run.rs
@@ -177,9 +177,9 @@
         slot.map_err(|refusal| self.refused_outcome(refusal))
     }
 
-    fn slot_request(&self) -> pools::Ask {
+    fn slot_request(&self) -> pools::SlotRequest {
         let template = &self.request.template;
-        pools::Ask {
+        pools::SlotRequest {
             model: template.model.clone(),
             want: WorkSpec {
                 template: self.request.template_key(),
