--- a/filbertpaddle-standins/src/process.rs
+++ b/filbertpaddle-standins/src/process.rs
@@ -130,7 +130,7 @@
     /// # Errors
     ///
     /// Returns an error if the process has gone.
-    pub fn wake(&self) -> io::Result<()> {
+    pub fn resume(&self) -> io::Result<()> {
         self.signal(Signal::CONT)
     }
 
--- a/filbertpaddle/tests/at_most_once.rs
+++ b/filbertpaddle/tests/at_most_once.rs
@@ -288,7 +288,7 @@
         assert_eq!(resent, may_have_run(Reason::HolderGone));
     }
     assert_eq!(fleet.executions("a"), 0);
-    fleet.nodes[0].process.wake().unwrap();
+    fleet.nodes[0].process.resume().unwrap();
     let outcome = first.await.unwrap();
     // On a slow machine, the node may have abandoned the claim before it was paused.
     assert!(
@@ -448,7 +448,7 @@
     fleet.nodes[committer].process.pause().unwrap();
     fleet.wait_for_replay(other, "b").await;
     assert_eq!(fleet.executions("b"), 1);
-    fleet.nodes[committer].process.wake().unwrap();
+    fleet.nodes[committer].process.resume().unwrap();
     fleet.wait_for_replay(committer, "b").await;
     assert_eq!(fleet.executions("b"), 1);
 }
--- a/filbertpaddle/tests/configuration.rs
+++ b/filbertpaddle/tests/configuration.rs
@@ -332,7 +332,7 @@
         fleet.node("south-2"),
     ];
     operator::wait_until_applied(&running, PATH, newest).await;
-    paused.process.wake().unwrap();
+    paused.process.resume().unwrap();
     operator::wait_until_applied(&[paused], PATH, newest).await;
     // 3 s are long enough for the paused node to exchange messages with every other node.
     let start = Instant::now();
@@ -372,7 +372,7 @@
     let revision = operator::accepted_revision(&answer);
     let running = [fleet.node("south-1"), fleet.node("south-2")];
     operator::wait_until_applied(&running, PATH, revision).await;
-    paused.process.wake().unwrap();
+    paused.process.resume().unwrap();
     operator::wait_until_applied(&fleet.all(), PATH, revision).await;
     assert_eq!(fleet.count_accepted("two faults").await, 1);
 }
@@ -426,7 +426,7 @@
     let south = report.data_centres.iter().find(|each| each.name == "south");
     assert!(south.unwrap().nodes.iter().all(|node| !node.up_to_date));
     for name in ["south-1", "south-2"] {
-        fleet.node(name).process.wake().unwrap();
+        fleet.node(name).process.resume().unwrap();
     }
     wait::until("all nodes are up to date", async || {
         let report = fleet.operator("north-1").status().await;
--- a/filbertpaddle/tests/ownership.rs
+++ b/filbertpaddle/tests/ownership.rs
@@ -205,7 +205,7 @@
     .await;
     let others = deployment.others(owner);
     deployment.serves(&others).await;
-    deployment.nodes[owner].process.wake().unwrap();
+    deployment.nodes[owner].process.resume().unwrap();
     deployment.load(&[0, 1, 2], 60).await;
     deployment.serves(&[owner]).await;
     assert_eq!(deployment.excess().await, 0);
--- a/filbertpaddle/tests/soak/cluster.rs
+++ b/filbertpaddle/tests/soak/cluster.rs
@@ -340,7 +340,7 @@
             .filter(|stopping| stopping.vm == number);
         let all = running.chain(stopping.map(|stopping| &mut stopping.running));
         for running in all.filter(|running| running.life == life) {
-            running.node.process.wake().unwrap();
+            running.node.process.resume().unwrap();
             running.is_frozen = false;
         }
     }
