--- a/filbertpaddle-standins/src/caller.rs
+++ b/filbertpaddle-standins/src/caller.rs
@@ -11,7 +11,7 @@
 
 use crate::observation::Ending;
 use crate::observation::Observer;
-use crate::workload::Ask;
+use crate::workload::Request;
 
 /// Name of the only parameter of the load tool's templates.
 pub const PARAMETER: &str = "ask";
@@ -38,11 +38,11 @@
 pub async fn run(
     http: &reqwest::Client,
     node: SocketAddr,
-    ask: &Ask,
+    request: &Request,
     observer: &mut Observer,
 ) -> Ending {
-    match send(http, node, ask).await {
-        Ok(response) => observe(response, ask, observer).await,
+    match send(http, node, request).await {
+        Ok(response) => observe(response, request, observer).await,
         Err(error) if error.is_connect() => Ending::NotRun,
         Err(_) => Ending::Broken,
     }
@@ -51,24 +51,24 @@
 async fn send(
     http: &reqwest::Client,
     node: SocketAddr,
-    ask: &Ask,
+    request: &Request,
 ) -> Result<Response, reqwest::Error> {
     let body = json!({
-        "template": ask.kind.name,
-        "parameters": { PARAMETER: ask.parameter },
+        "template": request.kind.name,
+        "parameters": { PARAMETER: request.parameter },
     });
-    let mut request = http
+    let mut builder = http
         .post(format!("http://{node}/v1/requests"))
-        .bearer_auth(key(&ask.customer))
+        .bearer_auth(key(&request.customer))
         .json(&body);
-    if !ask.kind.idempotent {
-        request = request.header("idempotency-key", &ask.marker);
+    if !request.kind.idempotent {
+        builder = builder.header("idempotency-key", &request.marker);
     }
-    request.send().await
+    builder.send().await
 }
 
-async fn observe(response: Response, ask: &Ask, observer: &mut Observer) -> Ending {
-    let streamed = response.status().is_success() && !ask.kind.is_call();
+async fn observe(response: Response, request: &Request, observer: &mut Observer) -> Ending {
+    let streamed = response.status().is_success() && !request.kind.is_call();
     if streamed {
         return stream(response, observer).await;
     }
--- a/filbertpaddle-standins/src/direct.rs
+++ b/filbertpaddle-standins/src/direct.rs
@@ -17,7 +17,7 @@
 use crate::pool::Grant;
 use crate::pool::Pool;
 use crate::pool::Release;
-use crate::workload::Ask;
+use crate::workload::Request;
 
 /// Targets tried for one request.
 const MAX_TRIES: u32 = 3;
@@ -50,10 +50,10 @@
 }
 
 impl Chooser {
-    async fn choose(&self, ask: &Ask) -> Option<Chosen> {
+    async fn choose(&self, request: &Request) -> Option<Chosen> {
         match self {
             Self::Alone(balancer) => balancer.choose().map(Chosen::Alone),
-            Self::Pool(pool) => pool.acquire(ask).await.map(Chosen::Pool),
+            Self::Pool(pool) => pool.acquire(request).await.map(Chosen::Pool),
         }
     }
 
@@ -108,15 +108,15 @@
 
 impl Entry {
     /// Runs one request and returns how it ended.
-    pub async fn run(&self, ask: &Ask, observer: &mut Observer) -> Ending {
+    pub async fn run(&self, request: &Request, observer: &mut Observer) -> Ending {
         let mut ending = Ending::NotRun;
         for number in 0..MAX_TRIES {
-            let chooser = self.chooser(ask);
-            let Some(chosen) = chooser.choose(ask).await else {
+            let chooser = self.chooser(request);
+            let Some(chosen) = chooser.choose(request).await else {
                 break;
             };
             let address = chosen.address();
-            let tried = self.attempt(ask, number, address, observer).await;
+            let tried = self.attempt(request, number, address, observer).await;
             chooser.release(chosen, observer.tokens(), tried.slot_ending());
             match tried {
                 Tried::Ended(ended) => return ended,
@@ -127,8 +127,8 @@
         ending
     }
 
-    const fn chooser(&self, ask: &Ask) -> &Chooser {
-        if ask.kind.is_call() {
+    const fn chooser(&self, request: &Request) -> &Chooser {
+        if request.kind.is_call() {
             &self.services
         } else {
             &self.engines
@@ -137,19 +137,19 @@
 
     async fn attempt(
         &self,
-        ask: &Ask,
+        request: &Request,
         number: u32,
         address: SocketAddr,
         observer: &mut Observer,
     ) -> Tried {
         let submit = Submit {
-            attempt: Name::new(format!("{}-{number}", ask.marker)),
+            attempt: Name::new(format!("{}-{number}", request.marker)),
             fence: 0,
-            priority: ask.priority(),
-            prompt: ask.prompt(),
-            max_tokens: ask.kind.max_tokens,
+            priority: request.priority(),
+            prompt: request.prompt(),
+            max_tokens: request.kind.max_tokens,
         };
-        let result = if ask.kind.is_call() {
+        let result = if request.kind.is_call() {
             self.call(address, &submit, observer).await
         } else {
             self.generate(address, &submit, observer).await
@@ -158,7 +158,7 @@
             Ok(()) => Tried::Ended(Ending::Complete),
             Err(error) if error.is_not_started() && observer.tokens() == 0 => Tried::Nothing,
             Err(_) if observer.tokens() > 0 => Tried::Ended(Ending::Incomplete),
-            Err(_) if ask.kind.idempotent => Tried::Again,
+            Err(_) if request.kind.idempotent => Tried::Again,
             Err(_) => Tried::Ended(Ending::MayHaveRun),
         }
     }
--- a/filbertpaddle-standins/src/experiment.rs
+++ b/filbertpaddle-standins/src/experiment.rs
@@ -40,7 +40,7 @@
 use crate::scenario::Scenario;
 use crate::scenario::Timed;
 use crate::usage;
-use crate::workload::Ask;
+use crate::workload::Request;
 
 /// Time that running requests get to end after the last was sent.
 const DRAIN: Duration = Duration::from_secs(75);
@@ -147,7 +147,7 @@
 /// Returns an error if a process does not start or a control port fails.
 pub async fn run(settings: &Settings) -> Result<Report, Error> {
     let run = Arc::new(Run::start(settings).await?);
-    let asks = settings
+    let requests = settings
         .scenario
         .workload(settings.seed, settings.duration_ms, settings.rate);
     let mut timeline = settings.scenario.timeline(settings.duration_ms);
@@ -161,7 +161,7 @@
     let before = run.usage();
     let start = Instant::now();
     let acts = tokio::spawn(act(run.clone(), timeline, start));
-    let records = load(&run, asks, start).await;
+    let records = load(&run, requests, start).await;
     // A run without requests measures what idle nodes cost.
     tokio::time::sleep_until((start + duration(settings.duration_ms)).into()).await;
     acts.abort();
@@ -196,20 +196,23 @@
 }
 
 /// Sends every request when it is due, whatever became of those before it.
-async fn load(run: &Arc<Run>, asks: Vec<Ask>, start: Instant) -> Vec<Record> {
+async fn load(run: &Arc<Run>, requests: Vec<Request>, start: Instant) -> Vec<Record> {
     let mut tasks = JoinSet::new();
     let mut last = start;
-    for ask in asks {
-        let due = start + duration(ask.at_ms);
+    for request in requests {
+        let due = start + duration(request.at_ms);
         last = due;
         tokio::time::sleep_until(due.into()).await;
         let run = run.clone();
         tasks.spawn(async move {
             let mut observer = Observer::new(due);
             let limit = (due + DRAIN).into();
-            let ending = tokio::time::timeout_at(limit, run.send(&ask, &mut observer)).await;
+            let ending = tokio::time::timeout_at(limit, run.send(&request, &mut observer)).await;
             let observation = observer.end(ending.unwrap_or(Ending::Unfinished));
-            Record { ask, observation }
+            Record {
+                request,
+                observation,
+            }
         });
     }
     let mut records = Vec::new();
@@ -245,7 +248,7 @@
         })
     }
 
-    async fn send(&self, ask: &Ask, observer: &mut Observer) -> Ending {
+    async fn send(&self, request: &Request, observer: &mut Observer) -> Ending {
         let turn = self.turn.fetch_add(1, Ordering::Relaxed);
         let out = *self.out.borrow();
         match &self.front {
@@ -256,12 +259,12 @@
                     .filter(|(number, _)| Some(number % self.data_centres) != out)
                     .map(|(_, entry)| entry)
                     .collect();
-                open[turn % open.len()].run(ask, observer).await
+                open[turn % open.len()].run(request, observer).await
             }
             Front::Nodes(cluster) => {
                 let callers = cluster.callers(out);
                 let node = callers[turn % callers.len()];
-                caller::run(&self.http, node, ask, observer).await
+                caller::run(&self.http, node, request, observer).await
             }
         }
     }
--- a/filbertpaddle-standins/src/pool.rs
+++ b/filbertpaddle-standins/src/pool.rs
@@ -28,7 +28,7 @@
 
 use crate::scheduler::BLOCK_TOKENS;
 use crate::scheduler::TOKEN_BYTES;
-use crate::workload::Ask;
+use crate::workload::Request;
 
 /// Time between two load reports of a target.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
@@ -101,7 +101,7 @@
     }
 
     /// Waits for a target; `None` if none is granted in time.
-    pub async fn acquire(&self, ask: &Ask) -> Option<Grant> {
+    pub async fn acquire(&self, ask: &Request) -> Option<Grant> {
         let (answer, granted) = oneshot::channel();
         let blocks = digests(&ask.kind.prefix(&ask.customer));
         let prompt = ask.prompt();
--- a/filbertpaddle-standins/src/report.rs
+++ b/filbertpaddle-standins/src/report.rs
@@ -17,7 +17,7 @@
 use crate::observation::Violation;
 use crate::service::Counts;
 use crate::usage::Usage;
-use crate::workload::Ask;
+use crate::workload::Request;
 
 /// Longest time that a histogram tells apart, in microseconds.
 const MAX_US: u64 = 600_000_000;
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub struct Record {
     /// The request.
-    pub ask: Ask,
+    pub request: Request,
     /// What its caller saw.
     pub observation: Observation,
 }
@@ -271,7 +271,7 @@
 fn complete_tokens(records: &[Record]) -> u64 {
     records
         .iter()
-        .filter(|record| !record.ask.kind.is_call())
+        .filter(|record| !record.request.kind.is_call())
         .filter(|record| record.observation.ending == Ending::Complete)
         .map(|record| u64::from(record.observation.tokens))
         .sum()
@@ -292,8 +292,8 @@
 fn cached_percent(records: &[Record], totals: &Totals) -> f64 {
     let prompt_bytes: usize = records
         .iter()
-        .filter(|record| !record.ask.kind.is_call())
-        .map(|record| record.ask.prompt().len())
+        .filter(|record| !record.request.kind.is_call())
+        .map(|record| record.request.prompt().len())
         .sum();
     let prompt_tokens = prompt_bytes / crate::scheduler::TOKEN_BYTES;
     totals.cached_tokens as f64 * 100.0 / prompt_tokens.max(1) as f64
@@ -318,7 +318,7 @@
 fn by_customer(records: &[Record]) -> IndexMap<&Name, Vec<&Record>> {
     let mut customers: IndexMap<&Name, Vec<&Record>> = IndexMap::new();
     for record in records {
-        let own = customers.entry(&record.ask.customer).or_default();
+        let own = customers.entry(&record.request.customer).or_default();
         own.push(record);
     }
     customers
@@ -357,13 +357,13 @@
     let mut violations: IndexMap<String, usize> = IndexMap::new();
     let executions = executions(counted);
     for record in records {
-        let runs = executions.get(record.ask.marker.as_str()).copied();
+        let runs = executions.get(record.request.marker.as_str()).copied();
         let runs = runs.unwrap_or_default();
         let mut found = record.observation.violations.clone();
         if record.observation.ending == Ending::NotRun && runs > 0 {
             found.push(Violation::NotRunButRan);
         }
-        if !record.ask.kind.idempotent && runs > 1 {
+        if !record.request.kind.idempotent && runs > 1 {
             found.push(Violation::RanTwice);
         }
         for violation in found {
--- a/filbertpaddle-standins/src/scenario.rs
+++ b/filbertpaddle-standins/src/scenario.rs
@@ -4,9 +4,9 @@
 
 use crate::engine_fault::Fault;
 use crate::workload;
-use crate::workload::Ask;
 use crate::workload::Burst;
 use crate::workload::Kind;
+use crate::workload::Request;
 
 /// Start of the disruption, as a share of the run.
 const DISTURBED_FROM: f64 = 0.3;
@@ -77,7 +77,7 @@
 
 impl Scenario {
     /// Draws the workload for a run.
-    pub fn workload(self, seed: u64, duration_ms: Millis, rate: f64) -> Vec<Ask> {
+    pub fn workload(self, seed: u64, duration_ms: Millis, rate: f64) -> Vec<Request> {
         let settings = workload::Settings {
             seed,
             duration_ms,
--- a/filbertpaddle-standins/src/workload.rs
+++ b/filbertpaddle-standins/src/workload.rs
@@ -113,7 +113,7 @@
 
 /// One request of a workload.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct Request {
     /// When it is sent, from the start of the run.
     pub at_ms: Millis,
     /// Who sends it.
@@ -126,7 +126,7 @@
     pub parameter: String,
 }
 
-impl Ask {
+impl Request {
     /// Returns the whole prompt.
     pub fn prompt(&self) -> String {
         self.kind.prefix(&self.customer) + &self.parameter
@@ -169,12 +169,12 @@
 }
 
 /// Draws a workload, in order of time.
-pub fn draw<F>(settings: &Settings<F>) -> Vec<Ask>
+pub fn draw<F>(settings: &Settings<F>) -> Vec<Request>
 where
     F: Fn(f64) -> f64,
 {
     let mut rng = SmallRng::seed_from_u64(settings.seed);
-    let mut asks = Vec::new();
+    let mut requests = Vec::new();
     let mut bursting = false;
     for at_ms in (0..settings.duration_ms.0).step_by(SLICE_MS as usize) {
         let spell_slices = if bursting { BURST_SLICES } else { CALM_SLICES };
@@ -185,28 +185,40 @@
         let usual = per_slice * swing * (settings.shape)(passed);
         for _ in 0..arrivals(&mut rng, usual) {
             let customer = pick(&mut rng, CUSTOMERS, |(_, share)| *share).0;
-            asks.push(ask(settings, &mut rng, at_ms, customer, asks.len()));
+            requests.push(request(settings, &mut rng, at_ms, customer, requests.len()));
         }
         let Some(burst) = settings.burst else {
             continue;
         };
         if (burst.from..burst.to).contains(&passed) {
             for _ in 0..arrivals(&mut rng, per_slice * burst.rate) {
-                asks.push(ask(settings, &mut rng, at_ms, CUSTOMERS[0].0, asks.len()));
+                requests.push(request(
+                    settings,
+                    &mut rng,
+                    at_ms,
+                    CUSTOMERS[0].0,
+                    requests.len(),
+                ));
             }
         }
     }
-    asks
+    requests
 }
 
-fn ask<F, R>(settings: &Settings<F>, rng: &mut R, at_ms: u64, customer: &str, number: usize) -> Ask
+fn request<F, R>(
+    settings: &Settings<F>,
+    rng: &mut R,
+    at_ms: u64,
+    customer: &str,
+    number: usize,
+) -> Request
 where
     F: Fn(f64) -> f64,
     R: Rng,
 {
     let marker = format!("{}-{number}", settings.seed);
     let filler = "x".repeat(rng.random_range(0..400));
-    Ask {
+    Request {
         at_ms: Millis(at_ms + rng.random_range(0..SLICE_MS)),
         customer: customer.into(),
         kind: *pick(rng, settings.kinds, |kind| kind.share),
--- a/filbertpaddle-standins/tests/load.rs
+++ b/filbertpaddle-standins/tests/load.rs
@@ -19,17 +19,20 @@
 use filbertpaddle_standins::report::Report;
 use filbertpaddle_standins::report::Title;
 use filbertpaddle_standins::scenario::Scenario;
-use filbertpaddle_standins::workload::Ask;
+use filbertpaddle_standins::workload::Request;
 use filbertpaddle_target::client;
 use filbertpaddle_target::client::Client;
 
-fn asks(seed: u64) -> Vec<Ask> {
+fn requests(seed: u64) -> Vec<Request> {
     Scenario::Steady.workload(seed, Millis::from_secs(20), 30.0)
 }
 
-fn record(ask: Ask, ending: Ending) -> Record {
+fn record(request: Request, ending: Ending) -> Record {
     let observation = Observer::new(Instant::now()).end(ending);
-    Record { ask, observation }
+    Record {
+        request,
+        observation,
+    }
 }
 
 fn report(records: &[Record], counted: &Counted) -> Report {
@@ -45,29 +48,35 @@
 
 #[test]
 fn a_workload_comes_from_its_seed_alone() {
-    assert_eq!(asks(1), asks(1));
-    assert_ne!(asks(1), asks(2));
+    assert_eq!(requests(1), requests(1));
+    assert_ne!(requests(1), requests(2));
     let none = Scenario::Steady.workload(1, Millis::from_secs(20), 0.0);
     assert!(none.is_empty());
 }
 
 #[test]
 fn every_request_has_a_marker_of_its_own() {
-    let asks = asks(3);
-    let mut markers: Vec<String> = asks
+    let requests = requests(3);
+    let mut markers: Vec<String> = requests
         .iter()
-        .map(|ask| marker::marker(&ask.prompt()).unwrap())
+        .map(|request| marker::marker(&request.prompt()).unwrap())
         .collect();
     markers.sort();
     markers.dedup();
-    assert_eq!(markers.len(), asks.len());
+    assert_eq!(markers.len(), requests.len());
 }
 
 #[test]
 fn executions_at_targets_are_held_against_what_callers_were_told() {
-    let asks = asks(1);
-    let refused = asks.iter().find(|ask| ask.kind.idempotent).unwrap();
-    let repeated = asks.iter().find(|ask| !ask.kind.idempotent).unwrap();
+    let requests = requests(1);
+    let refused = requests
+        .iter()
+        .find(|request| request.kind.idempotent)
+        .unwrap();
+    let repeated = requests
+        .iter()
+        .find(|request| !request.kind.idempotent)
+        .unwrap();
     let records = [
         record(refused.clone(), Ending::NotRun),
         record(repeated.clone(), Ending::Complete),
@@ -91,9 +100,15 @@
     observer.token(1, "bb.1 ");
     observer.token(3, "aa.3 ");
     observer.count(4);
-    let ask = asks(1).remove(0);
+    let request = requests(1).remove(0);
     let observation = observer.end(Ending::Complete);
-    let report = report(&[Record { ask, observation }], &Counted::default());
+    let report = report(
+        &[Record {
+            request,
+            observation,
+        }],
+        &Counted::default(),
+    );
     assert_eq!(report.violations["spliced"], 1);
     assert_eq!(report.violations["order"], 1);
     assert_eq!(report.violations["count"], 1);
@@ -115,11 +130,11 @@
         engines: chooser(),
         services: chooser(),
     };
-    let letter = |ask: &Ask| ask.kind.name == "letter";
-    let ask = asks(1).into_iter().find(letter).unwrap();
+    let letter = |request: &Request| request.kind.name == "letter";
+    let request = requests(1).into_iter().find(letter).unwrap();
     let mut observer = Observer::new(Instant::now());
-    let ending = entry.run(&ask, &mut observer).await;
+    let ending = entry.run(&request, &mut observer).await;
     assert_eq!(ending, Ending::MayHaveRun);
-    assert_eq!(engine.counters().executions[&ask.marker], 1);
+    assert_eq!(engine.counters().executions[&request.marker], 1);
     engine.close().await;
 }
