--- a/filbertpaddle-standins/src/direct.rs
+++ b/filbertpaddle-standins/src/baseline.rs
@@ -20,49 +20,49 @@
 use crate::workload::Request;
 
 /// Targets tried for one request.
-const MAX_TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// One entry VM of a baseline.
 #[derive(Debug)]
-pub struct Entry {
+pub struct EntryVm {
     /// Client of the targets.
     pub client: Client,
     /// What chooses engines.
-    pub engines: Chooser,
+    pub engines: TargetSelector,
     /// What chooses plain services.
-    pub services: Chooser,
+    pub services: TargetSelector,
 }
 
 /// What chooses a target for one request.
 #[derive(Debug)]
-pub enum Chooser {
+pub enum TargetSelector {
     /// This entry VM by itself.
-    Alone(Balancer),
+    Independent(Balancer),
     /// One pool for all entry VMs.
     Pool(Pool),
 }
 
 /// A target that was chosen.
 #[derive(Clone, Copy, Debug)]
-enum Chosen {
-    Alone(SocketAddr),
+enum SelectedTarget {
+    Independent(SocketAddr),
     Pool(Grant),
 }
 
-impl Chooser {
-    async fn choose(&self, request: &Request) -> Option<Chosen> {
+impl TargetSelector {
+    async fn select(&self, request: &Request) -> Option<SelectedTarget> {
         match self {
-            Self::Alone(balancer) => balancer.choose().map(Chosen::Alone),
-            Self::Pool(pool) => pool.acquire(request).await.map(Chosen::Pool),
+            Self::Independent(balancer) => balancer.choose().map(SelectedTarget::Independent),
+            Self::Pool(pool) => pool.acquire(request).await.map(SelectedTarget::Pool),
         }
     }
 
-    fn release(&self, chosen: Chosen, tokens: u32, ending: slot::Ending) {
-        match (self, chosen) {
-            (Self::Alone(balancer), Chosen::Alone(address)) => {
+    fn release(&self, selected: SelectedTarget, tokens: u32, ending: slot::Ending) {
+        match (self, selected) {
+            (Self::Independent(balancer), SelectedTarget::Independent(address)) => {
                 balancer.release(address, ending != slot::Ending::Complete);
             }
-            (Self::Pool(pool), Chosen::Pool(grant)) => pool.release(Release {
+            (Self::Pool(pool), SelectedTarget::Pool(grant)) => pool.release(Release {
                 grant,
                 tokens,
                 ending,
@@ -74,60 +74,60 @@
     /// Takes a data centre out, or brings all back.
     pub fn set_out(&self, data_centre: Option<usize>) {
         match self {
-            Self::Alone(balancer) => balancer.set_out(data_centre),
+            Self::Independent(balancer) => balancer.set_out(data_centre),
             Self::Pool(pool) => pool.set_out(data_centre),
         }
     }
 }
 
-impl Chosen {
+impl SelectedTarget {
     const fn address(&self) -> SocketAddr {
         match self {
-            Self::Alone(address) => *address,
+            Self::Independent(address) => *address,
             Self::Pool(grant) => grant.address,
         }
     }
 }
 
 /// How one try ended.
-enum Tried {
+enum AttemptResult {
     Ended(Ending),
-    Again,
-    Nothing,
+    Retryable,
+    NotStarted,
 }
 
-impl Tried {
+impl AttemptResult {
     const fn slot_ending(&self) -> slot::Ending {
         match self {
             Self::Ended(Ending::Complete) => slot::Ending::Complete,
-            Self::Ended(_) | Self::Again => slot::Ending::Failed,
-            Self::Nothing => slot::Ending::Unsent,
+            Self::Ended(_) | Self::Retryable => slot::Ending::Failed,
+            Self::NotStarted => slot::Ending::Unsent,
         }
     }
 }
 
-impl Entry {
+impl EntryVm {
     /// Runs one request and returns how it ended.
     pub async fn run(&self, request: &Request, observer: &mut Observer) -> Ending {
         let mut ending = Ending::NotRun;
-        for number in 0..MAX_TRIES {
-            let chooser = self.chooser(request);
-            let Some(chosen) = chooser.choose(request).await else {
+        for number in 0..MAX_ATTEMPTS {
+            let selector = self.selector(request);
+            let Some(selected) = selector.select(request).await else {
                 break;
             };
-            let address = chosen.address();
-            let tried = self.attempt(request, number, address, observer).await;
-            chooser.release(chosen, observer.tokens(), tried.slot_ending());
-            match tried {
-                Tried::Ended(ended) => return ended,
-                Tried::Again => ending = Ending::MayHaveRun,
-                Tried::Nothing => {}
+            let address = selected.address();
+            let result = self.attempt(request, number, address, observer).await;
+            selector.release(selected, observer.tokens(), result.slot_ending());
+            match result {
+                AttemptResult::Ended(ended) => return ended,
+                AttemptResult::Retryable => ending = Ending::MayHaveRun,
+                AttemptResult::NotStarted => {}
             }
         }
         ending
     }
 
-    const fn chooser(&self, request: &Request) -> &Chooser {
+    const fn selector(&self, request: &Request) -> &TargetSelector {
         if request.kind.is_call() {
             &self.services
         } else {
@@ -141,7 +141,7 @@
         number: u32,
         address: SocketAddr,
         observer: &mut Observer,
-    ) -> Tried {
+    ) -> AttemptResult {
         let submit = Submit {
             attempt: Name::new(format!("{}-{number}", request.marker)),
             fence: 0,
@@ -149,17 +149,19 @@
             prompt: request.prompt(),
             max_tokens: request.kind.max_tokens,
         };
-        let result = if request.kind.is_call() {
+        let outcome = if request.kind.is_call() {
             self.call(address, &submit, observer).await
         } else {
             self.generate(address, &submit, observer).await
         };
-        match result {
-            Ok(()) => Tried::Ended(Ending::Complete),
-            Err(error) if error.is_not_started() && observer.tokens() == 0 => Tried::Nothing,
-            Err(_) if observer.tokens() > 0 => Tried::Ended(Ending::Incomplete),
-            Err(_) if request.kind.idempotent => Tried::Again,
-            Err(_) => Tried::Ended(Ending::MayHaveRun),
+        match outcome {
+            Ok(()) => AttemptResult::Ended(Ending::Complete),
+            Err(error) if error.is_not_started() && observer.tokens() == 0 => {
+                AttemptResult::NotStarted
+            }
+            Err(_) if observer.tokens() > 0 => AttemptResult::Ended(Ending::Incomplete),
+            Err(_) if request.kind.idempotent => AttemptResult::Retryable,
+            Err(_) => AttemptResult::Ended(Ending::MayHaveRun),
         }
     }
 
@@ -170,7 +172,7 @@
         observer: &mut Observer,
     ) -> Result<(), Error> {
         self.client.call(address, submit).await?;
-        observer.answer(1);
+        observer.record_answer(1);
         Ok(())
     }
 
@@ -181,7 +183,7 @@
         observer: &mut Observer,
     ) -> Result<(), Error> {
         let mut stream = self.client.submit(address, submit).await?;
-        match relay(&mut stream, observer).await {
+        match observe_stream(&mut stream, observer).await {
             Ok(()) => Ok(()),
             Err(_) => {
                 let from = stream.next_index();
@@ -191,17 +193,17 @@
                     let text = error.to_string();
                     Error::Unknown(UnknownOutcome::ConnectionLost(text))
                 })?;
-                relay(&mut stream, observer).await
+                observe_stream(&mut stream, observer).await
             }
         }
     }
 }
 
-async fn relay(stream: &mut Tokens, observer: &mut Observer) -> Result<(), Error> {
+async fn observe_stream(stream: &mut Tokens, observer: &mut Observer) -> Result<(), Error> {
     while let Some(received) = stream.next().await? {
         match received {
-            Received::Token { index, text } => observer.token(index, &text),
-            Received::End { tokens, .. } => observer.count(tokens),
+            Received::Token { index, text } => observer.record_token(index, &text),
+            Received::End { tokens, .. } => observer.check_token_count(tokens),
             Received::OtherAttempt { .. } | Received::Repeated { .. } => {}
         }
     }
--- a/filbertpaddle-standins/src/caller.rs
+++ b/filbertpaddle-standins/src/caller.rs
@@ -14,7 +14,7 @@
 use crate::workload::Request;
 
 /// Name of the only parameter of the load tool's templates.
-pub const PARAMETER: &str = "ask";
+pub const TEMPLATE_PARAMETER: &str = "ask";
 
 #[derive(Deserialize)]
 struct Token {
@@ -30,7 +30,7 @@
 }
 
 /// Returns the key by which a customer proves itself.
-pub fn key(customer: &str) -> String {
+pub fn api_key(customer: &str) -> String {
     format!("load-tool-key-{customer}")
 }
 
@@ -55,11 +55,11 @@
 ) -> Result<Response, reqwest::Error> {
     let body = json!({
         "template": request.kind.name,
-        "parameters": { PARAMETER: request.parameter },
+        "parameters": { TEMPLATE_PARAMETER: request.parameter },
     });
     let mut builder = http
         .post(format!("http://{node}/v1/requests"))
-        .bearer_auth(key(&request.customer))
+        .bearer_auth(api_key(&request.customer))
         .json(&body);
     if !request.kind.idempotent {
         builder = builder.header("idempotency-key", &request.marker);
@@ -70,12 +70,12 @@
 async fn observe(response: Response, request: &Request, observer: &mut Observer) -> Ending {
     let streamed = response.status().is_success() && !request.kind.is_call();
     if streamed {
-        return stream(response, observer).await;
+        return read_stream(response, observer).await;
     }
     match response.json::<Outcome>().await {
         Ok(outcome) => {
             if let Outcome::Complete { tokens } = outcome {
-                observer.answer(tokens);
+                observer.record_answer(tokens);
             }
             ending(&outcome)
         }
@@ -83,18 +83,18 @@
     }
 }
 
-async fn stream(mut response: Response, observer: &mut Observer) -> Ending {
+async fn read_stream(mut response: Response, observer: &mut Observer) -> Ending {
     let mut buffer = BytesMut::new();
     let mut event = Event::default();
     while let Ok(Some(chunk)) = response.chunk().await {
         buffer.extend_from_slice(&chunk);
         while let Some(line) = take_line(&mut buffer) {
             if !line.is_empty() {
-                event.read(&line);
+                event.parse_line(&line);
                 continue;
             }
             let finished = std::mem::take(&mut event);
-            if let Some(ending) = take(&finished, observer) {
+            if let Some(ending) = record_event(&finished, observer) {
                 return ending;
             }
         }
@@ -103,17 +103,17 @@
 }
 
 /// Notes an event; returns the ending if it is the last.
-fn take(event: &Event, observer: &mut Observer) -> Option<Ending> {
+fn record_event(event: &Event, observer: &mut Observer) -> Option<Ending> {
     match event.name.as_str() {
         "token" => {
             let token: Token = serde_json::from_str(&event.data).ok()?;
-            observer.token(token.index, &token.text);
+            observer.record_token(token.index, &token.text);
             None
         }
         "end" => {
             let outcome: Outcome = serde_json::from_str(&event.data).ok()?;
             if let Outcome::Complete { tokens } | Outcome::Incomplete { tokens, .. } = outcome {
-                observer.count(tokens);
+                observer.check_token_count(tokens);
             }
             Some(ending(&outcome))
         }
@@ -138,7 +138,7 @@
 }
 
 impl Event {
-    fn read(&mut self, line: &str) {
+    fn parse_line(&mut self, line: &str) {
         let (field, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
         match field {
--- a/filbertpaddle-standins/src/cluster.rs
+++ b/filbertpaddle-standins/src/cluster.rs
@@ -33,10 +33,10 @@
 pub const SERVICE: &str = "bookings";
 
 /// How often a node is asked whether it is ready.
-const READY_INTERVAL: Duration = Duration::from_millis(100);
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Most times that a node is asked.
-const READY_TRIES: u32 = 300;
+const MAX_READY_CHECKS: u32 = 300;
 
 /// Why a cluster did not start or did not follow.
 #[derive(Debug, Error)]
@@ -52,7 +52,7 @@
     Io(#[from] io::Error),
     /// A node did not accept a change of the configuration.
     #[error("{path} was not set: {answer}")]
-    Refused {
+    ChangeRefused {
         /// Path of the entry.
         path: String,
         /// What the node answered.
@@ -70,9 +70,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Program of the stand-ins.
-    pub standin: PathBuf,
+    pub standin_program: PathBuf,
     /// Program of the nodes.
-    pub node: PathBuf,
+    pub node_program: PathBuf,
     /// Data centres.
     pub data_centres: usize,
     /// Nodes in all.
@@ -83,7 +83,7 @@
 
 /// Addresses of the platform stand-in.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct Platform {
+pub struct PlatformAddresses {
     /// Where it serves.
     pub address: SocketAddr,
     /// Its control port.
@@ -92,7 +92,7 @@
 
 /// Addresses of a node.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct Addresses {
+pub struct NodeAddresses {
     /// For callers.
     pub callers: SocketAddr,
     /// For operators.
@@ -104,11 +104,11 @@
 /// A running platform and running nodes.
 #[derive(Debug)]
 pub struct Cluster {
-    platform: Child<Platform>,
-    nodes: Vec<Child<Addresses>>,
+    platform: Child<PlatformAddresses>,
+    nodes: Vec<Child<NodeAddresses>>,
     data_centres: usize,
     directory: PathBuf,
-    service_revision: AtomicU64,
+    data_centre_revision: AtomicU64,
     http: reqwest::Client,
 }
 
@@ -123,8 +123,8 @@
         fleet: &Fleet,
         http: reqwest::Client,
     ) -> Result<Self, Error> {
-        let platform: Child<Platform> =
-            Child::start(&settings.standin, &["platform".to_owned()]).await?;
+        let platform: Child<PlatformAddresses> =
+            Child::start(&settings.standin_program, &["platform".to_owned()]).await?;
         let directory = std::env::temp_dir().join(format!("filbertpaddle-load-{}", platform.pid));
         std::fs::create_dir_all(&directory)?;
         let mut cluster = Self {
@@ -132,7 +132,7 @@
             nodes: Vec::new(),
             data_centres: settings.data_centres,
             directory,
-            service_revision: AtomicU64::new(0),
+            data_centre_revision: AtomicU64::new(0),
             http,
         };
         cluster.publish_vms(fleet).await?;
@@ -142,14 +142,14 @@
         cluster.publish_vms(fleet).await?;
         cluster.wait_until_ready().await?;
         for entry in node_settings::entries() {
-            cluster.put(&entry.path, &entry.value, None).await?;
+            cluster.put_entry(&entry.path, &entry.value, None).await?;
         }
         Ok(cluster)
     }
 
     async fn start_node(&mut self, settings: &Settings, number: usize) -> Result<(), Error> {
         let peers: Vec<SocketAddr> = self.nodes.iter().map(|node| node.ready.peers).collect();
-        let text = node_settings::Node {
+        let text = node_settings::NodeSettings {
             number,
             data_centre: number % self.data_centres,
             platform: self.platform.ready.address,
@@ -160,7 +160,7 @@
         let path = self.directory.join(format!("node-{number}.yaml"));
         std::fs::write(&path, text)?;
         let args = ["serve".to_owned(), path.display().to_string()];
-        let node = Child::start(&settings.node, &args).await?;
+        let node = Child::start(&settings.node_program, &args).await?;
         self.nodes.push(node);
         Ok(())
     }
@@ -168,7 +168,7 @@
     async fn publish_vms(&self, fleet: &Fleet) -> Result<(), Error> {
         let vm = |name: String, data_centre: usize, role, address: SocketAddr, model: &str| Vm {
             name: name.into(),
-            data_centre: node_settings::data_centre(data_centre).into(),
+            data_centre: node_settings::data_centre_name(data_centre).into(),
             role,
             address: address.to_string().into(),
             model: model.into(),
@@ -185,7 +185,7 @@
             vm(name, service.data_centre, VmRole::Target, address, SERVICE)
         });
         let nodes = self.nodes.iter().enumerate().map(|(number, node)| {
-            let name = node_settings::node(number);
+            let name = node_settings::node_name(number);
             let data_centre = number % self.data_centres;
             vm(name, data_centre, VmRole::Entry, node.ready.peers, "")
         });
@@ -198,17 +198,17 @@
         for node in &self.nodes {
             let address = node.ready.callers;
             let url = format!("http://{address}/readyz");
-            let mut tries = 0;
+            let mut checks = 0;
             loop {
                 let answer = self.http.get(&url).send().await;
                 if answer.is_ok_and(|answer| answer.status().is_success()) {
                     break;
                 }
-                tries += 1;
-                if tries > READY_TRIES {
+                checks += 1;
+                if checks > MAX_READY_CHECKS {
                     return Err(Error::NotReady(address));
                 }
-                tokio::time::sleep(READY_INTERVAL).await;
+                tokio::time::sleep(READY_CHECK_INTERVAL).await;
             }
         }
         Ok(())
@@ -219,17 +219,29 @@
     /// # Errors
     ///
     /// Returns an error if the change is not accepted.
-    pub async fn set_service(&self, data_centre: usize, service: &str) -> Result<(), Error> {
-        let path = format!("data-centres/{}", node_settings::data_centre(data_centre));
-        let expected = self.service_revision.load(Ordering::Relaxed);
+    pub async fn set_data_centre_service(
+        &self,
+        data_centre: usize,
+        service: &str,
+    ) -> Result<(), Error> {
+        let path = format!(
+            "data-centres/{}",
+            node_settings::data_centre_name(data_centre)
+        );
+        let expected = self.data_centre_revision.load(Ordering::Relaxed);
         let expected = (expected > 0).then_some(expected);
-        let revision = self.put(&path, &service.into(), expected).await?;
-        self.service_revision.store(revision, Ordering::Relaxed);
+        let revision = self.put_entry(&path, &service.into(), expected).await?;
+        self.data_centre_revision.store(revision, Ordering::Relaxed);
         Ok(())
     }
 
     /// Sets one entry of the configuration and returns its revision.
-    async fn put(&self, path: &str, value: &Value, expected: Option<u64>) -> Result<u64, Error> {
+    async fn put_entry(
+        &self,
+        path: &str,
+        value: &Value,
+        expected: Option<u64>,
+    ) -> Result<u64, Error> {
         let operators = self.nodes.last().map(|node| node.ready.operators);
         let operators = operators.ok_or(Error::NoNode)?;
         let url = format!("http://{operators}/v1/{path}");
@@ -241,10 +253,12 @@
             .send()
             .await?;
         let answer: Value = answer.json().await?;
-        answer["revision"].as_u64().ok_or_else(|| Error::Refused {
-            path: path.to_owned(),
-            answer: answer.to_string(),
-        })
+        answer["revision"]
+            .as_u64()
+            .ok_or_else(|| Error::ChangeRefused {
+                path: path.to_owned(),
+                answer: answer.to_string(),
+            })
     }
 
     /// Switches an outage of the platform on or off.
@@ -263,11 +277,11 @@
     }
 
     /// Returns the callers' addresses of nodes outside a data centre.
-    pub fn callers(&self, out: Option<usize>) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self, excluded: Option<usize>) -> Vec<SocketAddr> {
         self.nodes
             .iter()
             .enumerate()
-            .filter(|(number, _)| Some(number % self.data_centres) != out)
+            .filter(|(number, _)| Some(number % self.data_centres) != excluded)
             .map(|(_, node)| node.ready.callers)
             .collect()
     }
@@ -307,4 +321,4 @@
 }
 
 /// Time that nodes get to learn of targets, configuration and each other.
-pub const SETTLE_MS: Millis = Millis(6_000);
+pub const SETTLE_TIME_MS: Millis = Millis(6_000);
--- a/filbertpaddle-standins/src/command_engine.rs
+++ b/filbertpaddle-standins/src/command_engine.rs
@@ -13,12 +13,12 @@
 struct Ready {
     address: SocketAddr,
     control: SocketAddr,
-    engines: Vec<Bound>,
+    engines: Vec<EngineAddresses>,
 }
 
 /// Addresses of one engine.
 #[derive(Serialize)]
-struct Bound {
+struct EngineAddresses {
     address: SocketAddr,
     control: SocketAddr,
 }
@@ -65,17 +65,17 @@
     for _ in 0..count.max(1) {
         engines.push(Engine::start(settings.clone()).await?);
     }
-    let bound: Vec<Bound> = engines
+    let addresses: Vec<EngineAddresses> = engines
         .iter()
-        .map(|engine| Bound {
+        .map(|engine| EngineAddresses {
             address: engine.address,
             control: engine.control,
         })
         .collect();
     let ready = Ready {
-        address: bound[0].address,
-        control: bound[0].control,
-        engines: bound,
+        address: addresses[0].address,
+        control: addresses[0].control,
+        engines: addresses,
     };
     println!("{}", serde_json::to_string(&ready)?);
     tokio::signal::ctrl_c().await?;
--- a/filbertpaddle-standins/src/command_load.rs
+++ b/filbertpaddle-standins/src/command_load.rs
@@ -6,8 +6,8 @@
 use eyre::WrapErr;
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_standins::experiment;
+use filbertpaddle_standins::experiment::RoutingPolicy;
 use filbertpaddle_standins::experiment::Settings;
-use filbertpaddle_standins::experiment::Way;
 use filbertpaddle_standins::fleet;
 use filbertpaddle_standins::scenario::Scenario;
 use filbertpaddle_standins::summary::Summary;
@@ -17,7 +17,7 @@
 struct Options {
     settings: Settings,
     scenarios: Vec<Scenario>,
-    ways: Vec<Way>,
+    routing_policies: Vec<RoutingPolicy>,
     seeds: Vec<u64>,
     plot: Option<PathBuf>,
     read: Vec<PathBuf>,
@@ -37,10 +37,10 @@
     let scenarios = options.scenarios.iter();
     for scenario in scenarios.filter(|_| options.read.is_empty()) {
         for seed in &options.seeds {
-            for way in &options.ways {
+            for routing_policy in &options.routing_policies {
                 let mut settings = options.settings.clone();
                 settings.scenario = *scenario;
-                settings.way = *way;
+                settings.routing_policy = *routing_policy;
                 settings.seed = *seed;
                 settings.fleet.seed = *seed;
                 let report = experiment::run(&settings).await?;
@@ -71,23 +71,25 @@
     let fleet = &mut options.settings.fleet;
     while let Some(arg) = parser.next()? {
         match arg {
-            lexopt::Arg::Long("scenario") => options.scenarios = list(&mut parser)?,
-            lexopt::Arg::Long("policy") => options.ways = list(&mut parser)?,
-            lexopt::Arg::Long("seeds") => options.seeds = list(&mut parser)?,
+            lexopt::Arg::Long("scenario") => options.scenarios = parse_list(&mut parser)?,
+            lexopt::Arg::Long("policy") => options.routing_policies = parse_list(&mut parser)?,
+            lexopt::Arg::Long("seeds") => options.seeds = parse_list(&mut parser)?,
             lexopt::Arg::Long("seconds") => {
                 let seconds: u64 = parser.value()?.parse()?;
                 options.settings.duration_ms = Millis::from_secs(seconds);
             }
             lexopt::Arg::Long("rate") => options.settings.rate = parser.value()?.parse()?,
-            lexopt::Arg::Long("nodes") => options.settings.entries = parser.value()?.parse()?,
-            lexopt::Arg::Long("node-program") => options.settings.node = parser.value()?.into(),
+            lexopt::Arg::Long("nodes") => options.settings.entry_vms = parser.value()?.parse()?,
+            lexopt::Arg::Long("node-program") => {
+                options.settings.node_program = parser.value()?.into()
+            }
             lexopt::Arg::Long("engines") => fleet.engines = parser.value()?.parse()?,
             lexopt::Arg::Long("services") => fleet.services = parser.value()?.parse()?,
             lexopt::Arg::Long("data-centres") => fleet.data_centres = parser.value()?.parse()?,
             lexopt::Arg::Long("pages") => fleet.pages = parser.value()?.parse()?,
             lexopt::Arg::Long("warm-limit") => fleet.warm_limit = parser.value()?.parse()?,
             lexopt::Arg::Long("cold-limit") => fleet.cold_limit = parser.value()?.parse()?,
-            lexopt::Arg::Long("read") => options.read = list(&mut parser)?,
+            lexopt::Arg::Long("read") => options.read = parse_list(&mut parser)?,
             lexopt::Arg::Long("plot") => options.plot = Some(parser.value()?.into()),
             _ => return Err(arg.unexpected().into()),
         }
@@ -95,7 +97,7 @@
     Ok(options)
 }
 
-fn list<T>(parser: &mut lexopt::Parser) -> eyre::Result<Vec<T>>
+fn parse_list<T>(parser: &mut lexopt::Parser) -> eyre::Result<Vec<T>>
 where
     T: std::str::FromStr,
     T::Err: std::error::Error + Send + Sync + 'static,
@@ -110,12 +112,12 @@
         let program = std::env::current_exe()?;
         let settings = Settings {
             scenario: Scenario::Steady,
-            way: Way::DirectRoundRobin,
+            routing_policy: RoutingPolicy::DirectRoundRobin,
             seed: 1,
             duration_ms: Millis::from_secs(30),
             rate: 30.0,
-            entries: 9,
-            node: program.with_file_name("filbertpaddle"),
+            entry_vms: 9,
+            node_program: program.with_file_name("filbertpaddle"),
             fleet: fleet::Settings {
                 program,
                 seed: 1,
@@ -130,7 +132,10 @@
         Ok(Self {
             settings,
             scenarios: vec![Scenario::Steady],
-            ways: vec![Way::DirectRoundRobin, Way::DirectLeastConnections],
+            routing_policies: vec![
+                RoutingPolicy::DirectRoundRobin,
+                RoutingPolicy::DirectLeastConnections,
+            ],
             seeds: vec![1],
             plot: None,
             read: Vec::new(),
--- a/filbertpaddle-standins/src/command_service.rs
+++ b/filbertpaddle-standins/src/command_service.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 /// Time that a call takes unless told otherwise.
-const DURATION_MS: Millis = Millis(20);
+const DEFAULT_CALL_DURATION_MS: Millis = Millis(20);
 
 /// The line printed once the service serves.
 #[derive(Serialize)]
@@ -22,7 +22,7 @@
 pub(crate) fn run(mut parser: lexopt::Parser) -> eyre::Result<()> {
     let mut settings = Settings {
         listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
-        duration_ms: DURATION_MS,
+        duration_ms: DEFAULT_CALL_DURATION_MS,
     };
     while let Some(arg) = parser.next()? {
         match arg {
--- a/filbertpaddle-standins/src/experiment.rs
+++ b/filbertpaddle-standins/src/experiment.rs
@@ -19,37 +19,37 @@
 
 use crate::balancer::Balancer;
 use crate::balancer::Choice;
+use crate::baseline::EntryVm;
+use crate::baseline::TargetSelector;
 use crate::caller;
 use crate::child;
 use crate::cluster;
 use crate::cluster::Cluster;
-use crate::direct::Chooser;
-use crate::direct::Entry;
 use crate::fleet;
 use crate::fleet::Fleet;
 use crate::fleet::Target;
 use crate::observation::Ending;
 use crate::observation::Observer;
 use crate::pool::Pool;
-use crate::report::Counted;
 use crate::report::NodeCost;
-use crate::report::Record;
 use crate::report::Report;
-use crate::report::Title;
-use crate::scenario::Act;
+use crate::report::RequestRecord;
+use crate::report::RunInfo;
+use crate::report::TargetCounters;
+use crate::scenario::Action;
 use crate::scenario::Scenario;
-use crate::scenario::Timed;
+use crate::scenario::TimedAction;
 use crate::usage;
 use crate::workload::Request;
 
 /// Time that running requests get to end after the last was sent.
-const DRAIN: Duration = Duration::from_secs(75);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(75);
 
 /// Longest silence of a stream that a baseline bears.
-const IDLE_TIMEOUT_MS: Millis = Millis(300_000);
+const BASELINE_IDLE_TIMEOUT_MS: Millis = Millis(300_000);
 
 /// The data centre that scenarios take out.
-const OUT: usize = 0;
+const OUT_OF_SERVICE_DATA_CENTRE: usize = 0;
 
 /// Who chooses targets, and how.
 #[derive(
@@ -64,7 +64,7 @@
     strum::VariantArray,
 )]
 #[strum(serialize_all = "snake_case")]
-pub enum Way {
+pub enum RoutingPolicy {
     /// Entry VMs without coordination, in turn.
     DirectRoundRobin,
     /// Entry VMs without coordination, by their own connections.
@@ -108,7 +108,7 @@
     /// Scenario to run.
     pub scenario: Scenario,
     /// Policy to run it under.
-    pub way: Way,
+    pub routing_policy: RoutingPolicy,
     /// Seed of load and lengths.
     pub seed: u64,
     /// Length of the run.
@@ -116,27 +116,27 @@
     /// Mean requests a second.
     pub rate: f64,
     /// Entry VMs, nodes or simulated ones.
-    pub entries: usize,
+    pub entry_vms: usize,
     /// Program of the nodes.
-    pub node: PathBuf,
+    pub node_program: PathBuf,
     /// Engines and plain services.
     pub fleet: fleet::Settings,
 }
 
 /// What takes the requests.
 #[derive(Debug)]
-enum Front {
-    Direct(Vec<Entry>),
+enum EntryPoints {
+    Direct(Vec<EntryVm>),
     Nodes(Box<Cluster>),
 }
 
 #[derive(Debug)]
 struct Run {
-    front: Front,
+    entry_points: EntryPoints,
     fleet: Fleet,
     http: reqwest::Client,
-    out: watch::Sender<Option<usize>>,
-    turn: AtomicUsize,
+    excluded: watch::Sender<Option<usize>>,
+    next_turn: AtomicUsize,
     data_centres: usize,
 }
 
@@ -151,52 +151,62 @@
         .scenario
         .workload(settings.seed, settings.duration_ms, settings.rate);
     let mut timeline = settings.scenario.timeline(settings.duration_ms);
-    let lead_ms = settings.scenario.lead_ms();
-    if lead_ms > Millis::ZERO {
+    let lead_time_ms = settings.scenario.lead_time_ms();
+    if lead_time_ms > Millis::ZERO {
         for timed in timeline.extract_if(.., |timed| timed.at_ms == Millis::ZERO) {
-            run.act(timed.act).await?;
+            run.apply(timed.action).await?;
         }
-        tokio::time::sleep(duration(lead_ms)).await;
+        tokio::time::sleep(duration(lead_time_ms)).await;
     }
     let before = run.usage();
     let start = Instant::now();
-    let acts = tokio::spawn(act(run.clone(), timeline, start));
-    let records = load(&run, requests, start).await;
+    let timeline_task = tokio::spawn(run_timeline(run.clone(), timeline, start));
+    let records = send_requests(&run, requests, start).await;
     // A run without requests measures what idle nodes cost.
     tokio::time::sleep_until((start + duration(settings.duration_ms)).into()).await;
-    acts.abort();
+    timeline_task.abort();
     // It holds the run until it has ended, and an abort is no failure.
-    let _ = acts.await;
+    let _ = timeline_task.await;
     let node_cost = NodeCost::new(&before, &run.usage(), start.elapsed());
-    let counted = Counted {
-        engines: run.fleet.counters().await?,
-        services: run.fleet.counts().await?,
+    let target_counters = TargetCounters {
+        engines: run.fleet.engine_counters().await?,
+        services: run.fleet.service_counts().await?,
     };
-    let title = Title {
+    let run_info = RunInfo {
         scenario: settings.scenario.to_string(),
-        policy: settings.way.to_string(),
+        policy: settings.routing_policy.to_string(),
         seed: settings.seed,
         duration_s: settings.duration_ms.0 as f64 / 1_000.0,
         rate: settings.rate,
     };
-    let report = Report::new(title, &records, &counted, node_cost, usage::machine_load());
+    let report = Report::new(
+        run_info,
+        &records,
+        &target_counters,
+        node_cost,
+        usage::machine_load(),
+    );
     if let Some(run) = Arc::into_inner(run) {
         run.close().await;
     }
     Ok(report)
 }
 
-async fn act(run: Arc<Run>, timeline: Vec<Timed>, start: Instant) {
+async fn run_timeline(run: Arc<Run>, timeline: Vec<TimedAction>, start: Instant) {
     for timed in timeline {
         tokio::time::sleep_until((start + duration(timed.at_ms)).into()).await;
-        if let Err(error) = run.act(timed.act).await {
-            eprintln!("load: {:?} failed: {error}", timed.act);
+        if let Err(error) = run.apply(timed.action).await {
+            eprintln!("load: {:?} failed: {error}", timed.action);
         }
     }
 }
 
 /// Sends every request when it is due, whatever became of those before it.
-async fn load(run: &Arc<Run>, requests: Vec<Request>, start: Instant) -> Vec<Record> {
+async fn send_requests(
+    run: &Arc<Run>,
+    requests: Vec<Request>,
+    start: Instant,
+) -> Vec<RequestRecord> {
     let mut tasks = JoinSet::new();
     let mut last = start;
     for request in requests {
@@ -206,17 +216,17 @@
         let run = run.clone();
         tasks.spawn(async move {
             let mut observer = Observer::new(due);
-            let limit = (due + DRAIN).into();
+            let limit = (due + DRAIN_TIMEOUT).into();
             let ending = tokio::time::timeout_at(limit, run.send(&request, &mut observer)).await;
-            let observation = observer.end(ending.unwrap_or(Ending::Unfinished));
-            Record {
+            let observation = observer.finish(ending.unwrap_or(Ending::Unfinished));
+            RequestRecord {
                 request,
                 observation,
             }
         });
     }
     let mut records = Vec::new();
-    let end = last + DRAIN + Duration::from_secs(1);
+    let end = last + DRAIN_TIMEOUT + Duration::from_secs(1);
     while let Ok(Some(Ok(record))) = tokio::time::timeout_at(end.into(), tasks.join_next()).await {
         records.push(record);
     }
@@ -230,108 +240,121 @@
             .tcp_nodelay(true)
             .build()?;
         let fleet = Fleet::start(&settings.fleet, http.clone()).await?;
-        let front = match settings.way {
-            Way::DirectRoundRobin => alone(settings, &fleet, Choice::RoundRobin)?,
-            Way::DirectLeastConnections => alone(settings, &fleet, Choice::LeastConnections)?,
-            Way::PoolRoundRobin => pooled(settings, &fleet, Policy::RoundRobin)?,
-            Way::PoolLeastConnections => pooled(settings, &fleet, Policy::LeastConnections)?,
-            Way::PoolPredictive => pooled(settings, &fleet, Policy::Predictive)?,
-            _ => nodes(settings, &fleet, &http).await?,
+        let entry_points = match settings.routing_policy {
+            RoutingPolicy::DirectRoundRobin => {
+                independent_balancers(settings, &fleet, Choice::RoundRobin)?
+            }
+            RoutingPolicy::DirectLeastConnections => {
+                independent_balancers(settings, &fleet, Choice::LeastConnections)?
+            }
+            RoutingPolicy::PoolRoundRobin => shared_pool(settings, &fleet, Policy::RoundRobin)?,
+            RoutingPolicy::PoolLeastConnections => {
+                shared_pool(settings, &fleet, Policy::LeastConnections)?
+            }
+            RoutingPolicy::PoolPredictive => shared_pool(settings, &fleet, Policy::Predictive)?,
+            _ => start_nodes(settings, &fleet, &http).await?,
         };
         Ok(Self {
-            front,
+            entry_points,
             fleet,
             http,
-            out: watch::Sender::new(None),
-            turn: AtomicUsize::new(0),
+            excluded: watch::Sender::new(None),
+            next_turn: AtomicUsize::new(0),
             data_centres: settings.fleet.data_centres,
         })
     }
 
     async fn send(&self, request: &Request, observer: &mut Observer) -> Ending {
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        let out = *self.out.borrow();
-        match &self.front {
-            Front::Direct(entries) => {
-                let open: Vec<&Entry> = entries
+        let turn = self.next_turn.fetch_add(1, Ordering::Relaxed);
+        let excluded = *self.excluded.borrow();
+        match &self.entry_points {
+            EntryPoints::Direct(entry_vms) => {
+                let open: Vec<&EntryVm> = entry_vms
                     .iter()
                     .enumerate()
-                    .filter(|(number, _)| Some(number % self.data_centres) != out)
-                    .map(|(_, entry)| entry)
+                    .filter(|(number, _)| Some(number % self.data_centres) != excluded)
+                    .map(|(_, entry_vm)| entry_vm)
                     .collect();
                 open[turn % open.len()].run(request, observer).await
             }
-            Front::Nodes(cluster) => {
-                let callers = cluster.callers(out);
+            EntryPoints::Nodes(cluster) => {
+                let callers = cluster.caller_addresses(excluded);
                 let node = callers[turn % callers.len()];
                 caller::run(&self.http, node, request, observer).await
             }
         }
     }
 
-    async fn act(&self, act: Act) -> Result<(), Error> {
-        match act {
-            Act::Engines { every, fault } => self.fleet.fault(every, fault).await?,
-            Act::DataCentreOut => self.set_out(Some(OUT)).await?,
-            Act::DataCentreIn => self.set_out(None).await?,
-            Act::PlatformDown => self.set_outage(true).await?,
-            Act::PlatformUp => self.set_outage(false).await?,
+    async fn apply(&self, action: Action) -> Result<(), Error> {
+        match action {
+            Action::Engines { every, fault } => self.fleet.inject_fault(every, fault).await?,
+            Action::DataCentreOut => self.set_out(Some(OUT_OF_SERVICE_DATA_CENTRE)).await?,
+            Action::DataCentreIn => self.set_out(None).await?,
+            Action::PlatformDown => self.set_outage(true).await?,
+            Action::PlatformUp => self.set_outage(false).await?,
         }
         Ok(())
     }
 
     async fn set_out(&self, data_centre: Option<usize>) -> Result<(), Error> {
-        self.out.send_replace(data_centre);
-        match &self.front {
-            Front::Direct(entries) => {
-                for entry in entries {
-                    entry.engines.set_out(data_centre);
-                    entry.services.set_out(data_centre);
+        self.excluded.send_replace(data_centre);
+        match &self.entry_points {
+            EntryPoints::Direct(entry_vms) => {
+                for entry_vm in entry_vms {
+                    entry_vm.engines.set_out(data_centre);
+                    entry_vm.services.set_out(data_centre);
                 }
             }
-            Front::Nodes(cluster) => {
+            EntryPoints::Nodes(cluster) => {
                 let service = if data_centre.is_some() { "out" } else { "in" };
-                cluster.set_service(OUT, service).await?;
+                cluster
+                    .set_data_centre_service(OUT_OF_SERVICE_DATA_CENTRE, service)
+                    .await?;
             }
         }
         Ok(())
     }
 
     async fn set_outage(&self, down: bool) -> Result<(), Error> {
-        if let Front::Nodes(cluster) = &self.front {
+        if let EntryPoints::Nodes(cluster) = &self.entry_points {
             cluster.set_outage(down).await?;
         }
         Ok(())
     }
 
     fn usage(&self) -> Vec<usage::Usage> {
-        match &self.front {
-            Front::Direct(_) => Vec::new(),
-            Front::Nodes(cluster) => cluster.usage(),
+        match &self.entry_points {
+            EntryPoints::Direct(_) => Vec::new(),
+            EntryPoints::Nodes(cluster) => cluster.usage(),
         }
     }
 
     async fn close(self) {
-        if let Front::Nodes(cluster) = self.front {
+        if let EntryPoints::Nodes(cluster) = self.entry_points {
             cluster.close().await;
         }
         self.fleet.close().await;
     }
 }
 
-fn alone(settings: &Settings, fleet: &Fleet, choice: Choice) -> Result<Front, Error> {
+fn independent_balancers(
+    settings: &Settings,
+    fleet: &Fleet,
+    choice: Choice,
+) -> Result<EntryPoints, Error> {
     let client = client()?;
-    let chooser =
-        |targets: &[Target], turn| Chooser::Alone(Balancer::new(choice, &addresses(targets), turn));
-    let entries = (0..settings.entries).map(|number| Entry {
+    let selector = |targets: &[Target], turn| {
+        TargetSelector::Independent(Balancer::new(choice, &addresses(targets), turn))
+    };
+    let entry_vms = (0..settings.entry_vms).map(|number| EntryVm {
         client: client.clone(),
-        engines: chooser(&fleet.engines, number),
-        services: chooser(&fleet.services, number),
+        engines: selector(&fleet.engines, number),
+        services: selector(&fleet.services, number),
     });
-    Ok(Front::Direct(entries.collect()))
+    Ok(EntryPoints::Direct(entry_vms.collect()))
 }
 
-fn pooled(settings: &Settings, fleet: &Fleet, policy: Policy) -> Result<Front, Error> {
+fn shared_pool(settings: &Settings, fleet: &Fleet, policy: Policy) -> Result<EntryPoints, Error> {
     let client = client()?;
     let policy = policy::Settings {
         policy,
@@ -339,18 +362,18 @@
     };
     let engines = Pool::start(&client, policy, &addresses(&fleet.engines));
     let services = Pool::start(&client, policy, &addresses(&fleet.services));
-    let entries = (0..settings.entries).map(|_| Entry {
+    let entry_vms = (0..settings.entry_vms).map(|_| EntryVm {
         client: client.clone(),
-        engines: Chooser::Pool(engines.clone()),
-        services: Chooser::Pool(services.clone()),
+        engines: TargetSelector::Pool(engines.clone()),
+        services: TargetSelector::Pool(services.clone()),
     });
-    Ok(Front::Direct(entries.collect()))
+    Ok(EntryPoints::Direct(entry_vms.collect()))
 }
 
 fn client() -> Result<Client, Error> {
     Ok(Client::new(client::Settings {
         // A baseline waits out what crowding does, so that it is measured.
-        idle_timeout_ms: IDLE_TIMEOUT_MS,
+        idle_timeout_ms: BASELINE_IDLE_TIMEOUT_MS,
         ..client::Settings::default()
     })?)
 }
@@ -362,21 +385,25 @@
         .collect()
 }
 
-async fn nodes(settings: &Settings, fleet: &Fleet, http: &reqwest::Client) -> Result<Front, Error> {
-    let policy = match settings.way {
-        Way::Nodes => None,
-        way => Some(way.to_string()),
+async fn start_nodes(
+    settings: &Settings,
+    fleet: &Fleet,
+    http: &reqwest::Client,
+) -> Result<EntryPoints, Error> {
+    let policy = match settings.routing_policy {
+        RoutingPolicy::Nodes => None,
+        routing_policy => Some(routing_policy.to_string()),
     };
     let settings = cluster::Settings {
-        standin: settings.fleet.program.clone(),
-        node: settings.node.clone(),
+        standin_program: settings.fleet.program.clone(),
+        node_program: settings.node_program.clone(),
         data_centres: settings.fleet.data_centres,
-        nodes: settings.entries,
+        nodes: settings.entry_vms,
         policy,
     };
     let cluster = Cluster::start(&settings, fleet, http.clone()).await?;
-    tokio::time::sleep(duration(cluster::SETTLE_MS)).await;
-    Ok(Front::Nodes(Box::new(cluster)))
+    tokio::time::sleep(duration(cluster::SETTLE_TIME_MS)).await;
+    Ok(EntryPoints::Nodes(Box::new(cluster)))
 }
 
 fn duration(span_ms: Millis) -> Duration {
--- a/filbertpaddle-standins/src/fleet.rs
+++ b/filbertpaddle-standins/src/fleet.rs
@@ -44,18 +44,18 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Bound {
+struct EngineAddresses {
     address: SocketAddr,
     control: SocketAddr,
 }
 
 #[derive(Debug, Deserialize)]
-struct Engines {
-    engines: Vec<Bound>,
+struct EnginesReady {
+    engines: Vec<EngineAddresses>,
 }
 
 #[derive(Debug, Deserialize)]
-struct Service {
+struct ServiceReady {
     address: SocketAddr,
 }
 
@@ -66,8 +66,8 @@
     pub engines: Vec<Target>,
     /// The plain services.
     pub services: Vec<Target>,
-    engine_children: Vec<Child<Engines>>,
-    service_children: Vec<Child<Service>>,
+    engine_children: Vec<Child<EnginesReady>>,
+    service_children: Vec<Child<ServiceReady>>,
     http: reqwest::Client,
 }
 
@@ -86,7 +86,7 @@
             http,
         };
         for data_centre in 0..settings.data_centres {
-            let count = share(settings.engines, settings.data_centres, data_centre);
+            let count = even_share(settings.engines, settings.data_centres, data_centre);
             if count > 0 {
                 fleet.start_engines(settings, data_centre, count).await?;
             }
@@ -112,10 +112,10 @@
             format!("--warm-limit={}", settings.warm_limit),
             format!("--cold-limit={}", settings.cold_limit),
         ];
-        let child: Child<Engines> = Child::start(&settings.program, &args).await?;
-        let targets = child.ready.engines.iter().map(|bound| Target {
-            address: bound.address,
-            control: Some(bound.control),
+        let child: Child<EnginesReady> = Child::start(&settings.program, &args).await?;
+        let targets = child.ready.engines.iter().map(|addresses| Target {
+            address: addresses.address,
+            control: Some(addresses.control),
             data_centre,
         });
         self.engines.extend(targets);
@@ -129,7 +129,7 @@
         data_centre: usize,
     ) -> Result<(), child::Error> {
         let args = ["service".to_owned()];
-        let child: Child<Service> = Child::start(&settings.program, &args).await?;
+        let child: Child<ServiceReady> = Child::start(&settings.program, &args).await?;
         self.services.push(Target {
             address: child.ready.address,
             control: None,
@@ -144,7 +144,7 @@
     /// # Errors
     ///
     /// Returns an error if a control port does not answer.
-    pub async fn fault(&self, every: usize, fault: Fault) -> Result<(), reqwest::Error> {
+    pub async fn inject_fault(&self, every: usize, fault: Fault) -> Result<(), reqwest::Error> {
         let controls = self.engines.iter().filter_map(|engine| engine.control);
         for control in controls.step_by(every.max(1)) {
             let url = format!("http://{control}/control/faults");
@@ -159,7 +159,7 @@
     /// # Errors
     ///
     /// Returns an error if a control port does not answer.
-    pub async fn counters(&self) -> Result<Vec<Counters>, reqwest::Error> {
+    pub async fn engine_counters(&self) -> Result<Vec<Counters>, reqwest::Error> {
         let mut all = Vec::new();
         for control in self.engines.iter().filter_map(|engine| engine.control) {
             let url = format!("http://{control}/control/counters");
@@ -173,7 +173,7 @@
     /// # Errors
     ///
     /// Returns an error if a service does not answer.
-    pub async fn counts(&self) -> Result<Vec<Counts>, reqwest::Error> {
+    pub async fn service_counts(&self) -> Result<Vec<Counts>, reqwest::Error> {
         let mut all = Vec::new();
         for service in &self.services {
             let url = format!("http://{}/v1/counts", service.address);
@@ -194,6 +194,6 @@
 }
 
 /// Returns how many of some things fall to one of several places.
-const fn share(things: usize, places: usize, place: usize) -> usize {
-    things / places + if place < things % places { 1 } else { 0 }
+const fn even_share(total: usize, parts: usize, index: usize) -> usize {
+    total / parts + if index < total % parts { 1 } else { 0 }
 }
--- a/filbertpaddle-standins/src/lengths.rs
+++ b/filbertpaddle-standins/src/lengths.rs
@@ -16,7 +16,7 @@
 
 /// A lognormal body with a Pareto tail.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Mix {
+pub struct LengthDistribution {
     /// Median of the body, in tokens.
     pub median_tokens: f64,
     /// Standard deviation of the body's logarithm.
@@ -30,22 +30,22 @@
 }
 
 /// Lengths by the first word of the prompt; the last entry serves the rest.
-pub const MIXES: &[(&str, Mix)] = &[
-    ("stock", mix(24.0, 0.5, 0.01, 200.0, 1.5)),
-    ("topics", mix(60.0, 0.6, 0.03, 400.0, 1.4)),
-    ("menu", mix(500.0, 0.7, 0.10, 1_500.0, 1.3)),
-    ("summary", mix(220.0, 0.8, 0.08, 1_200.0, 1.2)),
-    ("", mix(120.0, 0.9, 0.05, 800.0, 1.3)),
+pub const LENGTH_DISTRIBUTIONS: &[(&str, LengthDistribution)] = &[
+    ("stock", distribution(24.0, 0.5, 0.01, 200.0, 1.5)),
+    ("topics", distribution(60.0, 0.6, 0.03, 400.0, 1.4)),
+    ("menu", distribution(500.0, 0.7, 0.10, 1_500.0, 1.3)),
+    ("summary", distribution(220.0, 0.8, 0.08, 1_200.0, 1.2)),
+    ("", distribution(120.0, 0.9, 0.05, 800.0, 1.3)),
 ];
 
-const fn mix(
+const fn distribution(
     median_tokens: f64,
     sigma: f64,
     tail_share: f64,
     tail_tokens: f64,
     tail_exponent: f64,
-) -> Mix {
-    Mix {
+) -> LengthDistribution {
+    LengthDistribution {
         median_tokens,
         sigma,
         tail_share,
@@ -61,24 +61,24 @@
 /// however its prompt is put together.
 pub fn draw(seed: u64, prompt: &str) -> u32 {
     let word = prompt.split_whitespace().next().unwrap_or_default();
-    let mix = MIXES
+    let distribution = LENGTH_DISTRIBUTIONS
         .iter()
         .find(|(name, _)| *name == word || name.is_empty())
-        .map_or(MIXES[0].1, |(_, mix)| *mix);
+        .map_or(LENGTH_DISTRIBUTIONS[0].1, |(_, distribution)| *distribution);
     let identity = marker(prompt).unwrap_or_else(|| prompt.to_owned());
     let mut rng = SmallRng::seed_from_u64(xxh3_64_with_seed(identity.as_bytes(), seed));
-    let tokens = sample(&mix, &mut rng);
+    let tokens = sample(&distribution, &mut rng);
     tokens.clamp(1.0, MAX_OUTPUT_TOKENS) as u32
 }
 
-fn sample<R>(mix: &Mix, rng: &mut R) -> f64
+fn sample<R>(distribution: &LengthDistribution, rng: &mut R) -> f64
 where
     R: Rng,
 {
-    if rng.random::<f64>() < mix.tail_share {
-        return Pareto::new(mix.tail_tokens, mix.tail_exponent)
-            .map_or(mix.tail_tokens, |tail| tail.sample(rng));
+    if rng.random::<f64>() < distribution.tail_share {
+        return Pareto::new(distribution.tail_tokens, distribution.tail_exponent)
+            .map_or(distribution.tail_tokens, |tail| tail.sample(rng));
     }
-    LogNormal::new(mix.median_tokens.ln(), mix.sigma)
-        .map_or(mix.median_tokens, |body| body.sample(rng))
+    LogNormal::new(distribution.median_tokens.ln(), distribution.sigma)
+        .map_or(distribution.median_tokens, |body| body.sample(rng))
 }
--- a/filbertpaddle-standins/src/lib.rs
+++ b/filbertpaddle-standins/src/lib.rs
@@ -1,11 +1,11 @@
 //! Stand-ins for development: what surrounds the system, with faults on demand.
 
 pub mod balancer;
+pub mod baseline;
 pub mod batch;
 pub mod caller;
 pub mod child;
 pub mod cluster;
-pub mod direct;
 pub mod engine;
 pub mod engine_fault;
 mod engine_http;
@@ -24,7 +24,7 @@
 pub mod prefix_cache;
 pub mod process;
 pub mod proxy;
-mod pump;
+mod proxy_connection;
 pub mod report;
 pub mod scenario;
 pub mod scheduler;
--- a/filbertpaddle-standins/src/main.rs
+++ b/filbertpaddle-standins/src/main.rs
@@ -9,29 +9,29 @@
 mod command_service;
 
 /// One subcommand: its name and what runs it with the rest of the arguments.
-struct Command {
+struct Subcommand {
     name: &'static str,
     run: fn(lexopt::Parser) -> eyre::Result<()>,
 }
 
-const COMMANDS: &[Command] = &[
-    Command {
+const SUBCOMMANDS: &[Subcommand] = &[
+    Subcommand {
         name: "platform",
         run: command_platform::run,
     },
-    Command {
+    Subcommand {
         name: "proxy",
         run: command_proxy::run,
     },
-    Command {
+    Subcommand {
         name: "engine",
         run: command_engine::run,
     },
-    Command {
+    Subcommand {
         name: "service",
         run: command_service::run,
     },
-    Command {
+    Subcommand {
         name: "load",
         run: command_load::run,
     },
@@ -40,15 +40,22 @@
 fn main() -> eyre::Result<()> {
     let mut parser = lexopt::Parser::from_env();
     let Some(lexopt::Arg::Value(name)) = parser.next()? else {
-        bail!("usage: filbertpaddle-standin {}", names());
+        bail!("usage: filbertpaddle-standin {}", subcommand_names());
     };
-    match COMMANDS.iter().find(|command| name == command.name) {
-        Some(command) => (command.run)(parser),
-        None => bail!("unknown command {}; known: {}", name.display(), names()),
+    match SUBCOMMANDS
+        .iter()
+        .find(|subcommand| name == subcommand.name)
+    {
+        Some(subcommand) => (subcommand.run)(parser),
+        None => bail!(
+            "unknown command {}; known: {}",
+            name.display(),
+            subcommand_names()
+        ),
     }
 }
 
-fn names() -> String {
-    let names = COMMANDS.iter().map(|command| command.name);
+fn subcommand_names() -> String {
+    let names = SUBCOMMANDS.iter().map(|subcommand| subcommand.name);
     names.collect::<Vec<_>>().join("|")
 }
--- a/filbertpaddle-standins/src/node_settings.rs
+++ b/filbertpaddle-standins/src/node_settings.rs
@@ -12,8 +12,8 @@
 use crate::cluster::MODEL;
 use crate::cluster::SERVICE;
 use crate::workload::CUSTOMERS;
-use crate::workload::Kind;
-use crate::workload::USUAL;
+use crate::workload::RequestKind;
+use crate::workload::STANDARD_KINDS;
 
 /// Token of the only operator.
 pub const OPERATOR_TOKEN: &str = "load-tool-operator-token";
@@ -22,18 +22,18 @@
 const SECRET: &str = "load-tool-secret-of-all-nodes-0123456789";
 
 /// Returns the name of a data centre.
-pub fn data_centre(number: usize) -> String {
+pub fn data_centre_name(number: usize) -> String {
     format!("dc-{number}")
 }
 
 /// Returns the name of a node.
-pub fn node(number: usize) -> String {
+pub fn node_name(number: usize) -> String {
     format!("node-{number}")
 }
 
 /// What the settings of one node depend on.
 #[derive(Clone, Copy, Debug)]
-pub struct Node<'a> {
+pub struct NodeSettings<'a> {
     /// Number of the node.
     pub number: usize,
     /// Number of its data centre.
@@ -46,14 +46,14 @@
     pub policy: Option<&'a str>,
 }
 
-impl Node<'_> {
+impl NodeSettings<'_> {
     /// Returns the text of the settings file; JSON is YAML as well.
     pub fn text(&self) -> String {
         let any = "127.0.0.1:0";
         let mut settings = json!({
             "node": {
-                "name": node(self.number),
-                "data_centre": data_centre(self.data_centre),
+                "name": node_name(self.number),
+                "data_centre": data_centre_name(self.data_centre),
             },
             "listen": { "callers": any, "operators": any, "peers": any },
             "peers": self.peers,
@@ -71,7 +71,7 @@
 
 /// One entry of the configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct ConfigurationEntry {
     /// Path below the operators' interface.
     pub path: String,
     /// Value of the entry.
@@ -79,15 +79,15 @@
 }
 
 /// Returns the customers and templates of the load tool.
-pub fn entries() -> Vec<Entry> {
+pub fn entries() -> Vec<ConfigurationEntry> {
     let mut entries = Vec::new();
     for (customer, _) in CUSTOMERS {
-        let key = sha256(&caller::key(customer));
-        entries.push(Entry {
+        let key = sha256(&caller::api_key(customer));
+        entries.push(ConfigurationEntry {
             path: format!("customers/{customer}"),
             value: json!({ "key_sha256": [key] }),
         });
-        entries.extend(USUAL.iter().map(|kind| Entry {
+        entries.extend(STANDARD_KINDS.iter().map(|kind| ConfigurationEntry {
             path: format!("templates/{customer}/{}", kind.name),
             value: template(customer, kind),
         }));
@@ -95,7 +95,7 @@
     entries
 }
 
-fn template(customer: &str, kind: &Kind) -> Value {
+fn template(customer: &str, kind: &RequestKind) -> Value {
     let call = kind.is_call();
     json!({
         "model": if call { SERVICE } else { MODEL },
@@ -104,7 +104,7 @@
         "priority": kind.priority,
         "idempotent": kind.idempotent,
         "prompt": kind.prefix(customer),
-        "parameters": [caller::PARAMETER],
+        "parameters": [caller::TEMPLATE_PARAMETER],
         "max_tokens": kind.max_tokens.max(1),
     })
 }
--- a/filbertpaddle-standins/src/observation.rs
+++ b/filbertpaddle-standins/src/observation.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 /// Gaps beyond this span count as stalls.
-pub const STALL: Duration = Duration::from_millis(250);
+pub const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 
 /// How a request ended for its caller.
 #[derive(
@@ -65,7 +65,7 @@
     /// Time from when the request was due to its first token or answer.
     pub first_token: Option<Duration>,
     /// Time from when the request was due to its end.
-    pub took: Duration,
+    pub duration: Duration,
     /// Times between consecutive tokens.
     pub gaps: Vec<Duration>,
     /// Promises broken.
@@ -74,8 +74,11 @@
 
 impl Observation {
     /// Returns the time by which gaps went beyond a usual one.
-    pub fn stall(&self) -> Duration {
-        self.gaps.iter().map(|gap| gap.saturating_sub(STALL)).sum()
+    pub fn stall_time(&self) -> Duration {
+        self.gaps
+            .iter()
+            .map(|gap| gap.saturating_sub(STALL_THRESHOLD))
+            .sum()
     }
 }
 
@@ -84,78 +87,80 @@
 pub struct Observer {
     due: Instant,
     last: Instant,
-    tag: Option<String>,
-    observed: Observation,
+    generation: Option<String>,
+    observation: Observation,
 }
 
 impl Observer {
     /// Starts observing a request that was due at a time.
     pub fn new(due: Instant) -> Self {
-        let observed = Observation {
+        let observation = Observation {
             ending: Ending::Unfinished,
             tokens: 0,
             first_token: None,
-            took: Duration::ZERO,
+            duration: Duration::ZERO,
             gaps: Vec::new(),
             violations: Vec::new(),
         };
         Self {
             due,
             last: due,
-            tag: None,
-            observed,
+            generation: None,
+            observation,
         }
     }
 
     /// Returns the number of tokens so far.
     pub const fn tokens(&self) -> u32 {
-        self.observed.tokens
+        self.observation.tokens
     }
 
     /// Notes a token.
-    pub fn token(&mut self, index: u32, text: &str) {
+    pub fn record_token(&mut self, index: u32, text: &str) {
         let now = Instant::now();
-        if self.observed.first_token.is_none() {
-            self.observed.first_token = Some(now - self.due);
+        if self.observation.first_token.is_none() {
+            self.observation.first_token = Some(now - self.due);
         } else {
-            self.observed.gaps.push(now - self.last);
+            self.observation.gaps.push(now - self.last);
         }
         self.last = now;
-        self.check(index, text);
-        self.observed.tokens += 1;
+        self.check_token(index, text);
+        self.observation.tokens += 1;
     }
 
     /// Notes a whole answer of a number of tokens.
-    pub fn answer(&mut self, tokens: u32) {
-        self.observed.first_token = Some(self.due.elapsed());
-        self.observed.tokens = tokens;
+    pub fn record_answer(&mut self, tokens: u32) {
+        self.observation.first_token = Some(self.due.elapsed());
+        self.observation.tokens = tokens;
     }
 
     /// Checks the text of a token, which tells its generation and its index.
-    fn check(&mut self, index: u32, text: &str) {
-        let expected = self.observed.tokens;
-        let (tag, inner) = text.trim_end().split_once('.').unwrap_or_default();
+    fn check_token(&mut self, index: u32, text: &str) {
+        let expected = self.observation.tokens;
+        let (generation, inner) = text.trim_end().split_once('.').unwrap_or_default();
         if index != expected || inner.parse() != Ok(expected) {
-            self.observed.violations.push(Violation::Order);
+            self.observation.violations.push(Violation::Order);
         }
-        match &self.tag {
-            None => self.tag = Some(tag.to_owned()),
-            Some(known) if known != tag => self.observed.violations.push(Violation::Spliced),
+        match &self.generation {
+            None => self.generation = Some(generation.to_owned()),
+            Some(known) if known != generation => {
+                self.observation.violations.push(Violation::Spliced)
+            }
             Some(_) => {}
         }
     }
 
     /// Checks the number of tokens that the end told.
-    pub fn count(&mut self, tokens: u32) {
-        if tokens != self.observed.tokens {
-            self.observed.violations.push(Violation::Count);
+    pub fn check_token_count(&mut self, tokens: u32) {
+        if tokens != self.observation.tokens {
+            self.observation.violations.push(Violation::Count);
         }
     }
 
     /// Ends the observation.
-    pub fn end(mut self, ending: Ending) -> Observation {
-        self.observed.ending = ending;
-        self.observed.took = self.due.elapsed();
-        self.observed
+    pub fn finish(mut self, ending: Ending) -> Observation {
+        self.observation.ending = ending;
+        self.observation.duration = self.due.elapsed();
+        self.observation
     }
 }
--- a/filbertpaddle-standins/src/proxy.rs
+++ b/filbertpaddle-standins/src/proxy.rs
@@ -20,7 +20,7 @@
 use warp::http::StatusCode;
 use warp::reply::Response;
 
-use crate::pump;
+use crate::proxy_connection;
 use crate::server::Server;
 
 /// What is wrong with the link at present; the default is nothing.
@@ -73,21 +73,21 @@
     pub address: SocketAddr,
     /// Address that serves the control requests.
     pub control: SocketAddr,
-    state: State,
-    accepting: tokio::task::JoinHandle<()>,
-    controlling: Server,
+    state: SharedState,
+    accept_task: tokio::task::JoinHandle<()>,
+    control_server: Server,
 }
 
 /// State shared between connections.
 #[derive(Clone, Debug)]
-pub(crate) struct State {
+pub(crate) struct SharedState {
     pub(crate) faults: Arc<watch::Sender<Faults>>,
-    pub(crate) meters: Arc<Meters>,
+    pub(crate) counters: Arc<TrafficCounters>,
 }
 
 /// Running counts.
 #[derive(Debug, Default)]
-pub(crate) struct Meters {
+pub(crate) struct TrafficCounters {
     pub(crate) connections: AtomicU64,
     pub(crate) forward_bytes: AtomicU64,
     pub(crate) backward_bytes: AtomicU64,
@@ -114,20 +114,20 @@
         upstream: SocketAddr,
         control: SocketAddr,
     ) -> io::Result<Self> {
-        let state = State {
+        let state = SharedState {
             faults: Arc::new(watch::Sender::new(Faults::default())),
-            meters: Arc::default(),
+            counters: Arc::default(),
         };
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let controlling = Server::start(control, routes(&state)).await?;
-        let accepting = tokio::spawn(accept(listener, upstream, state.clone()));
+        let control_server = Server::start(control, routes(&state)).await?;
+        let accept_task = tokio::spawn(accept(listener, upstream, state.clone()));
         Ok(Self {
             address,
-            control: controlling.address,
+            control: control_server.address,
             state,
-            accepting,
-            controlling,
+            accept_task,
+            control_server,
         })
     }
 
@@ -151,18 +151,18 @@
 
     /// Returns what passed since the start.
     pub fn counts(&self) -> Counts {
-        self.state.meters.counts()
+        self.state.counters.counts()
     }
 
     /// Resets all connections and stops accepting.
     pub async fn close(self) {
         self.set_link(Link::Cut);
-        self.accepting.abort();
-        self.controlling.close().await;
+        self.accept_task.abort();
+        self.control_server.close().await;
     }
 }
 
-impl Meters {
+impl TrafficCounters {
     fn counts(&self) -> Counts {
         Counts {
             connections: self.connections.load(Ordering::Relaxed),
@@ -172,14 +172,14 @@
     }
 }
 
-async fn accept(listener: TcpListener, upstream: SocketAddr, state: State) {
+async fn accept(listener: TcpListener, upstream: SocketAddr, state: SharedState) {
     // Dropping the set when this task is aborted ends all connections.
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 let Ok((client, _)) = accepted else { continue };
-                state.meters.connections.fetch_add(1, Ordering::Relaxed);
+                state.counters.connections.fetch_add(1, Ordering::Relaxed);
                 connections.spawn(serve(client, upstream, state.clone()));
             }
             Some(_) = connections.join_next() => {}
@@ -187,13 +187,13 @@
     }
 }
 
-async fn serve(client: TcpStream, upstream: SocketAddr, state: State) {
+async fn serve(client: TcpStream, upstream: SocketAddr, state: SharedState) {
     // An error on either side ends both; there is nobody to report it to.
-    let _ = pump::connection(client, upstream, &state).await;
+    let _ = proxy_connection::relay_connection(client, upstream, &state).await;
 }
 
 fn routes(
-    state: &State,
+    state: &SharedState,
 ) -> impl Filter<Extract = (Response,), Error = Rejection> + Clone + Send + Sync + 'static {
     let with = {
         let state = state.clone();
@@ -204,13 +204,13 @@
         .and(warp::post())
         .and(with.clone())
         .and(warp::body::json())
-        .map(|state: State, faults: Faults| {
+        .map(|state: SharedState, faults: Faults| {
             state.faults.send_replace(faults);
             StatusCode::NO_CONTENT.into_response()
         });
     let counts = warp::path!("control" / "counts")
         .and(warp::get())
         .and(with)
-        .map(|state: State| warp::reply::json(&state.meters.counts()).into_response());
+        .map(|state: SharedState| warp::reply::json(&state.counters.counts()).into_response());
     set.or(counts).unify()
 }
--- a/filbertpaddle-standins/src/pump.rs
+++ b/filbertpaddle-standins/src/proxy_connection.rs
@@ -18,15 +18,15 @@
 
 use crate::proxy::Faults;
 use crate::proxy::Link;
-use crate::proxy::State;
+use crate::proxy::SharedState;
 
 /// Most bytes read at once.
-const PIECE_BYTES: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 /// Pieces of data that may be on the link at once, in each direction.
-const MAX_PIECES: usize = 64;
+const MAX_CHUNKS_IN_FLIGHT: usize = 64;
 
 /// Data on its way.
-struct Piece {
+struct Chunk {
     due: Instant,
     bytes: Bytes,
 }
@@ -39,7 +39,7 @@
 }
 
 /// How a connection ends.
-enum End {
+enum ConnectionEnd {
     /// Both sides have closed it.
     Closed,
     /// The link is cut.
@@ -49,10 +49,10 @@
 }
 
 /// Carries bytes between `client` and `upstream` until both have closed or a fault ends it.
-pub(crate) async fn connection(
+pub(crate) async fn relay_connection(
     mut client: TcpStream,
     upstream: SocketAddr,
-    state: &State,
+    state: &SharedState,
 ) -> io::Result<()> {
     let faults = state.faults.subscribe();
     let link = faults.borrow().link;
@@ -60,7 +60,7 @@
         return client.set_zero_linger();
     }
     if link == Link::HalfOpen {
-        return swallow(&mut client, faults).await;
+        return discard_until_healed(&mut client, faults).await;
     }
     let mut server = match TcpStream::connect(upstream).await {
         Ok(server) => server,
@@ -69,56 +69,63 @@
     client.set_nodelay(true)?;
     server.set_nodelay(true)?;
     let end = tokio::select! {
-        end = carry(&mut client, &mut server, state) => end,
-        end = broken(faults.clone()) => end,
+        end = relay(&mut client, &mut server, state) => end,
+        end = wait_until_broken(faults.clone()) => end,
     };
     match end {
-        End::Closed => Ok(()),
-        End::Cut => {
+        ConnectionEnd::Closed => Ok(()),
+        ConnectionEnd::Cut => {
             server.set_zero_linger()?;
             client.set_zero_linger()
         }
-        End::HalfOpen => {
+        ConnectionEnd::HalfOpen => {
             server.set_zero_linger()?;
             drop(server);
-            swallow(&mut client, faults).await
+            discard_until_healed(&mut client, faults).await
         }
     }
 }
 
-async fn carry(client: &mut TcpStream, server: &mut TcpStream, state: &State) -> End {
+async fn relay(
+    client: &mut TcpStream,
+    server: &mut TcpStream,
+    state: &SharedState,
+) -> ConnectionEnd {
     let (client_read, client_write) = client.split();
     let (server_read, server_write) = server.split();
     let faults = state.faults.subscribe();
-    let forward = Pump {
+    let forward = DirectionRelay {
         direction: Direction::Forward,
         faults: faults.clone(),
-        meter: &state.meters.forward_bytes,
+        byte_counter: &state.counters.forward_bytes,
     };
-    let backward = Pump {
+    let backward = DirectionRelay {
         direction: Direction::Backward,
         faults,
-        meter: &state.meters.backward_bytes,
+        byte_counter: &state.counters.backward_bytes,
     };
     let ends = tokio::try_join!(
         forward.run(client_read, server_write),
         backward.run(server_read, client_write),
     );
     // An error on one side is passed on to the other as a reset.
-    ends.map_or(End::Cut, |_| End::Closed)
+    ends.map_or(ConnectionEnd::Cut, |_| ConnectionEnd::Closed)
 }
 
-async fn broken(mut faults: watch::Receiver<Faults>) -> End {
-    let broken = |faults: &Faults| matches!(faults.link, Link::Cut | Link::HalfOpen);
-    match faults.wait_for(broken).await.map(|faults| faults.link) {
-        Ok(Link::HalfOpen) => End::HalfOpen,
-        _ => End::Cut,
+async fn wait_until_broken(mut faults: watch::Receiver<Faults>) -> ConnectionEnd {
+    let is_broken = |faults: &Faults| matches!(faults.link, Link::Cut | Link::HalfOpen);
+    match faults.wait_for(is_broken).await.map(|faults| faults.link) {
+        Ok(Link::HalfOpen) => ConnectionEnd::HalfOpen,
+        _ => ConnectionEnd::Cut,
     }
 }
 
 /// Reads and discards until the link is no longer half open, then resets.
-async fn swallow(client: &mut TcpStream, mut faults: watch::Receiver<Faults>) -> io::Result<()> {
-    let mut buffer = vec![0; PIECE_BYTES];
+async fn discard_until_healed(
+    client: &mut TcpStream,
+    mut faults: watch::Receiver<Faults>,
+) -> io::Result<()> {
+    let mut buffer = vec![0; CHUNK_BYTES];
     let healed = faults.wait_for(|faults| faults.link != Link::HalfOpen);
     tokio::pin!(healed);
     loop {
@@ -135,15 +142,15 @@
 }
 
 /// Carries bytes in one direction.
-struct Pump<'a> {
+struct DirectionRelay<'a> {
     direction: Direction,
     faults: watch::Receiver<Faults>,
-    meter: &'a AtomicU64,
+    byte_counter: &'a AtomicU64,
 }
 
-impl Pump<'_> {
+impl DirectionRelay<'_> {
     async fn run(self, from: ReadHalf<'_>, to: WriteHalf<'_>) -> io::Result<()> {
-        let (sender, receiver) = mpsc::channel(MAX_PIECES);
+        let (sender, receiver) = mpsc::channel(MAX_CHUNKS_IN_FLIGHT);
         let read = read(from, sender, self.faults.clone());
         let write = self.write(to, receiver);
         tokio::try_join!(read, write)?;
@@ -153,15 +160,15 @@
     async fn write(
         mut self,
         mut to: WriteHalf<'_>,
-        mut pieces: mpsc::Receiver<Piece>,
+        mut chunks: mpsc::Receiver<Chunk>,
     ) -> io::Result<()> {
-        while let Some(piece) = pieces.recv().await {
-            tokio::time::sleep_until(piece.due).await;
+        while let Some(chunk) = chunks.recv().await {
+            tokio::time::sleep_until(chunk.due).await;
             self.wait_until_passable().await;
-            let len = piece.bytes.len() as u64;
+            let len = chunk.bytes.len() as u64;
             // Counted first, so that whoever has the bytes sees them counted.
-            self.meter.fetch_add(len, Ordering::Relaxed);
-            to.write_all(&piece.bytes).await?;
+            self.byte_counter.fetch_add(len, Ordering::Relaxed);
+            to.write_all(&chunk.bytes).await?;
         }
         self.wait_until_passable().await;
         to.shutdown().await
@@ -188,21 +195,21 @@
 
 async fn read(
     mut from: ReadHalf<'_>,
-    pieces: mpsc::Sender<Piece>,
+    chunks: mpsc::Sender<Chunk>,
     faults: watch::Receiver<Faults>,
 ) -> io::Result<()> {
-    let mut buffer = vec![0; PIECE_BYTES];
+    let mut buffer = vec![0; CHUNK_BYTES];
     loop {
         let len = from.read(&mut buffer).await?;
         if len == 0 {
             return Ok(());
         }
         let delay = Duration::from_millis(faults.borrow().delay_ms.0);
-        let piece = Piece {
+        let chunk = Chunk {
             due: Instant::now() + delay,
             bytes: Bytes::copy_from_slice(&buffer[..len]),
         };
-        if pieces.send(piece).await.is_err() {
+        if chunks.send(chunk).await.is_err() {
             return Ok(());
         }
     }
--- a/filbertpaddle-standins/src/report.rs
+++ b/filbertpaddle-standins/src/report.rs
@@ -20,14 +20,14 @@
 use crate::workload::Request;
 
 /// Longest time that a histogram tells apart, in microseconds.
-const MAX_US: u64 = 600_000_000;
+const MAX_RECORDABLE_US: u64 = 600_000_000;
 
 /// Significant digits of a histogram.
-const DIGITS: u8 = 3;
+const HISTOGRAM_DIGITS: u8 = 3;
 
 /// A request and what became of it.
 #[derive(Debug)]
-pub struct Record {
+pub struct RequestRecord {
     /// The request.
     pub request: Request,
     /// What its caller saw.
@@ -36,7 +36,7 @@
 
 /// Percentiles of a time, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Spread {
+pub struct Percentiles {
     /// Median.
     pub p50_ms: f64,
     /// 95th percentile.
@@ -78,9 +78,9 @@
     /// Tokens delivered in complete answers.
     pub complete_tokens: u64,
     /// Time to the first token or to a call's answer.
-    pub first_token: Spread,
+    pub first_token: Percentiles,
     /// Time between tokens.
-    pub token_gap: Spread,
+    pub token_gap: Percentiles,
     /// Time by which gaps exceeded a quarter of a second, summed.
     pub stall_s: f64,
     /// Time that preempted attempts waited in engines, summed.
@@ -111,7 +111,7 @@
 
 /// What a run is called in its report.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Title {
+pub struct RunInfo {
     /// Name of the scenario.
     pub scenario: String,
     /// Name of the policy.
@@ -126,7 +126,7 @@
 
 /// What the targets of a run have counted.
 #[derive(Clone, Debug, Default)]
-pub struct Counted {
+pub struct TargetCounters {
     /// Counters of the engines.
     pub engines: Vec<Counters>,
     /// Counts of the plain services.
@@ -136,30 +136,30 @@
 impl Report {
     /// Sums up a run.
     pub fn new(
-        title: Title,
-        records: &[Record],
-        counted: &Counted,
+        run_info: RunInfo,
+        records: &[RequestRecord],
+        target_counters: &TargetCounters,
         node_cost: NodeCost,
         machine_load: f64,
     ) -> Self {
-        let totals = totals(counted);
+        let totals = totals(target_counters);
         let complete_tokens = complete_tokens(records);
         let observations = || records.iter().map(|record| &record.observation);
-        let gaps = observations().flat_map(|observed| observed.gaps.iter().copied());
-        let firsts = observations().filter_map(|observed| observed.first_token);
-        let stall: Duration = observations().map(Observation::stall).sum();
+        let gaps = observations().flat_map(|observation| observation.gaps.iter().copied());
+        let first_token_times = observations().filter_map(|observation| observation.first_token);
+        let stall: Duration = observations().map(Observation::stall_time).sum();
         let customers = by_customer(records);
         Self {
-            scenario: title.scenario,
-            policy: title.policy,
-            seed: title.seed,
-            duration_s: title.duration_s,
-            rate: title.rate,
+            scenario: run_info.scenario,
+            policy: run_info.policy,
+            seed: run_info.seed,
+            duration_s: run_info.duration_s,
+            rate: run_info.rate,
             requests: records.len(),
             endings: endings(records),
             complete_tokens,
-            first_token: spread(firsts),
-            token_gap: spread(gaps),
+            first_token: percentiles(first_token_times),
+            token_gap: percentiles(gaps),
             stall_s: stall.as_secs_f64(),
             engine_stall_s: totals.stall_us as f64 / 1e6,
             preemptions: totals.preemptions,
@@ -168,16 +168,20 @@
             cached_percent: cached_percent(records, &totals),
             fairness: fairness(&customers),
             worst_customer_p95_ms: worst_p95_ms(&customers),
-            collapses: counted.engines.iter().map(|engine| engine.collapses).sum(),
+            collapses: target_counters
+                .engines
+                .iter()
+                .map(|engine| engine.collapses)
+                .sum(),
             cold_excess: totals.cold_excess - totals.cold_excess_in_grace,
-            violations: violations(records, counted),
+            violations: violations(records, target_counters),
             node_cost,
             machine_load,
         }
     }
 
     /// Returns how many requests ended one way.
-    pub fn ended(&self, ending: Ending) -> usize {
+    pub fn ending_count(&self, ending: Ending) -> usize {
         let name: &'static str = ending.into();
         self.endings.get(name).copied().unwrap_or_default()
     }
@@ -195,14 +199,14 @@
             write!(f, " {ending} {count}")?;
         }
         writeln!(f)?;
-        for (name, spread) in [
+        for (name, percentiles) in [
             ("first token", self.first_token),
             ("token gap", self.token_gap),
         ] {
             writeln!(
                 f,
                 "  {name:<12} p50 {:>8.1} ms  p95 {:>8.1} ms  p99 {:>8.1} ms",
-                spread.p50_ms, spread.p95_ms, spread.p99_ms
+                percentiles.p50_ms, percentiles.p95_ms, percentiles.p99_ms
             )?;
         }
         writeln!(
@@ -240,9 +244,9 @@
     /// Sums up what the nodes used between two readings.
     pub fn new(before: &[Usage], after: &[Usage], span: Duration) -> Self {
         let nodes = after.len();
-        let mean = |sum: f64| sum / nodes.max(1) as f64 / span.as_secs_f64();
-        let cpu_s: f64 = sum(before, after, |usage| usage.cpu_s);
-        let bytes: f64 = sum(before, after, |usage| usage.traffic_bytes as f64);
+        let mean = |total: f64| total / nodes.max(1) as f64 / span.as_secs_f64();
+        let cpu_s: f64 = usage_increase(before, after, |usage| usage.cpu_s);
+        let bytes: f64 = usage_increase(before, after, |usage| usage.traffic_bytes as f64);
         let resident = after.iter().map(|usage| usage.resident_bytes);
         Self {
             nodes,
@@ -253,7 +257,7 @@
     }
 }
 
-fn sum<F>(before: &[Usage], after: &[Usage], value: F) -> f64
+fn usage_increase<F>(before: &[Usage], after: &[Usage], value: F) -> f64
 where
     F: Fn(&Usage) -> f64,
 {
@@ -263,12 +267,12 @@
         .sum()
 }
 
-fn totals(counted: &Counted) -> Totals {
-    let engines = counted.engines.iter().map(|engine| engine.totals);
+fn totals(target_counters: &TargetCounters) -> Totals {
+    let engines = target_counters.engines.iter().map(|engine| engine.totals);
     engines.fold(Totals::default(), |sum, totals| sum + totals)
 }
 
-fn complete_tokens(records: &[Record]) -> u64 {
+fn complete_tokens(records: &[RequestRecord]) -> u64 {
     records
         .iter()
         .filter(|record| !record.request.kind.is_call())
@@ -277,7 +281,7 @@
         .sum()
 }
 
-fn endings(records: &[Record]) -> IndexMap<String, usize> {
+fn endings(records: &[RequestRecord]) -> IndexMap<String, usize> {
     let mut endings = IndexMap::new();
     for ending in Ending::VARIANTS {
         let count = records
@@ -289,7 +293,7 @@
     endings
 }
 
-fn cached_percent(records: &[Record], totals: &Totals) -> f64 {
+fn cached_percent(records: &[RequestRecord], totals: &Totals) -> f64 {
     let prompt_bytes: usize = records
         .iter()
         .filter(|record| !record.request.kind.is_call())
@@ -299,33 +303,34 @@
     totals.cached_tokens as f64 * 100.0 / prompt_tokens.max(1) as f64
 }
 
-fn spread<I>(times: I) -> Spread
+fn percentiles<I>(times: I) -> Percentiles
 where
     I: Iterator<Item = Duration>,
 {
-    let Ok(mut histogram) = Histogram::<u64>::new_with_max(MAX_US, DIGITS) else {
-        return Spread::default();
+    let Ok(mut histogram) = Histogram::<u64>::new_with_max(MAX_RECORDABLE_US, HISTOGRAM_DIGITS)
+    else {
+        return Percentiles::default();
     };
     times.for_each(|time| histogram.saturating_record(time.as_micros() as u64));
-    let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
-    Spread {
-        p50_ms: at(0.5),
-        p95_ms: at(0.95),
-        p99_ms: at(0.99),
+    let at_quantile = |quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
+    Percentiles {
+        p50_ms: at_quantile(0.5),
+        p95_ms: at_quantile(0.95),
+        p99_ms: at_quantile(0.99),
     }
 }
 
-fn by_customer(records: &[Record]) -> IndexMap<&Name, Vec<&Record>> {
-    let mut customers: IndexMap<&Name, Vec<&Record>> = IndexMap::new();
+fn by_customer(records: &[RequestRecord]) -> IndexMap<&Name, Vec<&RequestRecord>> {
+    let mut customers: IndexMap<&Name, Vec<&RequestRecord>> = IndexMap::new();
     for record in records {
-        let own = customers.entry(&record.request.customer).or_default();
-        own.push(record);
+        let customer_records = customers.entry(&record.request.customer).or_default();
+        customer_records.push(record);
     }
     customers
 }
 
 /// Jain's index: one if all customers get the same share of what they ask.
-fn fairness(customers: &IndexMap<&Name, Vec<&Record>>) -> f64 {
+fn fairness(customers: &IndexMap<&Name, Vec<&RequestRecord>>) -> f64 {
     let shares: Vec<f64> = customers
         .values()
         .map(|records| {
@@ -343,19 +348,22 @@
     sum * sum / (shares.len() as f64 * squares)
 }
 
-fn worst_p95_ms(customers: &IndexMap<&Name, Vec<&Record>>) -> f64 {
+fn worst_p95_ms(customers: &IndexMap<&Name, Vec<&RequestRecord>>) -> f64 {
     let p95s = customers.values().map(|records| {
-        let firsts = records
+        let first_token_times = records
             .iter()
             .filter_map(|record| record.observation.first_token);
-        spread(firsts).p95_ms
+        percentiles(first_token_times).p95_ms
     });
     p95s.fold(0.0, f64::max)
 }
 
-fn violations(records: &[Record], counted: &Counted) -> IndexMap<String, usize> {
+fn violations(
+    records: &[RequestRecord],
+    target_counters: &TargetCounters,
+) -> IndexMap<String, usize> {
     let mut violations: IndexMap<String, usize> = IndexMap::new();
-    let executions = executions(counted);
+    let executions = executions(target_counters);
     for record in records {
         let runs = executions.get(record.request.marker.as_str()).copied();
         let runs = runs.unwrap_or_default();
@@ -374,12 +382,20 @@
 }
 
 /// Returns executions by marker, at engines and plain services.
-fn executions(counted: &Counted) -> IndexMap<String, u32> {
+fn executions(target_counters: &TargetCounters) -> IndexMap<String, u32> {
     let mut executions: IndexMap<String, u32> = IndexMap::new();
-    for (marker, count) in counted.engines.iter().flat_map(|engine| &engine.executions) {
+    for (marker, count) in target_counters
+        .engines
+        .iter()
+        .flat_map(|engine| &engine.executions)
+    {
         *executions.entry(marker.clone()).or_default() += count;
     }
-    for (body, count) in counted.services.iter().flat_map(|counts| &counts.bodies) {
+    for (body, count) in target_counters
+        .services
+        .iter()
+        .flat_map(|counts| &counts.bodies)
+    {
         if let Some(marker) = crate::marker::marker(body) {
             *executions.entry(marker).or_default() += count;
         }
--- a/filbertpaddle-standins/src/scenario.rs
+++ b/filbertpaddle-standins/src/scenario.rs
@@ -5,14 +5,14 @@
 use crate::engine_fault::Fault;
 use crate::workload;
 use crate::workload::Burst;
-use crate::workload::Kind;
 use crate::workload::Request;
+use crate::workload::RequestKind;
 
 /// Start of the disruption, as a share of the run.
-const DISTURBED_FROM: f64 = 0.3;
+const DISRUPTION_START: f64 = 0.3;
 
 /// End of the disruption, as a share of the run.
-const DISTURBED_TO: f64 = 0.65;
+const DISRUPTION_END: f64 = 0.65;
 
 /// What a run puts the system through.
 #[derive(
@@ -48,7 +48,7 @@
 
 /// Something that happens during a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// A fault at every n-th engine.
     Engines {
         /// Engines from one chosen engine to the next.
@@ -68,11 +68,11 @@
 
 /// An act and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Timed {
+pub struct TimedAction {
     /// When it happens, from the start of the run.
     pub at_ms: Millis,
     /// What happens.
-    pub act: Act,
+    pub action: Action,
 }
 
 impl Scenario {
@@ -82,7 +82,7 @@
             seed,
             duration_ms,
             rate,
-            shape: move |passed| self.shape(passed),
+            rate_profile: move |progress| self.rate_profile(progress),
             kinds: self.kinds(),
             burst: self.burst(),
         };
@@ -90,12 +90,12 @@
     }
 
     /// Returns what happens during a run, in order of time.
-    pub fn timeline(self, duration_ms: Millis) -> Vec<Timed> {
-        let timed = |share: f64, act| Timed {
+    pub fn timeline(self, duration_ms: Millis) -> Vec<TimedAction> {
+        let timed = |share: f64, action| TimedAction {
             at_ms: Millis((duration_ms.0 as f64 * share) as u64),
-            act,
+            action,
         };
-        let cold = |every| Act::Engines {
+        let engines_cold = |every| Action::Engines {
             every,
             fault: Fault::Cold,
         };
@@ -103,15 +103,15 @@
             Self::Steady | Self::EveningRush | Self::CustomerBurst | Self::MemoryCrowding => {
                 Vec::new()
             }
-            Self::ColdStart => vec![timed(0.0, cold(2))],
-            Self::TurningCold => vec![timed(DISTURBED_FROM, cold(3))],
+            Self::ColdStart => vec![timed(0.0, engines_cold(2))],
+            Self::TurningCold => vec![timed(DISRUPTION_START, engines_cold(3))],
             Self::DataCentre => vec![
-                timed(DISTURBED_FROM, Act::DataCentreOut),
-                timed(DISTURBED_TO, Act::DataCentreIn),
+                timed(DISRUPTION_START, Action::DataCentreOut),
+                timed(DISRUPTION_END, Action::DataCentreIn),
             ],
             Self::PlatformOutage => vec![
-                timed(DISTURBED_FROM, Act::PlatformDown),
-                timed(DISTURBED_TO, Act::PlatformUp),
+                timed(DISRUPTION_START, Action::PlatformDown),
+                timed(DISRUPTION_END, Action::PlatformUp),
             ],
         }
     }
@@ -119,16 +119,16 @@
     /// Returns the time between the first acts and the load.
     ///
     /// What is cold from the start can be known before the first request.
-    pub const fn lead_ms(self) -> Millis {
+    pub const fn lead_time_ms(self) -> Millis {
         match self {
             Self::ColdStart => Millis(2_500),
             _ => Millis::ZERO,
         }
     }
 
-    fn shape(self, passed: f64) -> f64 {
+    fn rate_profile(self, progress: f64) -> f64 {
         match self {
-            Self::EveningRush => 0.6 + (std::f64::consts::PI * passed).sin(),
+            Self::EveningRush => 0.6 + (std::f64::consts::PI * progress).sin(),
             Self::CustomerBurst => 0.8,
             // Its requests are some three times as long.
             Self::MemoryCrowding => 0.35,
@@ -136,18 +136,18 @@
         }
     }
 
-    const fn kinds(self) -> &'static [Kind] {
+    const fn kinds(self) -> &'static [RequestKind] {
         match self {
-            Self::MemoryCrowding => workload::LONG,
-            _ => workload::USUAL,
+            Self::MemoryCrowding => workload::LONG_OUTPUT_KINDS,
+            _ => workload::STANDARD_KINDS,
         }
     }
 
     const fn burst(self) -> Option<Burst> {
         match self {
             Self::CustomerBurst => Some(Burst {
-                from: DISTURBED_FROM,
-                to: DISTURBED_TO,
+                from: DISRUPTION_START,
+                to: DISRUPTION_END,
                 rate: 1.5,
             }),
             _ => None,
--- a/filbertpaddle-standins/src/summary.rs
+++ b/filbertpaddle-standins/src/summary.rs
@@ -13,64 +13,65 @@
 const PLOT_SIZE: (u32, u32) = (900, 480);
 
 /// One figure of a report, and how it is called.
-struct Figure {
+struct Column {
     name: &'static str,
     value: fn(&Report) -> f64,
 }
 
-const FIGURES: &[Figure] = &[
-    Figure {
+const COLUMNS: &[Column] = &[
+    Column {
         name: "complete",
-        value: |report| report.ended(Ending::Complete) as f64,
+        value: |report| report.ending_count(Ending::Complete) as f64,
     },
-    Figure {
+    Column {
         name: "not run",
-        value: |report| report.ended(Ending::NotRun) as f64,
+        value: |report| report.ending_count(Ending::NotRun) as f64,
     },
-    Figure {
+    Column {
         name: "other",
         value: |report| {
-            let told = report.ended(Ending::Complete) + report.ended(Ending::NotRun);
-            (report.requests - told) as f64
+            let complete_or_refused =
+                report.ending_count(Ending::Complete) + report.ending_count(Ending::NotRun);
+            (report.requests - complete_or_refused) as f64
         },
     },
-    Figure {
+    Column {
         name: "tokens",
         value: |report| report.complete_tokens as f64,
     },
-    Figure {
+    Column {
         name: "first p95",
         value: |report| report.first_token.p95_ms,
     },
-    Figure {
+    Column {
         name: "gap p95",
         value: |report| report.token_gap.p95_ms,
     },
-    Figure {
+    Column {
         name: "gap p99",
         value: |report| report.token_gap.p99_ms,
     },
-    Figure {
+    Column {
         name: "stall s",
         value: |report| report.stall_s,
     },
-    Figure {
+    Column {
         name: "preempt.",
         value: |report| report.preemptions as f64,
     },
-    Figure {
+    Column {
         name: "wasted",
         value: |report| report.wasted_tokens as f64,
     },
-    Figure {
+    Column {
         name: "collapses",
         value: |report| report.collapses as f64,
     },
-    Figure {
+    Column {
         name: "fairness",
         value: |report| report.fairness,
     },
-    Figure {
+    Column {
         name: "broken",
         value: |report| report.violations.values().sum::<usize>() as f64,
     },
@@ -110,21 +111,21 @@
         let area = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
         area.fill(&WHITE)?;
         let halves = area.split_evenly((1, 2));
-        self.bars(&halves[0], "stall time, s", |report| report.stall_s)?;
-        self.bars(&halves[1], "token gap p95, ms", |report| {
+        self.draw_bars(&halves[0], "stall time, s", |report| report.stall_s)?;
+        self.draw_bars(&halves[1], "token gap p95, ms", |report| {
             report.token_gap.p95_ms
         })?;
         area.present()
     }
 
-    fn bars(
+    fn draw_bars(
         &self,
         area: &DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
         caption: &str,
         value: fn(&Report) -> f64,
     ) -> Result<(), DrawingAreaErrorKind<std::io::Error>> {
         let bars: Vec<(String, f64)> = self
-            .cells()
+            .groups()
             .map(|(scenario, policy, reports)| {
                 (
                     format!("{scenario}, {policy}"),
@@ -157,7 +158,7 @@
         Ok(())
     }
 
-    fn cells(&self) -> impl Iterator<Item = (&str, &str, &[Report])> {
+    fn groups(&self) -> impl Iterator<Item = (&str, &str, &[Report])> {
         self.runs.iter().flat_map(|(scenario, policies)| {
             policies
                 .iter()
@@ -168,13 +169,13 @@
 
 impl fmt::Display for Summary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let names: Vec<&str> = FIGURES.iter().map(|figure| figure.name).collect();
+        let names: Vec<&str> = COLUMNS.iter().map(|column| column.name).collect();
         writeln!(f, "| scenario | policy | runs | {} |", names.join(" | "))?;
-        writeln!(f, "|{}", " --- |".repeat(FIGURES.len() + 3))?;
-        for (scenario, policy, reports) in self.cells() {
+        writeln!(f, "|{}", " --- |".repeat(COLUMNS.len() + 3))?;
+        for (scenario, policy, reports) in self.groups() {
             write!(f, "| {scenario} | {policy} | {} |", reports.len())?;
-            for figure in FIGURES {
-                write!(f, " {} |", range(reports, figure.value))?;
+            for column in COLUMNS {
+                write!(f, " {} |", range(reports, column.value))?;
             }
             writeln!(f)?;
         }
--- a/filbertpaddle-standins/src/workload.rs
+++ b/filbertpaddle-standins/src/workload.rs
@@ -28,20 +28,20 @@
 const SLICE_MS: u64 = 10;
 
 /// Mean length of a calm spell, in slices.
-const CALM_SLICES: f64 = 400.0;
+const MEAN_CALM_SLICES: f64 = 400.0;
 
 /// Mean length of a burst, in slices.
-const BURST_SLICES: f64 = 100.0;
+const MEAN_BURST_SLICES: f64 = 100.0;
 
 /// Rate within calm spells, relative to the mean.
-const CALM_RATE: f64 = 0.7;
+const CALM_RATE_FACTOR: f64 = 0.7;
 
 /// Rate within bursts, relative to the mean.
-const BURST_RATE: f64 = 2.2;
+const BURST_RATE_FACTOR: f64 = 2.2;
 
 /// One kind of request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Kind {
+pub struct RequestKind {
     /// Name of the template, and the first word of the prompt.
     pub name: &'static str,
     /// Share of the requests.
@@ -57,7 +57,7 @@
 }
 
 /// The kinds of a usual day.
-pub const USUAL: &[Kind] = &[
+pub const STANDARD_KINDS: &[RequestKind] = &[
     kind("stock", 0.35, 5, 1_100, 400, true),
     kind("topics", 0.18, 4, 1_100, 1_500, true),
     kind("menu", 0.12, 3, 2_100, 3_000, true),
@@ -67,7 +67,7 @@
 ];
 
 /// The kinds when long outputs crowd the engines' memory.
-pub const LONG: &[Kind] = &[
+pub const LONG_OUTPUT_KINDS: &[RequestKind] = &[
     kind("stock", 0.10, 5, 1_100, 400, true),
     kind("menu", 0.40, 3, 2_100, 3_000, true),
     kind("summary", 0.40, 2, 2_100, 3_000, true),
@@ -82,8 +82,8 @@
     prefix_bytes: usize,
     max_tokens: u32,
     idempotent: bool,
-) -> Kind {
-    Kind {
+) -> RequestKind {
+    RequestKind {
         name,
         share,
         priority,
@@ -93,7 +93,7 @@
     }
 }
 
-impl Kind {
+impl RequestKind {
     /// Returns the text that all requests of a customer share.
     pub fn prefix(&self, customer: &str) -> String {
         let mut text = format!("{} {customer} ", self.name);
@@ -119,7 +119,7 @@
     /// Who sends it.
     pub customer: Name,
     /// What it asks for.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Marker by which targets' counters name it.
     pub marker: String,
     /// The part that is its own.
@@ -150,9 +150,9 @@
     /// Mean requests a second.
     pub rate: f64,
     /// Relative rate by the share of the run that has passed.
-    pub shape: F,
+    pub rate_profile: F,
     /// Kinds of requests.
-    pub kinds: &'static [Kind],
+    pub kinds: &'static [RequestKind],
     /// Share of the run in which the first customer sends more, if any.
     pub burst: Option<Burst>,
 }
@@ -175,24 +175,38 @@
 {
     let mut rng = SmallRng::seed_from_u64(settings.seed);
     let mut requests = Vec::new();
-    let mut bursting = false;
+    let mut in_burst = false;
     for at_ms in (0..settings.duration_ms.0).step_by(SLICE_MS as usize) {
-        let spell_slices = if bursting { BURST_SLICES } else { CALM_SLICES };
-        bursting ^= rng.random::<f64>() < 1.0 / spell_slices;
-        let passed = at_ms as f64 / settings.duration_ms.0 as f64;
-        let swing = if bursting { BURST_RATE } else { CALM_RATE };
+        let mean_phase_slices = if in_burst {
+            MEAN_BURST_SLICES
+        } else {
+            MEAN_CALM_SLICES
+        };
+        in_burst ^= rng.random::<f64>() < 1.0 / mean_phase_slices;
+        let progress = at_ms as f64 / settings.duration_ms.0 as f64;
+        let rate_factor = if in_burst {
+            BURST_RATE_FACTOR
+        } else {
+            CALM_RATE_FACTOR
+        };
         let per_slice = settings.rate * SLICE_MS as f64 / 1_000.0;
-        let usual = per_slice * swing * (settings.shape)(passed);
-        for _ in 0..arrivals(&mut rng, usual) {
+        let mean_arrivals = per_slice * rate_factor * (settings.rate_profile)(progress);
+        for _ in 0..arrivals(&mut rng, mean_arrivals) {
             let customer = pick(&mut rng, CUSTOMERS, |(_, share)| *share).0;
-            requests.push(request(settings, &mut rng, at_ms, customer, requests.len()));
+            requests.push(draw_request(
+                settings,
+                &mut rng,
+                at_ms,
+                customer,
+                requests.len(),
+            ));
         }
         let Some(burst) = settings.burst else {
             continue;
         };
-        if (burst.from..burst.to).contains(&passed) {
+        if (burst.from..burst.to).contains(&progress) {
             for _ in 0..arrivals(&mut rng, per_slice * burst.rate) {
-                requests.push(request(
+                requests.push(draw_request(
                     settings,
                     &mut rng,
                     at_ms,
@@ -205,7 +219,7 @@
     requests
 }
 
-fn request<F, R>(
+fn draw_request<F, R>(
     settings: &Settings<F>,
     rng: &mut R,
     at_ms: u64,
--- a/filbertpaddle-standins/tests/load.rs
+++ b/filbertpaddle-standins/tests/load.rs
@@ -5,19 +5,19 @@
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_standins::balancer::Balancer;
 use filbertpaddle_standins::balancer::Choice;
-use filbertpaddle_standins::direct::Chooser;
-use filbertpaddle_standins::direct::Entry;
+use filbertpaddle_standins::baseline::EntryVm;
+use filbertpaddle_standins::baseline::TargetSelector;
 use filbertpaddle_standins::engine;
 use filbertpaddle_standins::engine::Engine;
 use filbertpaddle_standins::engine_state::Counters;
 use filbertpaddle_standins::marker;
 use filbertpaddle_standins::observation::Ending;
 use filbertpaddle_standins::observation::Observer;
-use filbertpaddle_standins::report::Counted;
 use filbertpaddle_standins::report::NodeCost;
-use filbertpaddle_standins::report::Record;
 use filbertpaddle_standins::report::Report;
-use filbertpaddle_standins::report::Title;
+use filbertpaddle_standins::report::RequestRecord;
+use filbertpaddle_standins::report::RunInfo;
+use filbertpaddle_standins::report::TargetCounters;
 use filbertpaddle_standins::scenario::Scenario;
 use filbertpaddle_standins::workload::Request;
 use filbertpaddle_target::client;
@@ -27,23 +27,23 @@
     Scenario::Steady.workload(seed, Millis::from_secs(20), 30.0)
 }
 
-fn record(request: Request, ending: Ending) -> Record {
-    let observation = Observer::new(Instant::now()).end(ending);
-    Record {
+fn record(request: Request, ending: Ending) -> RequestRecord {
+    let observation = Observer::new(Instant::now()).finish(ending);
+    RequestRecord {
         request,
         observation,
     }
 }
 
-fn report(records: &[Record], counted: &Counted) -> Report {
-    let title = Title {
+fn report(records: &[RequestRecord], target_counters: &TargetCounters) -> Report {
+    let run_info = RunInfo {
         scenario: "test".to_owned(),
         policy: "none".to_owned(),
         seed: 1,
         duration_s: 1.0,
         rate: 1.0,
     };
-    Report::new(title, records, counted, NodeCost::default(), 0.0)
+    Report::new(run_info, records, target_counters, NodeCost::default(), 0.0)
 }
 
 #[test]
@@ -84,11 +84,11 @@
     let mut counters = Counters::default();
     counters.executions.insert(refused.marker.clone(), 1);
     counters.executions.insert(repeated.marker.clone(), 2);
-    let counted = Counted {
+    let target_counters = TargetCounters {
         engines: vec![counters],
         services: Vec::new(),
     };
-    let report = report(&records, &counted);
+    let report = report(&records, &target_counters);
     assert_eq!(report.violations["not_run_but_ran"], 1);
     assert_eq!(report.violations["ran_twice"], 1);
 }
@@ -96,18 +96,18 @@
 #[test]
 fn tokens_out_of_order_and_spliced_generations_are_noticed() {
     let mut observer = Observer::new(Instant::now());
-    observer.token(0, "aa.0 ");
-    observer.token(1, "bb.1 ");
-    observer.token(3, "aa.3 ");
-    observer.count(4);
+    observer.record_token(0, "aa.0 ");
+    observer.record_token(1, "bb.1 ");
+    observer.record_token(3, "aa.3 ");
+    observer.check_token_count(4);
     let request = requests(1).remove(0);
-    let observation = observer.end(Ending::Complete);
+    let observation = observer.finish(Ending::Complete);
     let report = report(
-        &[Record {
+        &[RequestRecord {
             request,
             observation,
         }],
-        &Counted::default(),
+        &TargetCounters::default(),
     );
     assert_eq!(report.violations["spliced"], 1);
     assert_eq!(report.violations["order"], 1);
@@ -124,16 +124,16 @@
     };
     let engine = Engine::start(settings).await.unwrap();
     let targets = [(engine.address, 0)];
-    let chooser = || Chooser::Alone(Balancer::new(Choice::RoundRobin, &targets, 0));
-    let entry = Entry {
+    let selector = || TargetSelector::Independent(Balancer::new(Choice::RoundRobin, &targets, 0));
+    let entry_vm = EntryVm {
         client: Client::new(client::Settings::default()).unwrap(),
-        engines: chooser(),
-        services: chooser(),
+        engines: selector(),
+        services: selector(),
     };
     let letter = |request: &Request| request.kind.name == "letter";
     let request = requests(1).into_iter().find(letter).unwrap();
     let mut observer = Observer::new(Instant::now());
-    let ending = entry.run(&request, &mut observer).await;
+    let ending = entry_vm.run(&request, &mut observer).await;
     assert_eq!(ending, Ending::MayHaveRun);
     assert_eq!(engine.counters().executions[&request.marker], 1);
     engine.close().await;
