--- a/filbertpaddle-standins/src/baseline.rs
+++ b/filbertpaddle-standins/src/baseline.rs
@@ -1,4 +1,4 @@
-//! Requests sent to targets without any node, as baselines do.
+//! Baselines: simulated entry VMs that send requests straight to targets, without nodes.
 
 use std::net::SocketAddr;
 
@@ -19,30 +19,30 @@
 use crate::pool::Release;
 use crate::workload::Request;
 
-/// Targets tried for one request.
+/// Most attempts to run a request.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// One entry VM of a baseline.
+/// A simulated entry VM.
 #[derive(Debug)]
 pub struct EntryVm {
-    /// Client of the targets.
+    /// Client that sends requests to targets.
     pub client: Client,
-    /// What chooses engines.
+    /// Selects engines for generations.
     pub engines: TargetSelector,
-    /// What chooses plain services.
+    /// Selects plain services for calls.
     pub services: TargetSelector,
 }
 
-/// What chooses a target for one request.
+/// Selects a target for each request.
 #[derive(Debug)]
 pub enum TargetSelector {
-    /// This entry VM by itself.
+    /// The entry VM selects targets by itself, without coordination with others.
     Independent(Balancer),
-    /// One pool for all entry VMs.
+    /// All entry VMs share one pool of targets.
     Pool(Pool),
 }
 
-/// A target that was chosen.
+/// Target selected for one attempt.
 #[derive(Clone, Copy, Debug)]
 enum SelectedTarget {
     Independent(SocketAddr),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Takes a data centre out, or brings all back.
+    /// Takes a data centre out of service; `None` puts all back in service.
     pub fn set_out(&self, data_centre: Option<usize>) {
         match self {
             Self::Independent(balancer) => balancer.set_out(data_centre),
@@ -89,10 +89,13 @@
     }
 }
 
-/// How one try ended.
+/// Result of one attempt.
 enum AttemptResult {
+    /// The request has ended and is not attempted again.
     Ended(Ending),
+    /// The effect is unknown, but the request is idempotent and may be repeated.
     Retryable,
+    /// The target has not started the request.
     NotStarted,
 }
 
@@ -107,7 +110,8 @@
 }
 
 impl EntryVm {
-    /// Runs one request and returns how it ended.
+    /// Runs a request, with further attempts where repeating it is safe, and
+    /// returns how it ended.
     pub async fn run(&self, request: &Request, observer: &mut Observer) -> Ending {
         let mut ending = Ending::NotRun;
         for number in 0..MAX_ATTEMPTS {
@@ -188,7 +192,8 @@
             Err(_) => {
                 let from = stream.next_index();
                 let resumed = self.client.resume(address, &submit.attempt, from).await;
-                // The submission was taken, whatever a failed resume proves of itself.
+                // The target accepted the submission earlier, so the outcome is unknown even
+                // if the error of the resume says that the resume itself did not run.
                 let mut stream = resumed.map_err(|error| {
                     let text = error.to_string();
                     Error::Unknown(UnknownOutcome::ConnectionLost(text))
--- a/filbertpaddle-standins/src/caller.rs
+++ b/filbertpaddle-standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! Requests sent to nodes, as callers do.
+//! HTTP client that sends load test requests to nodes, as callers do, and checks the answers.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 use crate::observation::Observer;
 use crate::workload::Request;
 
-/// Name of the only parameter of the load tool's templates.
+/// Name of the parameter in the templates of the load tool; each has only this one.
 pub const TEMPLATE_PARAMETER: &str = "ask";
 
 #[derive(Deserialize)]
@@ -22,19 +22,19 @@
     text: String,
 }
 
-/// One server-sent event.
+/// A server-sent event.
 #[derive(Debug, Default)]
 struct Event {
     name: String,
     data: String,
 }
 
-/// Returns the key by which a customer proves itself.
+/// Returns the API key of a customer.
 pub fn api_key(customer: &str) -> String {
     format!("load-tool-key-{customer}")
 }
 
-/// Sends one request to a node and returns how it ended.
+/// Sends a request to a node, reads the answer to its end and returns how the request ended.
 pub async fn run(
     http: &reqwest::Client,
     node: SocketAddr,
@@ -102,7 +102,7 @@
     Ending::Broken
 }
 
-/// Notes an event; returns the ending if it is the last.
+/// Records an event and returns the ending if the event is the last one.
 fn record_event(event: &Event, observer: &mut Observer) -> Option<Ending> {
     match event.name.as_str() {
         "token" => {
--- a/filbertpaddle-standins/src/child.rs
+++ b/filbertpaddle-standins/src/child.rs
@@ -1,4 +1,4 @@
-//! Child processes of an experiment.
+//! Asynchronous child processes of an experiment that report readiness as one line of JSON.
 
 use std::io;
 use std::path::Path;
@@ -11,38 +11,38 @@
 use tokio::io::BufReader;
 use tokio::process::Command;
 
-/// Longest wait for a child's ready line.
+/// Longest wait for the line that a child prints when it is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why a child did not start.
+/// Reason why a child did not start.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The process could not be started or read.
-    #[error("cannot run {program}: {source}")]
+    /// The process could not be started, or its first line not read in time.
+    #[error("{program} did not start or did not become ready: {source}")]
     Io {
         /// Program that was started.
         program: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The first line is not what was expected.
-    #[error("{program} printed {line:?}: {source}")]
+    /// The first line could not be decoded.
+    #[error("cannot decode the first line of {program}, {line:?}: {source}")]
     Line {
         /// Program that was started.
         program: String,
-        /// The line.
+        /// Line that was printed.
         line: String,
-        /// Why it cannot be decoded.
+        /// Error of the decoder.
         source: serde_json::Error,
     },
 }
 
-/// A child process and what its first line said.
+/// A running child process and its decoded first line.
 #[derive(Debug)]
 pub struct Child<T> {
-    /// What the first line said.
+    /// Decoded first line, which the child printed when it was ready.
     pub ready: T,
-    /// Id of the process.
+    /// Process id.
     pub pid: u32,
     process: tokio::process::Child,
 }
@@ -51,11 +51,12 @@
 where
     T: DeserializeOwned,
 {
-    /// Starts a program and waits for its first line of JSON.
+    /// Starts a program, then waits for its first line and decodes it as JSON.
     ///
     /// # Errors
     ///
-    /// Returns an error if the process cannot be started or its line decoded.
+    /// Returns an error if the process cannot be started, prints no line in
+    /// time, or prints a line that cannot be decoded.
     pub async fn start(program: &Path, args: &[String]) -> Result<Self, Error> {
         let name = program.display().to_string();
         let io = |source| Error::Io {
@@ -89,9 +90,9 @@
         })
     }
 
-    /// Ends the process at once.
+    /// Kills the process.
     pub async fn close(mut self) {
-        // It may have ended by itself.
+        // Fails if the process has already exited.
         let _ = self.process.kill().await;
     }
 }
--- a/filbertpaddle-standins/src/cluster.rs
+++ b/filbertpaddle-standins/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The platform and the nodes of an experiment, as child processes.
+//! Platform stand-in and nodes of an experiment, each run as a child process.
 
 use std::collections::HashSet;
 use std::io;
@@ -26,71 +26,71 @@
 use crate::usage;
 use crate::usage::Usage;
 
-/// Name of the model that all engines serve.
+/// Model that all engines serve.
 pub const MODEL: &str = "drafts";
 
 /// Name of the plain service.
 pub const SERVICE: &str = "bookings";
 
-/// How often a node is asked whether it is ready.
+/// Time between two readiness checks of a node.
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Most times that a node is asked.
-const MAX_READY_CHECKS: u32 = 300;
+/// Most retries of the readiness check of a node.
+const MAX_READY_RETRIES: u32 = 300;
 
-/// Why a cluster did not start or did not follow.
+/// Reason why a cluster did not start or a change of it failed.
 #[derive(Debug, Error)]
 pub enum Error {
     /// A process did not start.
     #[error(transparent)]
     Child(#[from] child::Error),
-    /// A stand-in or node did not answer.
+    /// A stand-in or node did not answer, or answered with an error status.
     #[error(transparent)]
     Http(#[from] reqwest::Error),
     /// A settings file could not be written.
-    #[error("cannot write settings: {0}")]
+    #[error("cannot write the settings files of the nodes: {0}")]
     Io(#[from] io::Error),
     /// A node did not accept a change of the configuration.
-    #[error("{path} was not set: {answer}")]
+    #[error("node refused to set configuration entry {path}: {answer}")]
     ChangeRefused {
-        /// Path of the entry.
+        /// Path of the configuration entry.
         path: String,
-        /// What the node answered.
+        /// Answer of the node.
         answer: String,
     },
     /// The cluster has no node.
-    #[error("there is no node")]
+    #[error("cannot change the configuration: the cluster has no nodes")]
     NoNode,
-    /// A node was never ready.
-    #[error("node {0} is not ready")]
+    /// A node did not become ready.
+    #[error("node at {0} did not become ready within {MAX_READY_RETRIES} retries")]
     NotReady(SocketAddr),
 }
 
-/// What the cluster consists of.
+/// Settings of a cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Program of the stand-ins.
+    /// Path of the stand-in program.
     pub standin_program: PathBuf,
-    /// Program of the nodes.
+    /// Path of the node program.
     pub node_program: PathBuf,
-    /// Data centres.
+    /// Number of data centres.
     pub data_centres: usize,
-    /// Nodes in all.
+    /// Number of nodes over all data centres.
     pub nodes: usize,
-    /// Name of the policy, if the nodes' own default is not wanted.
+    /// Name of the placement policy; `None` leaves the nodes' default.
     pub policy: Option<String>,
 }
 
-/// Addresses of the platform stand-in.
+/// Addresses that the platform stand-in listens on, decoded from its first line.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct PlatformAddresses {
-    /// Where it serves.
+    /// For nodes.
     pub address: SocketAddr,
-    /// Its control port.
+    /// For control requests.
     pub control: SocketAddr,
 }
 
-/// Addresses of a node.
+/// Addresses that a node listens on, decoded from its first line.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct NodeAddresses {
     /// For callers.
@@ -101,7 +101,7 @@
     pub peers: SocketAddr,
 }
 
-/// A running platform and running nodes.
+/// A running platform stand-in and its running nodes.
 #[derive(Debug)]
 pub struct Cluster {
     platform: Child<PlatformAddresses>,
@@ -113,11 +113,13 @@
 }
 
 impl Cluster {
-    /// Starts the platform and the nodes, and waits until all are ready.
+    /// Starts the platform stand-in and the nodes, waits until all nodes are
+    /// ready and sets the customers and templates.
     ///
     /// # Errors
     ///
-    /// Returns an error if a process does not start or is never ready.
+    /// Returns an error if a process does not start or become ready, or if a
+    /// node refuses a configuration entry.
     pub async fn start(
         settings: &Settings,
         fleet: &Fleet,
@@ -198,14 +200,14 @@
         for node in &self.nodes {
             let address = node.ready.callers;
             let url = format!("http://{address}/readyz");
-            let mut checks = 0;
+            let mut failed_checks = 0;
             loop {
                 let answer = self.http.get(&url).send().await;
                 if answer.is_ok_and(|answer| answer.status().is_success()) {
                     break;
                 }
-                checks += 1;
-                if checks > MAX_READY_CHECKS {
+                failed_checks += 1;
+                if failed_checks > MAX_READY_RETRIES {
                     return Err(Error::NotReady(address));
                 }
                 tokio::time::sleep(READY_CHECK_INTERVAL).await;
@@ -214,11 +216,11 @@
         Ok(())
     }
 
-    /// Takes a data centre out, or brings it back, as an operator does.
+    /// Takes a data centre out of service (`out`) or back in (`in`), as an operator does.
     ///
     /// # Errors
     ///
-    /// Returns an error if the change is not accepted.
+    /// Returns an error if the node does not answer or refuses the change.
     pub async fn set_data_centre_service(
         &self,
         data_centre: usize,
@@ -235,7 +237,7 @@
         Ok(())
     }
 
-    /// Sets one entry of the configuration and returns its revision.
+    /// Sets a configuration entry through the last node and returns its new revision.
     async fn put_entry(
         &self,
         path: &str,
@@ -261,7 +263,7 @@
             })
     }
 
-    /// Switches an outage of the platform on or off.
+    /// Starts or ends an outage of the platform stand-in.
     ///
     /// # Errors
     ///
@@ -276,7 +278,7 @@
         self.post(&url, &faults).await
     }
 
-    /// Returns the callers' addresses of nodes outside a data centre.
+    /// Returns the addresses for callers of all nodes outside the excluded data centre.
     pub fn caller_addresses(&self, excluded: Option<usize>) -> Vec<SocketAddr> {
         self.nodes
             .iter()
@@ -286,7 +288,8 @@
             .collect()
     }
 
-    /// Reads what each node has used; its traffic is that with peers and platform.
+    /// Reads the resource usage of each node; traffic counts only connections
+    /// with peers and the platform.
     pub fn usage(&self) -> Vec<Usage> {
         let mut ports: HashSet<u16> = self
             .nodes
@@ -309,16 +312,16 @@
         Ok(())
     }
 
-    /// Ends the processes.
+    /// Kills the processes and removes the settings files.
     pub async fn close(self) {
         for node in self.nodes {
             node.close().await;
         }
         self.platform.close().await;
-        // Files left over do no harm.
+        // Files that remain in the temporary directory do not affect later runs.
         let _ = std::fs::remove_dir_all(self.directory);
     }
 }
 
-/// Time that nodes get to learn of targets, configuration and each other.
+/// Time after the start in which nodes discover targets, configuration and each other.
 pub const SETTLE_TIME_MS: Millis = Millis(6_000);
--- a/filbertpaddle-standins/src/command_engine.rs
+++ b/filbertpaddle-standins/src/command_engine.rs
@@ -1,4 +1,4 @@
-//! `engine`: runs engine stand-ins in one process.
+//! The `engine` subcommand: runs one or more engine stand-ins in one process.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use lexopt::ValueExt;
 use serde::Serialize;
 
-/// The line printed once the engines serve.
+/// Addresses printed as a line of JSON once the engines accept requests.
 #[derive(Serialize)]
 struct Ready {
     address: SocketAddr,
@@ -16,7 +16,7 @@
     engines: Vec<EngineAddresses>,
 }
 
-/// Addresses of one engine.
+/// Addresses that an engine listens on.
 #[derive(Serialize)]
 struct EngineAddresses {
     address: SocketAddr,
--- a/filbertpaddle-standins/src/command_load.rs
+++ b/filbertpaddle-standins/src/command_load.rs
@@ -1,4 +1,4 @@
-//! `load`: runs scenarios under policies and reports what they show.
+//! The `load` subcommand: runs scenarios under routing policies and compares the results.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -13,7 +13,7 @@
 use filbertpaddle_standins::summary::Summary;
 use lexopt::ValueExt;
 
-/// What the command line asks for.
+/// Options of the command line.
 struct Options {
     settings: Settings,
     scenarios: Vec<Scenario>,
@@ -32,7 +32,7 @@
 async fn compare(options: &Options) -> eyre::Result<()> {
     let mut summary = Summary::default();
     for path in &options.read {
-        read(path, &mut summary).wrap_err("cannot read earlier runs")?;
+        read(path, &mut summary).wrap_err("cannot read the reports of earlier runs")?;
     }
     let scenarios = options.scenarios.iter();
     for scenario in scenarios.filter(|_| options.read.is_empty()) {
@@ -52,12 +52,16 @@
     }
     println!("{summary}");
     if let Some(path) = &options.plot {
-        summary.plot(path).wrap_err("cannot draw the plot")?;
+        summary
+            .plot(path)
+            .wrap_err("cannot write the plot of the summary")?;
     }
     Ok(())
 }
 
-/// Adds the reports among the lines of an earlier run's output.
+/// Adds the reports in the saved output of earlier runs, one JSON object a line.
+///
+/// Other lines are the readable form of the same reports and are skipped.
 fn read(path: &Path, summary: &mut Summary) -> eyre::Result<()> {
     let text = std::fs::read_to_string(path)?;
     for line in text.lines().filter(|line| line.starts_with('{')) {
--- a/filbertpaddle-standins/src/command_platform.rs
+++ b/filbertpaddle-standins/src/command_platform.rs
@@ -1,4 +1,4 @@
-//! `platform`: runs the platform stand-in.
+//! The `platform` subcommand: runs the platform stand-in.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use lexopt::ValueExt;
 use serde::Serialize;
 
-/// The line printed once the stand-in serves.
+/// Addresses printed as a line of JSON once the stand-in accepts requests.
 #[derive(Serialize)]
 struct Ready {
     address: SocketAddr,
--- a/filbertpaddle-standins/src/command_proxy.rs
+++ b/filbertpaddle-standins/src/command_proxy.rs
@@ -1,4 +1,4 @@
-//! `proxy`: runs the fault proxy.
+//! The `proxy` subcommand: runs the fault-injection proxy.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use lexopt::ValueExt;
 use serde::Serialize;
 
-/// The line printed once the proxy serves.
+/// Addresses printed as a line of JSON once the proxy accepts connections.
 #[derive(Serialize)]
 struct Ready {
     address: SocketAddr,
@@ -28,7 +28,8 @@
             _ => return Err(arg.unexpected().into()),
         }
     }
-    let upstream = upstream.ok_or_eyre("--upstream is missing")?;
+    let upstream = upstream
+        .ok_or_eyre("--upstream is missing: the proxy needs the address that it forwards to")?;
     tokio::runtime::Runtime::new()?.block_on(serve(listen, upstream, control))
 }
 
--- a/filbertpaddle-standins/src/command_service.rs
+++ b/filbertpaddle-standins/src/command_service.rs
@@ -1,4 +1,4 @@
-//! `service`: runs a plain service stand-in.
+//! The `service` subcommand: runs a stand-in of a plain service.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -9,10 +9,10 @@
 use lexopt::ValueExt;
 use serde::Serialize;
 
-/// Time that a call takes unless told otherwise.
+/// Time that a call takes unless `--duration-ms` is given.
 const DEFAULT_CALL_DURATION_MS: Millis = Millis(20);
 
-/// The line printed once the service serves.
+/// Address printed as a line of JSON once the service accepts calls.
 #[derive(Serialize)]
 struct Ready {
     address: SocketAddr,
--- a/filbertpaddle-standins/src/experiment.rs
+++ b/filbertpaddle-standins/src/experiment.rs
@@ -1,4 +1,5 @@
-//! One run of a scenario under a policy.
+//! Runs one scenario under one routing policy: starts the processes, sends the
+//! load, applies the scenario's faults and sums up the results.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -42,16 +43,16 @@
 use crate::usage;
 use crate::workload::Request;
 
-/// Time that running requests get to end after the last was sent.
+/// Time after the due time of a request in which it must end.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(75);
 
-/// Longest silence of a stream that a baseline bears.
+/// Longest time between two events of a stream before a baseline gives it up.
 const BASELINE_IDLE_TIMEOUT_MS: Millis = Millis(300_000);
 
-/// The data centre that scenarios take out.
+/// Index of the data centre that scenarios take out of service.
 const OUT_OF_SERVICE_DATA_CENTRE: usize = 0;
 
-/// Who chooses targets, and how.
+/// Which component selects targets, and by which policy.
 #[derive(
     Clone,
     Copy,
@@ -65,71 +66,72 @@
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum RoutingPolicy {
-    /// Entry VMs without coordination, in turn.
+    /// Uncoordinated entry VMs, round robin.
     DirectRoundRobin,
-    /// Entry VMs without coordination, by their own connections.
+    /// Uncoordinated entry VMs, by the connections that each has open itself.
     DirectLeastConnections,
-    /// Entry VMs around one scheduler of the core, in turn.
+    /// Entry VMs that share one scheduler of the core, round robin.
     PoolRoundRobin,
-    /// Entry VMs around one scheduler of the core, by running attempts.
+    /// Entry VMs that share one scheduler of the core, by running attempts.
     PoolLeastConnections,
-    /// Entry VMs around one scheduler of the core, by predicted memory.
+    /// Entry VMs that share one scheduler of the core, by predicted memory.
     PoolPredictive,
-    /// Nodes, in turn.
+    /// Nodes, round robin.
     RoundRobin,
     /// Nodes, by running attempts.
     LeastConnections,
     /// Nodes, by predicted memory.
     Predictive,
-    /// Nodes with whatever policy is their default.
+    /// Nodes with their default policy.
     Nodes,
 }
 
-/// Why a run failed.
+/// Reason why a run failed.
 #[derive(Debug, Error)]
 pub enum Error {
     /// A stand-in did not start.
     #[error(transparent)]
     Child(#[from] child::Error),
-    /// The platform or a node failed.
+    /// The platform stand-in or a node failed.
     #[error(transparent)]
     Cluster(#[from] cluster::Error),
     /// A control port did not answer.
     #[error(transparent)]
     Http(#[from] reqwest::Error),
-    /// The client of targets could not be set up.
+    /// The client of the baselines could not be set up.
     #[error(transparent)]
     Target(#[from] filbertpaddle_target::error::Error),
 }
 
-/// What a run is made of.
+/// Settings of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Scenario to run.
     pub scenario: Scenario,
-    /// Policy to run it under.
+    /// Routing policy to run it under.
     pub routing_policy: RoutingPolicy,
-    /// Seed of load and lengths.
+    /// Seed of the workload.
     pub seed: u64,
     /// Length of the run.
     pub duration_ms: Millis,
-    /// Mean requests a second.
+    /// Mean number of requests per second.
     pub rate: f64,
-    /// Entry VMs, nodes or simulated ones.
+    /// Number of entry VMs: nodes, or simulated entry VMs of a baseline.
     pub entry_vms: usize,
-    /// Program of the nodes.
+    /// Path of the node program.
     pub node_program: PathBuf,
     /// Engines and plain services.
     pub fleet: fleet::Settings,
 }
 
-/// What takes the requests.
+/// Entry points that requests are sent to.
 #[derive(Debug)]
 enum EntryPoints {
     Direct(Vec<EntryVm>),
     Nodes(Box<Cluster>),
 }
 
+/// State of a run, shared by its tasks.
 #[derive(Debug)]
 struct Run {
     entry_points: EntryPoints,
@@ -140,11 +142,11 @@
     data_centres: usize,
 }
 
-/// Runs a scenario and sums it up.
+/// Runs a scenario and returns its report.
 ///
 /// # Errors
 ///
-/// Returns an error if a process does not start or a control port fails.
+/// Returns an error if a process does not start or a control request fails.
 pub async fn run(settings: &Settings) -> Result<Report, Error> {
     let run = Arc::new(Run::start(settings).await?);
     let requests = settings
@@ -162,10 +164,11 @@
     let start = Instant::now();
     let timeline_task = tokio::spawn(run_timeline(run.clone(), timeline, start));
     let records = send_requests(&run, requests, start).await;
-    // A run without requests measures what idle nodes cost.
+    // The run lasts its full time even without requests, to measure the cost of idle nodes.
     tokio::time::sleep_until((start + duration(settings.duration_ms)).into()).await;
     timeline_task.abort();
-    // It holds the run until it has ended, and an abort is no failure.
+    // The task holds a reference to the run until it has ended, and closing the run needs
+    // the last reference. The error of an aborted task is expected.
     let _ = timeline_task.await;
     let node_cost = NodeCost::new(&before, &run.usage(), start.elapsed());
     let target_counters = TargetCounters {
@@ -196,12 +199,17 @@
     for timed in timeline {
         tokio::time::sleep_until((start + duration(timed.at_ms)).into()).await;
         if let Err(error) = run.apply(timed.action).await {
-            eprintln!("load: {:?} failed: {error}", timed.action);
+            eprintln!(
+                "load: cannot apply {:?}; the run continues without it: {error}",
+                timed.action
+            );
         }
     }
 }
 
-/// Sends every request when it is due, whatever became of those before it.
+/// Sends each request when it is due and collects the results.
+///
+/// The load is open-loop: a request never waits for an earlier one to end.
 async fn send_requests(
     run: &Arc<Run>,
     requests: Vec<Request>,
@@ -372,7 +380,7 @@
 
 fn client() -> Result<Client, Error> {
     Ok(Client::new(client::Settings {
-        // A baseline waits out what crowding does, so that it is measured.
+        // Baselines wait through stalls of crowded engines, so that the stalls are measured.
         idle_timeout_ms: BASELINE_IDLE_TIMEOUT_MS,
         ..client::Settings::default()
     })?)
--- a/filbertpaddle-standins/src/fleet.rs
+++ b/filbertpaddle-standins/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The engines and plain services of an experiment, as child processes.
+//! Engine and service stand-ins of an experiment, run in child processes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,49 +11,52 @@
 use crate::engine_state::Counters;
 use crate::service::Counts;
 
-/// What the fleet consists of.
+/// Settings of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Program of the stand-ins.
+    /// Path of the stand-in program.
     pub program: PathBuf,
     /// Seed of the output lengths.
     pub seed: u64,
-    /// Data centres.
+    /// Number of data centres.
     pub data_centres: usize,
-    /// Engines in all.
+    /// Number of engines over all data centres.
     pub engines: usize,
-    /// Plain services in all.
+    /// Number of plain services over all data centres.
     pub services: usize,
     /// Memory pages of an engine.
     pub pages: u32,
-    /// Most attempts in an engine's batch.
+    /// Most attempts in the batch of a warm engine.
     pub warm_limit: u32,
-    /// Attempts that a cold engine bears.
+    /// Attempts that a cold engine can run at once without collapsing.
     pub cold_limit: u32,
 }
 
-/// Addresses of one target.
+/// An engine or plain service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Where it serves.
+    /// Address that it serves requests at.
     pub address: SocketAddr,
-    /// Its control port; plain services have none.
+    /// Address for control requests; plain services have none.
     pub control: Option<SocketAddr>,
     /// Index of its data centre.
     pub data_centre: usize,
 }
 
+/// Addresses of one engine.
 #[derive(Debug, Deserialize)]
 struct EngineAddresses {
     address: SocketAddr,
     control: SocketAddr,
 }
 
+/// Line that a process of engines prints when it is ready.
 #[derive(Debug, Deserialize)]
 struct EnginesReady {
     engines: Vec<EngineAddresses>,
 }
 
+/// Line that a plain service prints when it is ready.
 #[derive(Debug, Deserialize)]
 struct ServiceReady {
     address: SocketAddr,
@@ -62,7 +65,7 @@
 /// Running engines and plain services.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The engines; those of one data centre follow each other.
+    /// The engines, grouped by data centre.
     pub engines: Vec<Target>,
     /// The plain services.
     pub services: Vec<Target>,
@@ -72,7 +75,7 @@
 }
 
 impl Fleet {
-    /// Starts one process of engines for each data centre, and the services.
+    /// Starts one process for the engines of each data centre and one process for each service.
     ///
     /// # Errors
     ///
@@ -139,11 +142,11 @@
         Ok(())
     }
 
-    /// Brings a fault about at every n-th engine.
+    /// Injects a fault into the first engine and every `every`-th one after it.
     ///
     /// # Errors
     ///
-    /// Returns an error if a control port does not answer.
+    /// Returns an error if an engine does not accept the control request.
     pub async fn inject_fault(&self, every: usize, fault: Fault) -> Result<(), reqwest::Error> {
         let controls = self.engines.iter().filter_map(|engine| engine.control);
         for control in controls.step_by(every.max(1)) {
@@ -158,7 +161,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if a control port does not answer.
+    /// Returns an error if an engine does not answer the control request.
     pub async fn engine_counters(&self) -> Result<Vec<Counters>, reqwest::Error> {
         let mut all = Vec::new();
         for control in self.engines.iter().filter_map(|engine| engine.control) {
@@ -168,7 +171,7 @@
         Ok(all)
     }
 
-    /// Reads the counts of all plain services.
+    /// Reads the request counts of all plain services.
     ///
     /// # Errors
     ///
@@ -182,7 +185,7 @@
         Ok(all)
     }
 
-    /// Ends the processes.
+    /// Kills the processes.
     pub async fn close(self) {
         for child in self.engine_children {
             child.close().await;
@@ -193,7 +196,8 @@
     }
 }
 
-/// Returns how many of some things fall to one of several places.
+/// Divides a total evenly over parts, the first ones larger by one if needed,
+/// and returns the size of one part.
 const fn even_share(total: usize, parts: usize, index: usize) -> usize {
     total / parts + if index < total % parts { 1 } else { 0 }
 }
--- a/filbertpaddle-standins/src/main.rs
+++ b/filbertpaddle-standins/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line of the development stand-ins.
+//! Command line of the stand-ins and the load tool.
 
 use eyre::bail;
 
@@ -8,7 +8,7 @@
 mod command_proxy;
 mod command_service;
 
-/// One subcommand: its name and what runs it with the rest of the arguments.
+/// A subcommand: its name and the function that runs it with the remaining arguments.
 struct Subcommand {
     name: &'static str,
     run: fn(lexopt::Parser) -> eyre::Result<()>,
@@ -48,7 +48,7 @@
     {
         Some(subcommand) => (subcommand.run)(parser),
         None => bail!(
-            "unknown command {}; known: {}",
+            "unknown subcommand {}; known subcommands: {}",
             name.display(),
             subcommand_names()
         ),
