--- a/filbertpaddle-standins/src/experiment.rs
+++ b/filbertpaddle-standins/src/experiment.rs
@@ -43,8 +43,8 @@
 use crate::usage;
 use crate::workload::Request;
 
-/// Time after the due time of a request in which it must end.
-const DRAIN_TIMEOUT: Duration = Duration::from_secs(75);
+/// Time from when a request is due until it counts as unfinished.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(75);
 
 /// Longest time between two events of a stream before a baseline gives it up.
 const BASELINE_IDLE_TIMEOUT_MS: Millis = Millis(300_000);
@@ -224,7 +224,7 @@
         let run = run.clone();
         tasks.spawn(async move {
             let mut observer = Observer::new(due);
-            let limit = (due + DRAIN_TIMEOUT).into();
+            let limit = (due + REQUEST_TIMEOUT).into();
             let ending = tokio::time::timeout_at(limit, run.send(&request, &mut observer)).await;
             let observation = observer.finish(ending.unwrap_or(Ending::Unfinished));
             RequestRecord {
@@ -234,7 +234,7 @@
         });
     }
     let mut records = Vec::new();
-    let end = last + DRAIN_TIMEOUT + Duration::from_secs(1);
+    let end = last + REQUEST_TIMEOUT + Duration::from_secs(1);
     while let Ok(Some(Ok(record))) = tokio::time::timeout_at(end.into(), tasks.join_next()).await {
         records.push(record);
     }
--- a/filbertpaddle-standins/src/fleet.rs
+++ b/filbertpaddle-standins/src/fleet.rs
@@ -26,7 +26,7 @@
     pub services: usize,
     /// Memory pages of an engine.
     pub pages: u32,
-    /// Most attempts in the batch of a warm engine.
+    /// Most attempts in the batch of an engine.
     pub warm_limit: u32,
     /// Attempts that a cold engine can run at once without collapsing.
     pub cold_limit: u32,
--- a/filbertpaddle-standins/src/lengths.rs
+++ b/filbertpaddle-standins/src/lengths.rs
@@ -1,4 +1,4 @@
-//! Output lengths of simulated generations.
+//! Random output lengths of simulated generations, repeatable from a seed and the prompt.
 
 use rand::Rng;
 use rand::RngExt;
@@ -14,7 +14,7 @@
 /// Longest output, in tokens.
 const MAX_OUTPUT_TOKENS: f64 = 32_768.0;
 
-/// A lognormal body with a Pareto tail.
+/// Distribution of output lengths: a lognormal body with a Pareto tail.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LengthDistribution {
     /// Median of the body, in tokens.
@@ -25,11 +25,11 @@
     pub tail_share: f64,
     /// Shortest output of the tail, in tokens.
     pub tail_tokens: f64,
-    /// Exponent of the tail; smaller is heavier.
+    /// Exponent of the tail; a smaller one makes the tail heavier.
     pub tail_exponent: f64,
 }
 
-/// Lengths by the first word of the prompt; the last entry serves the rest.
+/// Distributions by the first word of the prompt; the last one applies to all other prompts.
 pub const LENGTH_DISTRIBUTIONS: &[(&str, LengthDistribution)] = &[
     ("stock", distribution(24.0, 0.5, 0.01, 200.0, 1.5)),
     ("topics", distribution(60.0, 0.6, 0.03, 400.0, 1.4)),
@@ -54,11 +54,11 @@
     }
 }
 
-/// Draws the output length of a prompt, in tokens, at least one.
+/// Draws the output length of a prompt, in tokens; it is at least one.
 ///
-/// The same seed and prompt always give the same length. A marker in the
-/// prompt stands for the whole of it, so that one request has one length
-/// however its prompt is put together.
+/// The same seed and prompt always give the same length. If the prompt has a
+/// marker, only the marker and the first word count, so that the length of a
+/// request does not depend on how its prompt is assembled.
 pub fn draw(seed: u64, prompt: &str) -> u32 {
     let word = prompt.split_whitespace().next().unwrap_or_default();
     let distribution = LENGTH_DISTRIBUTIONS
--- a/filbertpaddle-standins/src/node_settings.rs
+++ b/filbertpaddle-standins/src/node_settings.rs
@@ -1,4 +1,4 @@
-//! Settings and configuration of the nodes of an experiment.
+//! Settings files of an experiment's nodes, and the customers and templates they are given.
 
 use std::net::SocketAddr;
 
@@ -15,10 +15,10 @@
 use crate::workload::RequestKind;
 use crate::workload::STANDARD_KINDS;
 
-/// Token of the only operator.
+/// Token of the experiment's only operator.
 pub const OPERATOR_TOKEN: &str = "load-tool-operator-token";
 
-/// Secret that nodes share.
+/// Secret that all nodes share, for messages between nodes and for tickets.
 const SECRET: &str = "load-tool-secret-of-all-nodes-0123456789";
 
 /// Returns the name of a data centre.
@@ -31,23 +31,23 @@
     format!("node-{number}")
 }
 
-/// What the settings of one node depend on.
+/// Values that differ between the settings files of nodes.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeSettings<'a> {
     /// Number of the node.
     pub number: usize,
     /// Number of its data centre.
     pub data_centre: usize,
-    /// Address of the platform.
+    /// Address of the platform stand-in.
     pub platform: SocketAddr,
-    /// Addresses of other nodes.
+    /// Peer addresses of other nodes.
     pub peers: &'a [SocketAddr],
-    /// Name of the policy, if not the default.
+    /// Name of the placement policy; `None` leaves the default.
     pub policy: Option<&'a str>,
 }
 
 impl NodeSettings<'_> {
-    /// Returns the text of the settings file; JSON is YAML as well.
+    /// Returns the text of the settings file as JSON, which is also valid YAML.
     pub fn text(&self) -> String {
         let any = "127.0.0.1:0";
         let mut settings = json!({
@@ -69,16 +69,16 @@
     }
 }
 
-/// One entry of the configuration.
+/// An entry of the configuration to set through the operators' API.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigurationEntry {
-    /// Path below the operators' interface.
+    /// Path of the entry below `/v1/`.
     pub path: String,
-    /// Value of the entry.
+    /// Value to set.
     pub value: Value,
 }
 
-/// Returns the customers and templates of the load tool.
+/// Returns the entries for the customers and templates of the load tool.
 pub fn entries() -> Vec<ConfigurationEntry> {
     let mut entries = Vec::new();
     for (customer, _) in CUSTOMERS {
--- a/filbertpaddle-standins/src/observation.rs
+++ b/filbertpaddle-standins/src/observation.rs
@@ -1,11 +1,11 @@
-//! What a caller saw of one request, and the checks on it.
+//! Records and checks the answer to one request as its caller receives it.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use serde::Serialize;
 
-/// Gaps beyond this span count as stalls.
+/// Gap between tokens beyond which the excess counts as stall time.
 pub const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 
 /// How a request ended for its caller.
@@ -26,39 +26,39 @@
 pub enum Ending {
     /// The whole answer arrived.
     Complete,
-    /// Refused, not run.
+    /// The request was refused and not run.
     NotRun,
-    /// The effect is unknown.
+    /// It is unknown whether the request ran.
     MayHaveRun,
-    /// The answer broke off, and the caller was told.
+    /// The answer broke off, and the caller was notified.
     Incomplete,
-    /// The answer broke off without a word.
+    /// The answer broke off without an end event or an outcome.
     Broken,
-    /// The request had not ended when the run was over.
+    /// The request had not ended when its time was over.
     Unfinished,
 }
 
-/// A promise that was broken.
+/// A guarantee that was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Violation {
     /// A token was missing, repeated or out of order.
     Order,
-    /// Tokens of two generations in one answer.
+    /// An answer contained tokens of two generations.
     Spliced,
-    /// The end told another number of tokens than were delivered.
+    /// The number of tokens in the end event differed from the tokens delivered.
     Count,
-    /// A request said not to have run had run.
+    /// A request reported as not run had run.
     NotRunButRan,
-    /// A request that must not be repeated ran twice.
+    /// A request that must not be repeated ran more than once.
     RanTwice,
 }
 
-/// One request as its caller saw it.
+/// One request as observed by its caller.
 #[derive(Clone, Debug)]
 pub struct Observation {
-    /// How it ended.
+    /// How the request ended.
     pub ending: Ending,
     /// Tokens delivered.
     pub tokens: u32,
@@ -68,12 +68,12 @@
     pub duration: Duration,
     /// Times between consecutive tokens.
     pub gaps: Vec<Duration>,
-    /// Promises broken.
+    /// Guarantees that were violated.
     pub violations: Vec<Violation>,
 }
 
 impl Observation {
-    /// Returns the time by which gaps went beyond a usual one.
+    /// Returns the time by which gaps exceeded [`STALL_THRESHOLD`], summed.
     pub fn stall_time(&self) -> Duration {
         self.gaps
             .iter()
@@ -92,7 +92,7 @@
 }
 
 impl Observer {
-    /// Starts observing a request that was due at a time.
+    /// Starts observing a request that is due at the given time.
     pub fn new(due: Instant) -> Self {
         let observation = Observation {
             ending: Ending::Unfinished,
@@ -110,12 +110,12 @@
         }
     }
 
-    /// Returns the number of tokens so far.
+    /// Returns the number of tokens received so far.
     pub const fn tokens(&self) -> u32 {
         self.observation.tokens
     }
 
-    /// Notes a token.
+    /// Records a token of a stream and checks it.
     pub fn record_token(&mut self, index: u32, text: &str) {
         let now = Instant::now();
         if self.observation.first_token.is_none() {
@@ -128,17 +128,18 @@
         self.observation.tokens += 1;
     }
 
-    /// Notes a whole answer of a number of tokens.
+    /// Records an answer that arrived whole, with its number of tokens.
     pub fn record_answer(&mut self, tokens: u32) {
         self.observation.first_token = Some(self.due.elapsed());
         self.observation.tokens = tokens;
     }
 
-    /// Checks the text of a token, which tells its generation and its index.
+    /// Checks the index of a token and its text, which names its generation and
+    /// repeats its index.
     fn check_token(&mut self, index: u32, text: &str) {
         let expected = self.observation.tokens;
-        let (generation, inner) = text.trim_end().split_once('.').unwrap_or_default();
-        if index != expected || inner.parse() != Ok(expected) {
+        let (generation, text_index) = text.trim_end().split_once('.').unwrap_or_default();
+        if index != expected || text_index.parse() != Ok(expected) {
             self.observation.violations.push(Violation::Order);
         }
         match &self.generation {
@@ -150,14 +151,14 @@
         }
     }
 
-    /// Checks the number of tokens that the end told.
+    /// Checks the number of tokens given in the end event.
     pub fn check_token_count(&mut self, tokens: u32) {
         if tokens != self.observation.tokens {
             self.observation.violations.push(Violation::Count);
         }
     }
 
-    /// Ends the observation.
+    /// Returns the finished observation.
     pub fn finish(mut self, ending: Ending) -> Observation {
         self.observation.ending = ending;
         self.observation.duration = self.due.elapsed();
--- a/filbertpaddle-standins/src/process.rs
+++ b/filbertpaddle-standins/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes of tests and experiments.
+//! Child processes of tests, controlled by signals and killed on drop.
 
 use std::ffi::OsStr;
 use std::fs::File;
@@ -18,12 +18,12 @@
 use rustix::process::waitpid;
 use serde::de::DeserializeOwned;
 
-/// Set this variable to see what child processes write to standard error.
-const SHOW_LOG: &str = "FILBERTPADDLE_TEST_LOG";
+/// Environment variable that, if set, shows the standard error of child processes.
+const SHOW_LOG_VARIABLE: &str = "FILBERTPADDLE_TEST_LOG";
 
-/// A process that printed one JSON line when it was ready.
+/// A running process that printed one line of JSON when it was ready.
 ///
-/// Dropping it kills the process, so that a failed test leaves none behind.
+/// Dropping it kills the process, so that a failed test leaves no process behind.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -31,11 +31,11 @@
 }
 
 impl Process {
-    /// Starts a program and waits for the line that says it is ready.
+    /// Starts a program and waits for the line that it prints when it is ready.
     ///
     /// # Errors
     ///
-    /// Returns an error if the program cannot be started or ends before that line.
+    /// Returns an error if the program cannot be started or exits before it is ready.
     pub fn start<I, S>(program: &Path, args: I) -> io::Result<Self>
     where
         I: IntoIterator<Item = S>,
@@ -44,13 +44,13 @@
         Self::start_with(program, args, [], None)
     }
 
-    /// The same with some variables of its environment set, and with what it
-    /// writes later appended to a file.
+    /// Starts a program as [`Process::start`] does, with additional environment
+    /// variables. Its later standard output is appended to the `output` file.
     ///
     /// # Errors
     ///
     /// Returns an error if the file cannot be opened, or if the program cannot
-    /// be started or ends before that line.
+    /// be started or exits before it is ready.
     pub fn start_with<'a, I, S, V>(
         program: &Path,
         args: I,
@@ -62,7 +62,7 @@
         S: AsRef<OsStr>,
         V: IntoIterator<Item = (&'a str, &'a OsStr)>,
     {
-        let log = match std::env::var_os(SHOW_LOG) {
+        let log = match std::env::var_os(SHOW_LOG_VARIABLE) {
             Some(_) => Stdio::inherit(),
             None => Stdio::null(),
         };
@@ -73,7 +73,9 @@
             .stdout(Stdio::piped())
             .stderr(log)
             .spawn()
-            .map_err(|error| io::Error::other(format!("{}: {error}", program.display())))?;
+            .map_err(|error| {
+                io::Error::other(format!("cannot start {}: {error}", program.display()))
+            })?;
         let mut ready = String::new();
         if let Some(stdout) = child.stdout.take() {
             let mut reader = BufReader::new(stdout);
@@ -86,17 +88,17 @@
         if process.ready.is_empty() {
             let path = program.display();
             return Err(io::Error::other(format!(
-                "{path} ended before it was ready"
+                "{path} exited before it printed that it was ready"
             )));
         }
         Ok(process)
     }
 
-    /// Reads the line that said the process was ready.
+    /// Decodes the line that the process printed when it was ready.
     ///
     /// # Errors
     ///
-    /// Returns an error if the line has another form.
+    /// Returns an error if the line cannot be decoded as `T`.
     pub fn ready<T>(&self) -> io::Result<T>
     where
         T: DeserializeOwned,
@@ -104,55 +106,57 @@
         Ok(serde_json::from_str(&self.ready)?)
     }
 
-    /// Returns the process id.
+    /// Returns the process ID.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Freezes the process and returns once no thread of it runs.
+    /// Stops the process with `SIGSTOP` and returns once all its threads have stopped.
     ///
     /// # Errors
     ///
-    /// Returns an error if the process has gone.
+    /// Returns an error if the process has exited.
     pub fn pause(&self) -> io::Result<()> {
         self.signal(Signal::STOP)?;
-        // On a busy machine some threads run on for a while after the signal.
+        // On a busy machine threads may keep running for a while after the signal.
         let pid = Pid::from_child(&self.child);
         let status = waitpid(Some(pid), WaitOptions::UNTRACED)?;
         match status {
             Some((_, status)) if status.stopped() => Ok(()),
-            _ => Err(io::Error::other("the process ended instead of stopping")),
+            _ => Err(io::Error::other(
+                "process exited instead of stopping on SIGSTOP",
+            )),
         }
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a paused process with `SIGCONT`.
     ///
     /// # Errors
     ///
-    /// Returns an error if the process has gone.
+    /// Returns an error if the process has exited.
     pub fn resume(&self) -> io::Result<()> {
         self.signal(Signal::CONT)
     }
 
-    /// Asks the process to drain and stop.
+    /// Sends `SIGTERM`, on which a node drains and stops.
     ///
     /// # Errors
     ///
-    /// Returns an error if the process has gone.
+    /// Returns an error if the process has exited.
     pub fn terminate(&self) -> io::Result<()> {
         self.signal(Signal::TERM)
     }
 
-    /// Tells the process that its settings have changed.
+    /// Sends `SIGHUP`, on which a node reloads its settings.
     ///
     /// # Errors
     ///
-    /// Returns an error if the process has gone.
+    /// Returns an error if the process has exited.
     pub fn hang_up(&self) -> io::Result<()> {
         self.signal(Signal::HUP)
     }
 
-    /// Waits until the process has ended by itself.
+    /// Waits until the process exits by itself, and returns its exit status.
     ///
     /// # Errors
     ///
@@ -161,7 +165,7 @@
         self.child.wait()
     }
 
-    /// Returns whether the process has ended.
+    /// Returns whether the process has exited.
     ///
     /// # Errors
     ///
@@ -170,7 +174,7 @@
         Ok(self.child.try_wait()?.is_some())
     }
 
-    /// Kills the process at once.
+    /// Kills the process.
     pub fn close(self) {
         drop(self);
     }
@@ -181,7 +185,7 @@
     }
 }
 
-/// Appends to a file what is read, on a thread of its own until it ends.
+/// Copies everything read from `from` to the end of a file, on a separate thread.
 fn append<R>(mut from: R, path: &Path) -> io::Result<()>
 where
     R: io::Read + Send + 'static,
@@ -189,7 +193,7 @@
     let mut file = File::options().create(true).append(true).open(path)?;
     std::thread::spawn(move || {
         if let Err(error) = io::copy(&mut from, &mut file) {
-            eprintln!("output of a process not kept: {error}");
+            eprintln!("cannot copy the output of a child process; the rest is lost: {error}");
         }
     });
     Ok(())
