--- a/filbertpaddle-standins/src/proxy.rs
+++ b/filbertpaddle-standins/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that brings about faults of a link.
+//! TCP proxy that injects link faults: delays, cuts, stalls and half-open connections.
 
 use std::io;
 use std::net::Ipv4Addr;
@@ -23,39 +23,40 @@
 use crate::proxy_connection;
 use crate::server::Server;
 
-/// What is wrong with the link at present; the default is nothing.
+/// Faults of the link in effect; the default is none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Whether bytes pass.
+    /// State of the link.
     pub link: Link,
-    /// Time each piece of data spends on the link, in each direction.
+    /// Delay of each chunk of data on the link, in each direction.
     pub delay_ms: Millis,
 }
 
-/// Whether bytes pass.
+/// State of a link: whether bytes and new connections pass.
 ///
-/// Forward is from the side that connects to the side that listens.
+/// Forward means from the connecting side to the listening side.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Link {
     /// Bytes pass both ways.
     #[default]
     Open,
-    /// Connections are reset, new ones as soon as they are made.
+    /// Connections are reset; new ones are accepted and reset at once.
     Cut,
-    /// Bytes forward are held; they arrive late once the link is open again.
+    /// Bytes forward are held and delivered once the link is open again.
     CutForward,
-    /// Bytes backward are held; they arrive late once the link is open again.
+    /// Bytes backward are held and delivered once the link is open again.
     CutBackward,
-    /// Connections are accepted and bytes held both ways.
+    /// Connections are accepted, but bytes are held both ways.
     Stall,
-    /// The listening side's connections are reset; the connecting side's stay
-    /// open and swallow everything, until they are reset once this ends.
+    /// Connections are reset on the listening side. On the connecting side they
+    /// stay open and discard everything received, until they are reset when the
+    /// link leaves this state.
     HalfOpen,
 }
 
-/// What passed through a proxy since its start.
+/// Traffic through a proxy since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Connections accepted.
@@ -69,23 +70,23 @@
 /// A running proxy.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Address that takes the place of the upstream one.
+    /// Address that clients connect to instead of the upstream address.
     pub address: SocketAddr,
-    /// Address that serves the control requests.
+    /// Address that serves control requests.
     pub control: SocketAddr,
     state: SharedState,
     accept_task: tokio::task::JoinHandle<()>,
     control_server: Server,
 }
 
-/// State shared between connections.
+/// State shared between the connections of a proxy.
 #[derive(Clone, Debug)]
 pub(crate) struct SharedState {
     pub(crate) faults: Arc<watch::Sender<Faults>>,
     pub(crate) counters: Arc<TrafficCounters>,
 }
 
-/// Running counts.
+/// Counters behind [`Counts`].
 #[derive(Debug, Default)]
 pub(crate) struct TrafficCounters {
     pub(crate) connections: AtomicU64,
@@ -94,7 +95,7 @@
 }
 
 impl Proxy {
-    /// Starts a proxy on a free port before `upstream`.
+    /// Starts a proxy on a free local port that forwards to `upstream`.
     ///
     /// # Errors
     ///
@@ -104,7 +105,8 @@
         Self::start_at(any, upstream, any).await
     }
 
-    /// Starts a proxy at `address` before `upstream`, with its control port at `control`.
+    /// Starts a proxy at `address` that forwards to `upstream` and serves control
+    /// requests at `control`.
     ///
     /// # Errors
     ///
@@ -136,7 +138,7 @@
         self.state.faults.send_replace(faults);
     }
 
-    /// Sets whether bytes pass, without a delay.
+    /// Sets the state of the link and removes any delay.
     pub fn set_link(&self, link: Link) {
         self.set_faults(Faults {
             link,
@@ -144,12 +146,12 @@
         });
     }
 
-    /// Takes all faults away.
+    /// Removes all faults.
     pub fn heal(&self) {
         self.set_faults(Faults::default());
     }
 
-    /// Returns what passed since the start.
+    /// Returns the traffic since the start.
     pub fn counts(&self) -> Counts {
         self.state.counters.counts()
     }
@@ -173,7 +175,7 @@
 }
 
 async fn accept(listener: TcpListener, upstream: SocketAddr, state: SharedState) {
-    // Dropping the set when this task is aborted ends all connections.
+    // When this task is aborted, the set is dropped, which ends all connections.
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
@@ -188,7 +190,7 @@
 }
 
 async fn serve(client: TcpStream, upstream: SocketAddr, state: SharedState) {
-    // An error on either side ends both; there is nobody to report it to.
+    // An error on either side ends both connections; nothing else depends on it.
     let _ = proxy_connection::relay_connection(client, upstream, &state).await;
 }
 
--- a/filbertpaddle-standins/src/proxy_connection.rs
+++ b/filbertpaddle-standins/src/proxy_connection.rs
@@ -1,4 +1,4 @@
-//! One connection through the proxy.
+//! Relays one TCP connection through the proxy and applies the faults of the link to it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,33 +22,34 @@
 
 /// Most bytes read at once.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Pieces of data that may be on the link at once, in each direction.
+/// Chunks that may be on the link at once, in each direction.
 const MAX_CHUNKS_IN_FLIGHT: usize = 64;
 
-/// Data on its way.
+/// Data in transit on the link.
 struct Chunk {
     due: Instant,
     bytes: Bytes,
 }
 
-/// Direction of bytes.
+/// Direction in which bytes pass.
 #[derive(Clone, Copy)]
 enum Direction {
     Forward,
     Backward,
 }
 
-/// How a connection ends.
+/// Reason why relaying a connection ended.
 enum ConnectionEnd {
-    /// Both sides have closed it.
+    /// Both sides have closed the connection.
     Closed,
-    /// The link is cut.
+    /// The link is cut, or one side failed.
     Cut,
     /// The link is half open.
     HalfOpen,
 }
 
-/// Carries bytes between `client` and `upstream` until both have closed or a fault ends it.
+/// Relays bytes between `client` and `upstream` until both have closed or a fault
+/// ends the connection.
 pub(crate) async fn relay_connection(
     mut client: TcpStream,
     upstream: SocketAddr,
@@ -108,7 +109,7 @@
         forward.run(client_read, server_write),
         backward.run(server_read, client_write),
     );
-    // An error on one side is passed on to the other as a reset.
+    // An error on one side is propagated to the other as a reset.
     ends.map_or(ConnectionEnd::Cut, |_| ConnectionEnd::Closed)
 }
 
@@ -120,7 +121,7 @@
     }
 }
 
-/// Reads and discards until the link is no longer half open, then resets.
+/// Discards everything received until the link is no longer half open, then resets the connection.
 async fn discard_until_healed(
     client: &mut TcpStream,
     mut faults: watch::Receiver<Faults>,
@@ -141,7 +142,7 @@
     client.set_zero_linger()
 }
 
-/// Carries bytes in one direction.
+/// Relays the bytes of one direction.
 struct DirectionRelay<'a> {
     direction: Direction,
     faults: watch::Receiver<Faults>,
@@ -166,7 +167,8 @@
             tokio::time::sleep_until(chunk.due).await;
             self.wait_until_passable().await;
             let len = chunk.bytes.len() as u64;
-            // Counted first, so that whoever has the bytes sees them counted.
+            // Bytes are counted before they are written, so that a receiver that reads the
+            // counts finds the bytes it has already received in them.
             self.byte_counter.fetch_add(len, Ordering::Relaxed);
             to.write_all(&chunk.bytes).await?;
         }
@@ -176,7 +178,7 @@
 
     async fn wait_until_passable(&mut self) {
         let direction = self.direction;
-        // The sender outlives the connection, so the wait ends only by the condition.
+        // The sender outlives the connection, so the wait ends only when the condition holds.
         let _ = self
             .faults
             .wait_for(|faults| direction.is_passable(faults.link))
--- a/filbertpaddle-standins/src/report.rs
+++ b/filbertpaddle-standins/src/report.rs
@@ -1,4 +1,5 @@
-//! What a run has shown, as one line of JSON and as a table.
+//! Report of a run: the figures of its requests, targets and nodes, written as
+//! one line of JSON and as readable text.
 
 use std::fmt;
 use std::time::Duration;
@@ -19,22 +20,22 @@
 use crate::usage::Usage;
 use crate::workload::Request;
 
-/// Longest time that a histogram tells apart, in microseconds.
+/// Longest time that a histogram records; longer times count as this one.
 const MAX_RECORDABLE_US: u64 = 600_000_000;
 
-/// Significant digits of a histogram.
+/// Significant decimal digits that a histogram keeps.
 const HISTOGRAM_DIGITS: u8 = 3;
 
-/// A request and what became of it.
+/// A request and its result.
 #[derive(Debug)]
 pub struct RequestRecord {
     /// The request.
     pub request: Request,
-    /// What its caller saw.
+    /// Result as observed by the caller.
     pub observation: Observation,
 }
 
-/// Percentiles of a time, in milliseconds.
+/// Percentiles of a duration, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Percentiles {
     /// Median.
@@ -45,20 +46,20 @@
     pub p99_ms: f64,
 }
 
-/// What the nodes of a run have used.
+/// Resources that the nodes of a run have used.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeCost {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Processor time of a node in percent of a core, on average.
+    /// Mean CPU time of a node, in percent of a core.
     pub cpu_percent: f64,
-    /// Largest memory resident of a node.
+    /// Largest resident memory of any node at the end of the run.
     pub max_resident_bytes: u64,
-    /// Control bytes sent and received by a node in a second, on average.
+    /// Mean traffic of a node with peers and the platform, sent and received, per second.
     pub control_bytes_per_s: f64,
 }
 
-/// What a run has shown.
+/// Figures of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
     /// Name of the scenario.
@@ -69,7 +70,7 @@
     pub seed: u64,
     /// Length of the run.
     pub duration_s: f64,
-    /// Mean requests a second that were asked for.
+    /// Mean requests per second that were configured.
     pub rate: f64,
     /// Requests sent.
     pub requests: usize,
@@ -77,39 +78,40 @@
     pub endings: IndexMap<String, usize>,
     /// Tokens delivered in complete answers.
     pub complete_tokens: u64,
-    /// Time to the first token or to a call's answer.
+    /// Time from when a request was due to its first token, or to the answer of a call.
     pub first_token: Percentiles,
-    /// Time between tokens.
+    /// Time between consecutive tokens.
     pub token_gap: Percentiles,
-    /// Time by which gaps exceeded a quarter of a second, summed.
+    /// Total time by which token gaps exceeded a quarter of a second.
     pub stall_s: f64,
-    /// Time that preempted attempts waited in engines, summed.
+    /// Total time that preempted attempts waited in engines.
     pub engine_stall_s: f64,
     /// Preemptions at all engines.
     pub preemptions: u64,
     /// Tokens computed again after preemptions.
     pub recomputed_tokens: u64,
-    /// Tokens generated that are in no complete answer.
+    /// Generated tokens that are not part of a complete answer, and recomputed tokens.
     pub wasted_tokens: u64,
-    /// Share of prompt tokens that prefix caches saved, in percent.
+    /// Prompt tokens that prefix caches saved, in percent.
     pub cached_percent: f64,
-    /// Jain's index of the customers' shares of complete requests.
+    /// Jain's fairness index of the customers' shares of complete requests.
     pub fairness: f64,
-    /// First-token p95 of the worst-served customer.
+    /// 95th percentile of the time to the first token, for the customer with the worst.
     pub worst_customer_p95_ms: f64,
-    /// Cold engines lost to too much load.
+    /// Cold engines that collapsed under too much load.
     pub collapses: u64,
-    /// Submissions to cold engines beyond their limit, once it could be known.
+    /// Submissions to cold engines beyond their limit, without those in the time
+    /// in which nobody could know yet that the engine was cold.
     pub cold_excess: u64,
-    /// Promises broken, by kind.
+    /// Violated guarantees, by kind.
     pub violations: IndexMap<String, usize>,
-    /// What the nodes have used, if there were any.
+    /// Resources that the nodes have used; zero if the run had no nodes.
     pub node_cost: NodeCost,
     /// Load average of the machine at the end of the run.
     pub machine_load: f64,
 }
 
-/// What a run is called in its report.
+/// Settings of a run that its report repeats.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunInfo {
     /// Name of the scenario.
@@ -120,11 +122,11 @@
     pub seed: u64,
     /// Length of the run.
     pub duration_s: f64,
-    /// Mean requests a second.
+    /// Mean requests per second.
     pub rate: f64,
 }
 
-/// What the targets of a run have counted.
+/// Counters read from the targets at the end of a run.
 #[derive(Clone, Debug, Default)]
 pub struct TargetCounters {
     /// Counters of the engines.
@@ -134,7 +136,7 @@
 }
 
 impl Report {
-    /// Sums up a run.
+    /// Creates the report of a run.
     pub fn new(
         run_info: RunInfo,
         records: &[RequestRecord],
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Returns how many requests ended one way.
+    /// Returns how many requests had the given ending.
     pub fn ending_count(&self, ending: Ending) -> usize {
         let name: &'static str = ending.into();
         self.endings.get(name).copied().unwrap_or_default()
@@ -225,7 +227,7 @@
         )?;
         writeln!(
             f,
-            "  collapses {}, cold excess {}, broken promises {:?}",
+            "  collapses {}, cold excess {}, violations {:?}",
             self.collapses, self.cold_excess, self.violations
         )?;
         let cost = &self.node_cost;
@@ -241,7 +243,7 @@
 }
 
 impl NodeCost {
-    /// Sums up what the nodes used between two readings.
+    /// Computes what the nodes used between two readings of their usage.
     pub fn new(before: &[Usage], after: &[Usage], span: Duration) -> Self {
         let nodes = after.len();
         let mean = |total: f64| total / nodes.max(1) as f64 / span.as_secs_f64();
@@ -329,7 +331,8 @@
     customers
 }
 
-/// Jain's index: one if all customers get the same share of what they ask.
+/// Returns Jain's fairness index of the customers' shares of complete requests;
+/// it is one if all shares are equal.
 fn fairness(customers: &IndexMap<&Name, Vec<&RequestRecord>>) -> f64 {
     let shares: Vec<f64> = customers
         .values()
@@ -381,7 +384,7 @@
     violations
 }
 
-/// Returns executions by marker, at engines and plain services.
+/// Returns the number of executions of each marker, at engines and plain services.
 fn executions(target_counters: &TargetCounters) -> IndexMap<String, u32> {
     let mut executions: IndexMap<String, u32> = IndexMap::new();
     for (marker, count) in target_counters
--- a/filbertpaddle-standins/src/scenario.rs
+++ b/filbertpaddle-standins/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Named scenarios: a workload and what happens to the system meanwhile.
+//! Named scenarios of the load tool: a workload and a timeline of faults and operator actions.
 
 use filbertpaddle_core::clock::Millis;
 
@@ -8,13 +8,13 @@
 use crate::workload::Request;
 use crate::workload::RequestKind;
 
-/// Start of the disruption, as a share of the run.
+/// Start of the disruption, as a fraction of the run.
 const DISRUPTION_START: f64 = 0.3;
 
-/// End of the disruption, as a share of the run.
+/// End of the disruption, as a fraction of the run.
 const DISRUPTION_END: f64 = 0.65;
 
-/// What a run puts the system through.
+/// Workload and disruption of a run.
 #[derive(
     Clone,
     Copy,
@@ -28,37 +28,37 @@
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum Scenario {
-    /// The usual load.
+    /// The load keeps the same mean rate.
     Steady,
-    /// A rise above capacity and back.
+    /// The load rises above capacity and falls again.
     EveningRush,
-    /// The largest customer sends far more for a while.
+    /// The largest customer sends far more requests for part of the run.
     CustomerBurst,
     /// Long outputs fill the engines' memory.
     MemoryCrowding,
-    /// Half of the engines start cold.
+    /// Half of the engines are cold before the load starts.
     ColdStart,
-    /// A third of the engines turn cold without warning.
+    /// A third of the engines turn cold during the load, without notice.
     TurningCold,
-    /// Operators take a data centre out and bring it back.
+    /// Operators take a data centre out of service and back in.
     DataCentre,
-    /// The platform is down for a while.
+    /// The platform is down for part of the run.
     PlatformOutage,
 }
 
-/// Something that happens during a run.
+/// A fault or an operator action during a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// A fault at every n-th engine.
+    /// A fault is injected into every n-th engine.
     Engines {
-        /// Engines from one chosen engine to the next.
+        /// Distance from one affected engine to the next.
         every: usize,
-        /// The fault.
+        /// Fault to inject.
         fault: Fault,
     },
-    /// Operators take the first data centre out.
+    /// Operators take the first data centre out of service.
     DataCentreOut,
-    /// Operators bring the first data centre back.
+    /// Operators put the first data centre back in service.
     DataCentreIn,
     /// The platform stops answering.
     PlatformDown,
@@ -66,17 +66,17 @@
     PlatformUp,
 }
 
-/// An act and its time.
+/// An action and when it is applied.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimedAction {
-    /// When it happens, from the start of the run.
+    /// Time from the start of the run.
     pub at_ms: Millis,
-    /// What happens.
+    /// Action to apply.
     pub action: Action,
 }
 
 impl Scenario {
-    /// Draws the workload for a run.
+    /// Draws the requests of a run.
     pub fn workload(self, seed: u64, duration_ms: Millis, rate: f64) -> Vec<Request> {
         let settings = workload::Settings {
             seed,
@@ -89,10 +89,10 @@
         workload::draw(&settings)
     }
 
-    /// Returns what happens during a run, in order of time.
+    /// Returns the actions during a run, in order of time.
     pub fn timeline(self, duration_ms: Millis) -> Vec<TimedAction> {
-        let timed = |share: f64, action| TimedAction {
-            at_ms: Millis((duration_ms.0 as f64 * share) as u64),
+        let timed = |fraction: f64, action| TimedAction {
+            at_ms: Millis((duration_ms.0 as f64 * fraction) as u64),
             action,
         };
         let engines_cold = |every| Action::Engines {
@@ -116,9 +116,10 @@
         }
     }
 
-    /// Returns the time between the first acts and the load.
+    /// Returns the time between the actions at the start of the run and the load.
     ///
-    /// What is cold from the start can be known before the first request.
+    /// In [`Scenario::ColdStart`] it lets reports show that engines are cold
+    /// before the first request is placed.
     pub const fn lead_time_ms(self) -> Millis {
         match self {
             Self::ColdStart => Millis(2_500),
@@ -130,7 +131,7 @@
         match self {
             Self::EveningRush => 0.6 + (std::f64::consts::PI * progress).sin(),
             Self::CustomerBurst => 0.8,
-            // Its requests are some three times as long.
+            // Requests of this scenario are about three times as long as the usual ones.
             Self::MemoryCrowding => 0.35,
             _ => 1.0,
         }
--- a/filbertpaddle-standins/src/summary.rs
+++ b/filbertpaddle-standins/src/summary.rs
@@ -1,4 +1,4 @@
-//! Medians and spread over several runs.
+//! Summary of several runs: medians and ranges by scenario and policy, as a table and a plot.
 
 use std::fmt;
 use std::path::Path;
@@ -12,7 +12,7 @@
 /// Size of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (900, 480);
 
-/// One figure of a report, and how it is called.
+/// A column of the summary table: its heading and the figure of a report that it shows.
 struct Column {
     name: &'static str,
     value: fn(&Report) -> f64,
@@ -77,13 +77,13 @@
     },
 ];
 
-/// Reports, by scenario and policy.
+/// Reports of runs, grouped by scenario and policy.
 #[derive(Debug, Default)]
 pub struct Summary {
     runs: IndexMap<String, IndexMap<String, Vec<Report>>>,
 }
 
-/// Lowest value, median and highest value.
+/// Lowest value, median and highest value over several runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Range {
     low: f64,
@@ -92,7 +92,7 @@
 }
 
 impl Summary {
-    /// Adds a run.
+    /// Adds the report of a run.
     pub fn add(&mut self, report: Report) {
         self.runs
             .entry(report.scenario.clone())
@@ -102,7 +102,8 @@
             .push(report);
     }
 
-    /// Draws the median stall time and preemptions of each scenario and policy.
+    /// Plots the median stall time and the median 95th percentile of the token
+    /// gap for each scenario and policy, as an SVG file.
     ///
     /// # Errors
     ///
--- a/filbertpaddle-standins/src/workload.rs
+++ b/filbertpaddle-standins/src/workload.rs
@@ -1,4 +1,7 @@
-//! Open-loop workloads: who asks for what and when, from a seed.
+//! Open-loop workloads drawn from a seed: the customer, kind and time of each request.
+//!
+//! Arrivals are a Poisson process whose rate alternates at random between calm
+//! phases and bursts.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
@@ -10,7 +13,7 @@
 
 use crate::marker;
 
-/// Customers and their shares of the requests; the first few are large.
+/// Customers and their shares of the requests; the first three send most of them.
 pub const CUSTOMERS: &[(&str, f64)] = &[
     ("c0", 0.30),
     ("c1", 0.20),
@@ -24,39 +27,39 @@
     ("c9", 0.03),
 ];
 
-/// Span over which the arrival rate is taken as constant, in milliseconds.
+/// Time slice within which the arrival rate is constant.
 const SLICE_MS: u64 = 10;
 
-/// Mean length of a calm spell, in slices.
+/// Mean length of a calm phase, in slices.
 const MEAN_CALM_SLICES: f64 = 400.0;
 
 /// Mean length of a burst, in slices.
 const MEAN_BURST_SLICES: f64 = 100.0;
 
-/// Rate within calm spells, relative to the mean.
+/// Rate within calm phases, relative to the mean.
 const CALM_RATE_FACTOR: f64 = 0.7;
 
 /// Rate within bursts, relative to the mean.
 const BURST_RATE_FACTOR: f64 = 2.2;
 
-/// One kind of request.
+/// Kind of request: a template and its share of the workload.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestKind {
-    /// Name of the template, and the first word of the prompt.
+    /// Name of the template and first word of the prompt.
     pub name: &'static str,
     /// Share of the requests.
     pub share: f64,
     /// Scheduling priority.
     pub priority: u8,
-    /// Length of the shared prefix, in bytes.
+    /// Least length of the prompt prefix that requests of a customer share.
     pub prefix_bytes: usize,
     /// Most tokens to generate; zero for calls of a plain service.
     pub max_tokens: u32,
-    /// Whether running it twice is harmless.
+    /// Whether a request may run more than once without harm.
     pub idempotent: bool,
 }
 
-/// The kinds of a usual day.
+/// Kinds of requests in most scenarios.
 pub const STANDARD_KINDS: &[RequestKind] = &[
     kind("stock", 0.35, 5, 1_100, 400, true),
     kind("topics", 0.18, 4, 1_100, 1_500, true),
@@ -66,7 +69,7 @@
     kind("booking", 0.10, 6, 0, 0, false),
 ];
 
-/// The kinds when long outputs crowd the engines' memory.
+/// Kinds of requests with mostly long outputs, which fill the engines' memory.
 pub const LONG_OUTPUT_KINDS: &[RequestKind] = &[
     kind("stock", 0.10, 5, 1_100, 400, true),
     kind("menu", 0.40, 3, 2_100, 3_000, true),
@@ -94,7 +97,7 @@
 }
 
 impl RequestKind {
-    /// Returns the text that all requests of a customer share.
+    /// Returns the prompt prefix that all requests of this kind by a customer share.
     pub fn prefix(&self, customer: &str) -> String {
         let mut text = format!("{} {customer} ", self.name);
         while text.len() < self.prefix_bytes {
@@ -105,7 +108,7 @@
         text
     }
 
-    /// Returns whether a plain service runs it.
+    /// Returns whether requests of this kind are calls of a plain service.
     pub const fn is_call(&self) -> bool {
         self.max_tokens == 0
     }
@@ -114,15 +117,15 @@
 /// One request of a workload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// When it is sent, from the start of the run.
+    /// Time at which it is due, from the start of the run.
     pub at_ms: Millis,
-    /// Who sends it.
+    /// Customer that sends it.
     pub customer: Name,
-    /// What it asks for.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// Marker by which targets' counters name it.
+    /// Unique marker under which targets count executions of the request.
     pub marker: String,
-    /// The part that is its own.
+    /// Part of the prompt that is not shared with other requests.
     pub parameter: String,
 }
 
@@ -138,37 +141,37 @@
     }
 }
 
-/// What a workload is drawn from.
+/// Settings that a workload is drawn from.
 pub struct Settings<F>
 where
     F: Fn(f64) -> f64,
 {
-    /// Seed of everything drawn.
+    /// Seed of all random draws.
     pub seed: u64,
     /// Length of the run.
     pub duration_ms: Millis,
-    /// Mean requests a second.
+    /// Mean requests per second.
     pub rate: f64,
-    /// Relative rate by the share of the run that has passed.
+    /// Rate relative to the mean, as a function of the elapsed fraction of the run.
     pub rate_profile: F,
     /// Kinds of requests.
     pub kinds: &'static [RequestKind],
-    /// Share of the run in which the first customer sends more, if any.
+    /// Additional requests of the first customer, if any.
     pub burst: Option<Burst>,
 }
 
-/// Additional requests of the first customer.
+/// Additional requests of the first customer during part of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Burst {
-    /// Start, as a share of the run.
+    /// Start, as a fraction of the run.
     pub from: f64,
-    /// End, as a share of the run.
+    /// End, as a fraction of the run.
     pub to: f64,
-    /// Additional requests a second, relative to the mean rate of all.
+    /// Rate of additional requests, relative to the mean rate of all customers.
     pub rate: f64,
 }
 
-/// Draws a workload, in order of time.
+/// Draws the requests of a run, ordered by time slice.
 pub fn draw<F>(settings: &Settings<F>) -> Vec<Request>
 where
     F: Fn(f64) -> f64,
@@ -191,8 +194,8 @@
         };
         let per_slice = settings.rate * SLICE_MS as f64 / 1_000.0;
         let mean_arrivals = per_slice * rate_factor * (settings.rate_profile)(progress);
-        for _ in 0..arrivals(&mut rng, mean_arrivals) {
-            let customer = pick(&mut rng, CUSTOMERS, |(_, share)| *share).0;
+        for _ in 0..draw_arrivals(&mut rng, mean_arrivals) {
+            let customer = pick_weighted(&mut rng, CUSTOMERS, |(_, share)| *share).0;
             requests.push(draw_request(
                 settings,
                 &mut rng,
@@ -205,7 +208,7 @@
             continue;
         };
         if (burst.from..burst.to).contains(&progress) {
-            for _ in 0..arrivals(&mut rng, per_slice * burst.rate) {
+            for _ in 0..draw_arrivals(&mut rng, per_slice * burst.rate) {
                 requests.push(draw_request(
                     settings,
                     &mut rng,
@@ -235,14 +238,14 @@
     Request {
         at_ms: Millis(at_ms + rng.random_range(0..SLICE_MS)),
         customer: customer.into(),
-        kind: *pick(rng, settings.kinds, |kind| kind.share),
+        kind: *pick_weighted(rng, settings.kinds, |kind| kind.share),
         parameter: format!("{}{marker}; {filler}", marker::START),
         marker,
     }
 }
 
-/// Draws a Poisson number by Knuth's method; the mean is small.
-fn arrivals<R>(rng: &mut R, mean: f64) -> u32
+/// Draws a Poisson number by Knuth's method, which is fast enough for small means.
+fn draw_arrivals<R>(rng: &mut R, mean: f64) -> u32
 where
     R: Rng,
 {
@@ -256,7 +259,7 @@
     count
 }
 
-fn pick<'a, T, F, R>(rng: &mut R, items: &'a [T], share: F) -> &'a T
+fn pick_weighted<'a, T, F, R>(rng: &mut R, items: &'a [T], share: F) -> &'a T
 where
     F: Fn(&T) -> f64,
     R: Rng,
--- a/filbertpaddle-standins/tests/load.rs
+++ b/filbertpaddle-standins/tests/load.rs
@@ -1,4 +1,5 @@
-//! The load tool: its workloads, its baselines and its checks.
+//! Tests of the load tool: workloads from a seed, checks of answers against the
+//! targets' counters, and retries of baselines.
 
 use std::time::Instant;
 
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn a_workload_comes_from_its_seed_alone() {
+fn same_seed_gives_same_workload() {
     assert_eq!(requests(1), requests(1));
     assert_ne!(requests(1), requests(2));
     let none = Scenario::Steady.workload(1, Millis::from_secs(20), 0.0);
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn every_request_has_a_marker_of_its_own() {
+fn every_request_has_a_unique_marker() {
     let requests = requests(3);
     let mut markers: Vec<String> = requests
         .iter()
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn executions_at_targets_are_held_against_what_callers_were_told() {
+fn executions_at_targets_are_checked_against_endings_at_callers() {
     let requests = requests(1);
     let refused = requests
         .iter()
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn tokens_out_of_order_and_spliced_generations_are_noticed() {
+fn tokens_out_of_order_and_spliced_generations_are_violations() {
     let mut observer = Observer::new(Instant::now());
     observer.record_token(0, "aa.0 ");
     observer.record_token(1, "bb.1 ");
@@ -115,7 +116,7 @@
 }
 
 #[tokio::test]
-async fn a_baseline_does_not_repeat_what_a_crash_left_unknown() {
+async fn baseline_does_not_repeat_request_with_unknown_outcome_after_crash() {
     let settings = engine::Settings {
         speed: 100.0,
         restart_ms: Millis(1),
