--- a/filbertpaddle-standins/src/caller.rs
+++ b/filbertpaddle-standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! Requests sent to nodes, as callers do.
+//! HTTP client that sends load test requests to nodes, as callers do, and checks the answers.
 
 use std::net::SocketAddr;
 
@@ -11,10 +11,10 @@
 
 use crate::observation::Ending;
 use crate::observation::Observer;
-use crate::workload::Ask;
+use crate::workload::Request;
 
-/// Name of the only parameter of the load tool's templates.
-pub const PARAMETER: &str = "ask";
+/// Name of the parameter in the templates of the load tool; each has only this one.
+pub const TEMPLATE_PARAMETER: &str = "ask";
 
 #[derive(Deserialize)]
 struct Token {
@@ -22,27 +22,27 @@
     text: String,
 }
 
-/// One server-sent event.
+/// A server-sent event.
 #[derive(Debug, Default)]
 struct Event {
     name: String,
     data: String,
 }
 
-/// Returns the key by which a customer proves itself.
-pub fn key(customer: &str) -> String {
+/// Returns the API key of a customer.
+pub fn api_key(customer: &str) -> String {
     format!("load-tool-key-{customer}")
 }
 
-/// Sends one request to a node and returns how it ended.
+/// Sends a request to a node, reads the answer to its end and returns how the request ended.
 pub async fn run(
     http: &reqwest::Client,
     node: SocketAddr,
-    ask: &Ask,
+    request: &Request,
     observer: &mut Observer,
 ) -> Ending {
-    match send(http, node, ask).await {
-        Ok(response) => observe(response, ask, observer).await,
+    match send(http, node, request).await {
+        Ok(response) => observe(response, request, observer).await,
         Err(error) if error.is_connect() => Ending::NotRun,
         Err(_) => Ending::Broken,
     }
@@ -51,31 +51,31 @@
 async fn send(
     http: &reqwest::Client,
     node: SocketAddr,
-    ask: &Ask,
+    request: &Request,
 ) -> Result<Response, reqwest::Error> {
     let body = json!({
-        "template": ask.kind.name,
-        "parameters": { PARAMETER: ask.parameter },
+        "template": request.kind.name,
+        "parameters": { TEMPLATE_PARAMETER: request.parameter },
     });
-    let mut request = http
+    let mut builder = http
         .post(format!("http://{node}/v1/requests"))
-        .bearer_auth(key(&ask.customer))
+        .bearer_auth(api_key(&request.customer))
         .json(&body);
-    if !ask.kind.idempotent {
-        request = request.header("idempotency-key", &ask.marker);
+    if !request.kind.idempotent {
+        builder = builder.header("idempotency-key", &request.marker);
     }
-    request.send().await
+    builder.send().await
 }
 
-async fn observe(response: Response, ask: &Ask, observer: &mut Observer) -> Ending {
-    let streamed = response.status().is_success() && !ask.kind.is_call();
+async fn observe(response: Response, request: &Request, observer: &mut Observer) -> Ending {
+    let streamed = response.status().is_success() && !request.kind.is_call();
     if streamed {
-        return stream(response, observer).await;
+        return read_stream(response, observer).await;
     }
     match response.json::<Outcome>().await {
         Ok(outcome) => {
             if let Outcome::Complete { tokens } = outcome {
-                observer.answer(tokens);
+                observer.record_answer(tokens);
             }
             ending(&outcome)
         }
@@ -83,18 +83,18 @@
     }
 }
 
-async fn stream(mut response: Response, observer: &mut Observer) -> Ending {
+async fn read_stream(mut response: Response, observer: &mut Observer) -> Ending {
     let mut buffer = BytesMut::new();
     let mut event = Event::default();
     while let Ok(Some(chunk)) = response.chunk().await {
         buffer.extend_from_slice(&chunk);
         while let Some(line) = take_line(&mut buffer) {
             if !line.is_empty() {
-                event.read(&line);
+                event.parse_line(&line);
                 continue;
             }
             let finished = std::mem::take(&mut event);
-            if let Some(ending) = take(&finished, observer) {
+            if let Some(ending) = record_event(&finished, observer) {
                 return ending;
             }
         }
@@ -102,18 +102,18 @@
     Ending::Broken
 }
 
-/// Notes an event; returns the ending if it is the last.
-fn take(event: &Event, observer: &mut Observer) -> Option<Ending> {
+/// Records an event and returns the ending if the event is the last one.
+fn record_event(event: &Event, observer: &mut Observer) -> Option<Ending> {
     match event.name.as_str() {
         "token" => {
             let token: Token = serde_json::from_str(&event.data).ok()?;
-            observer.token(token.index, &token.text);
+            observer.record_token(token.index, &token.text);
             None
         }
         "end" => {
             let outcome: Outcome = serde_json::from_str(&event.data).ok()?;
             if let Outcome::Complete { tokens } | Outcome::Incomplete { tokens, .. } = outcome {
-                observer.count(tokens);
+                observer.check_token_count(tokens);
             }
             Some(ending(&outcome))
         }
@@ -138,7 +138,7 @@
 }
 
 impl Event {
-    fn read(&mut self, line: &str) {
+    fn parse_line(&mut self, line: &str) {
         let (field, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
         match field {
--- a/filbertpaddle-standins/src/cluster.rs
+++ b/filbertpaddle-standins/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The platform and the nodes of an experiment, as child processes.
+//! Platform stand-in and nodes of an experiment, each run as a child process.
 
 use std::collections::HashSet;
 use std::io;
@@ -26,73 +26,73 @@
 use crate::usage;
 use crate::usage::Usage;
 
-/// Name of the model that all engines serve.
+/// Model that all engines serve.
 pub const MODEL: &str = "drafts";
 
 /// Name of the plain service.
 pub const SERVICE: &str = "bookings";
 
-/// How often a node is asked whether it is ready.
-const READY_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two readiness checks of a node.
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Most times that a node is asked.
-const READY_TRIES: u32 = 300;
+/// Most retries of the readiness check of a node.
+const MAX_READY_RETRIES: u32 = 300;
 
-/// Why a cluster did not start or did not follow.
+/// Reason why a cluster did not start or a change of it failed.
 #[derive(Debug, Error)]
 pub enum Error {
     /// A process did not start.
     #[error(transparent)]
     Child(#[from] child::Error),
-    /// A stand-in or node did not answer.
+    /// A stand-in or node did not answer, or answered with an error status.
     #[error(transparent)]
     Http(#[from] reqwest::Error),
     /// A settings file could not be written.
-    #[error("cannot write settings: {0}")]
+    #[error("cannot write the settings files of the nodes: {0}")]
     Io(#[from] io::Error),
     /// A node did not accept a change of the configuration.
-    #[error("{path} was not set: {answer}")]
-    Refused {
-        /// Path of the entry.
+    #[error("node refused to set configuration entry {path}: {answer}")]
+    ChangeRefused {
+        /// Path of the configuration entry.
         path: String,
-        /// What the node answered.
+        /// Answer of the node.
         answer: String,
     },
     /// The cluster has no node.
-    #[error("there is no node")]
+    #[error("cannot change the configuration: the cluster has no nodes")]
     NoNode,
-    /// A node was never ready.
-    #[error("node {0} is not ready")]
+    /// A node did not become ready.
+    #[error("node at {0} did not become ready within {MAX_READY_RETRIES} retries")]
     NotReady(SocketAddr),
 }
 
-/// What the cluster consists of.
+/// Settings of a cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Program of the stand-ins.
-    pub standin: PathBuf,
-    /// Program of the nodes.
-    pub node: PathBuf,
-    /// Data centres.
+    /// Path of the stand-in program.
+    pub standin_program: PathBuf,
+    /// Path of the node program.
+    pub node_program: PathBuf,
+    /// Number of data centres.
     pub data_centres: usize,
-    /// Nodes in all.
+    /// Number of nodes over all data centres.
     pub nodes: usize,
-    /// Name of the policy, if the nodes' own default is not wanted.
+    /// Name of the placement policy; `None` leaves the nodes' default.
     pub policy: Option<String>,
 }
 
-/// Addresses of the platform stand-in.
+/// Addresses that the platform stand-in listens on, decoded from its first line.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct Platform {
-    /// Where it serves.
+pub struct PlatformAddresses {
+    /// For nodes.
     pub address: SocketAddr,
-    /// Its control port.
+    /// For control requests.
     pub control: SocketAddr,
 }
 
-/// Addresses of a node.
+/// Addresses that a node listens on, decoded from its first line.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct Addresses {
+pub struct NodeAddresses {
     /// For callers.
     pub callers: SocketAddr,
     /// For operators.
@@ -101,30 +101,32 @@
     pub peers: SocketAddr,
 }
 
-/// A running platform and running nodes.
+/// A running platform stand-in and its running nodes.
 #[derive(Debug)]
 pub struct Cluster {
-    platform: Child<Platform>,
-    nodes: Vec<Child<Addresses>>,
+    platform: Child<PlatformAddresses>,
+    nodes: Vec<Child<NodeAddresses>>,
     data_centres: usize,
     directory: PathBuf,
-    service_revision: AtomicU64,
+    data_centre_revision: AtomicU64,
     http: reqwest::Client,
 }
 
 impl Cluster {
-    /// Starts the platform and the nodes, and waits until all are ready.
+    /// Starts the platform stand-in and the nodes, waits until all nodes are
+    /// ready and sets the customers and templates.
     ///
     /// # Errors
     ///
-    /// Returns an error if a process does not start or is never ready.
+    /// Returns an error if a process does not start or become ready, or if a
+    /// node refuses a configuration entry.
     pub async fn start(
         settings: &Settings,
         fleet: &Fleet,
         http: reqwest::Client,
     ) -> Result<Self, Error> {
-        let platform: Child<Platform> =
-            Child::start(&settings.standin, &["platform".to_owned()]).await?;
+        let platform: Child<PlatformAddresses> =
+            Child::start(&settings.standin_program, &["platform".to_owned()]).await?;
         let directory = std::env::temp_dir().join(format!("filbertpaddle-load-{}", platform.pid));
         std::fs::create_dir_all(&directory)?;
         let mut cluster = Self {
@@ -132,7 +134,7 @@
             nodes: Vec::new(),
             data_centres: settings.data_centres,
             directory,
-            service_revision: AtomicU64::new(0),
+            data_centre_revision: AtomicU64::new(0),
             http,
         };
         cluster.publish_vms(fleet).await?;
@@ -142,14 +144,14 @@
         cluster.publish_vms(fleet).await?;
         cluster.wait_until_ready().await?;
         for entry in node_settings::entries() {
-            cluster.put(&entry.path, &entry.value, None).await?;
+            cluster.put_entry(&entry.path, &entry.value, None).await?;
         }
         Ok(cluster)
     }
 
     async fn start_node(&mut self, settings: &Settings, number: usize) -> Result<(), Error> {
         let peers: Vec<SocketAddr> = self.nodes.iter().map(|node| node.ready.peers).collect();
-        let text = node_settings::Node {
+        let text = node_settings::NodeSettings {
             number,
             data_centre: number % self.data_centres,
             platform: self.platform.ready.address,
@@ -160,7 +162,7 @@
         let path = self.directory.join(format!("node-{number}.yaml"));
         std::fs::write(&path, text)?;
         let args = ["serve".to_owned(), path.display().to_string()];
-        let node = Child::start(&settings.node, &args).await?;
+        let node = Child::start(&settings.node_program, &args).await?;
         self.nodes.push(node);
         Ok(())
     }
@@ -168,7 +170,7 @@
     async fn publish_vms(&self, fleet: &Fleet) -> Result<(), Error> {
         let vm = |name: String, data_centre: usize, role, address: SocketAddr, model: &str| Vm {
             name: name.into(),
-            data_centre: node_settings::data_centre(data_centre).into(),
+            data_centre: node_settings::data_centre_name(data_centre).into(),
             role,
             address: address.to_string().into(),
             model: model.into(),
@@ -185,7 +187,7 @@
             vm(name, service.data_centre, VmRole::Target, address, SERVICE)
         });
         let nodes = self.nodes.iter().enumerate().map(|(number, node)| {
-            let name = node_settings::node(number);
+            let name = node_settings::node_name(number);
             let data_centre = number % self.data_centres;
             vm(name, data_centre, VmRole::Entry, node.ready.peers, "")
         });
@@ -198,38 +200,50 @@
         for node in &self.nodes {
             let address = node.ready.callers;
             let url = format!("http://{address}/readyz");
-            let mut tries = 0;
+            let mut failed_checks = 0;
             loop {
                 let answer = self.http.get(&url).send().await;
                 if answer.is_ok_and(|answer| answer.status().is_success()) {
                     break;
                 }
-                tries += 1;
-                if tries > READY_TRIES {
+                failed_checks += 1;
+                if failed_checks > MAX_READY_RETRIES {
                     return Err(Error::NotReady(address));
                 }
-                tokio::time::sleep(READY_INTERVAL).await;
+                tokio::time::sleep(READY_CHECK_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// Takes a data centre out, or brings it back, as an operator does.
+    /// Takes a data centre out of service (`out`) or back in (`in`), as an operator does.
     ///
     /// # Errors
     ///
-    /// Returns an error if the change is not accepted.
-    pub async fn set_service(&self, data_centre: usize, service: &str) -> Result<(), Error> {
-        let path = format!("data-centres/{}", node_settings::data_centre(data_centre));
-        let expected = self.service_revision.load(Ordering::Relaxed);
+    /// Returns an error if the node does not answer or refuses the change.
+    pub async fn set_data_centre_service(
+        &self,
+        data_centre: usize,
+        service: &str,
+    ) -> Result<(), Error> {
+        let path = format!(
+            "data-centres/{}",
+            node_settings::data_centre_name(data_centre)
+        );
+        let expected = self.data_centre_revision.load(Ordering::Relaxed);
         let expected = (expected > 0).then_some(expected);
-        let revision = self.put(&path, &service.into(), expected).await?;
-        self.service_revision.store(revision, Ordering::Relaxed);
+        let revision = self.put_entry(&path, &service.into(), expected).await?;
+        self.data_centre_revision.store(revision, Ordering::Relaxed);
         Ok(())
     }
 
-    /// Sets one entry of the configuration and returns its revision.
-    async fn put(&self, path: &str, value: &Value, expected: Option<u64>) -> Result<u64, Error> {
+    /// Sets a configuration entry through the last node and returns its new revision.
+    async fn put_entry(
+        &self,
+        path: &str,
+        value: &Value,
+        expected: Option<u64>,
+    ) -> Result<u64, Error> {
         let operators = self.nodes.last().map(|node| node.ready.operators);
         let operators = operators.ok_or(Error::NoNode)?;
         let url = format!("http://{operators}/v1/{path}");
@@ -241,13 +255,15 @@
             .send()
             .await?;
         let answer: Value = answer.json().await?;
-        answer["revision"].as_u64().ok_or_else(|| Error::Refused {
-            path: path.to_owned(),
-            answer: answer.to_string(),
-        })
+        answer["revision"]
+            .as_u64()
+            .ok_or_else(|| Error::ChangeRefused {
+                path: path.to_owned(),
+                answer: answer.to_string(),
+            })
     }
 
-    /// Switches an outage of the platform on or off.
+    /// Starts or ends an outage of the platform stand-in.
     ///
     /// # Errors
     ///
@@ -262,17 +278,18 @@
         self.post(&url, &faults).await
     }
 
-    /// Returns the callers' addresses of nodes outside a data centre.
-    pub fn callers(&self, out: Option<usize>) -> Vec<SocketAddr> {
+    /// Returns the addresses for callers of all nodes outside the excluded data centre.
+    pub fn caller_addresses(&self, excluded: Option<usize>) -> Vec<SocketAddr> {
         self.nodes
             .iter()
             .enumerate()
-            .filter(|(number, _)| Some(number % self.data_centres) != out)
+            .filter(|(number, _)| Some(number % self.data_centres) != excluded)
             .map(|(_, node)| node.ready.callers)
             .collect()
     }
 
-    /// Reads what each node has used; its traffic is that with peers and platform.
+    /// Reads the resource usage of each node; traffic counts only connections
+    /// with peers and the platform.
     pub fn usage(&self) -> Vec<Usage> {
         let mut ports: HashSet<u16> = self
             .nodes
@@ -295,16 +312,16 @@
         Ok(())
     }
 
-    /// Ends the processes.
+    /// Kills the processes and removes the settings files.
     pub async fn close(self) {
         for node in self.nodes {
             node.close().await;
         }
         self.platform.close().await;
-        // Files left over do no harm.
+        // Files that remain in the temporary directory do not affect later runs.
         let _ = std::fs::remove_dir_all(self.directory);
     }
 }
 
-/// Time that nodes get to learn of targets, configuration and each other.
-pub const SETTLE_MS: Millis = Millis(6_000);
+/// Time after the start in which nodes discover targets, configuration and each other.
+pub const SETTLE_TIME_MS: Millis = Millis(6_000);
--- a/filbertpaddle-standins/src/lib.rs
+++ b/filbertpaddle-standins/src/lib.rs
@@ -1,12 +1,12 @@
 //! Stand-ins of model engines, services and the platform with injectable faults, and a load tool.
 
 pub mod balancer;
+pub mod baseline;
 pub mod batch;
 pub mod batch_scheduler;
 pub mod caller;
 pub mod child;
 pub mod cluster;
-pub mod direct;
 pub mod engine;
 pub mod engine_fault;
 mod engine_http;
@@ -24,7 +24,7 @@
 pub mod prefix_cache;
 pub mod process;
 pub mod proxy;
-mod pump;
+mod proxy_connection;
 pub mod rate_limiter;
 pub mod report;
 pub mod scenario;
--- a/filbertpaddle-standins/src/node_settings.rs
+++ b/filbertpaddle-standins/src/node_settings.rs
@@ -1,4 +1,4 @@
-//! Settings and configuration of the nodes of an experiment.
+//! Settings files of an experiment's nodes, and the customers and templates they are given.
 
 use std::net::SocketAddr;
 
@@ -12,48 +12,48 @@
 use crate::cluster::MODEL;
 use crate::cluster::SERVICE;
 use crate::workload::CUSTOMERS;
-use crate::workload::Kind;
-use crate::workload::USUAL;
+use crate::workload::RequestKind;
+use crate::workload::STANDARD_KINDS;
 
-/// Token of the only operator.
+/// Token of the experiment's only operator.
 pub const OPERATOR_TOKEN: &str = "load-tool-operator-token";
 
-/// Secret that nodes share.
+/// Secret that all nodes share, for messages between nodes and for tickets.
 const SECRET: &str = "load-tool-secret-of-all-nodes-0123456789";
 
 /// Returns the name of a data centre.
-pub fn data_centre(number: usize) -> String {
+pub fn data_centre_name(number: usize) -> String {
     format!("dc-{number}")
 }
 
 /// Returns the name of a node.
-pub fn node(number: usize) -> String {
+pub fn node_name(number: usize) -> String {
     format!("node-{number}")
 }
 
-/// What the settings of one node depend on.
+/// Values that differ between the settings files of nodes.
 #[derive(Clone, Copy, Debug)]
-pub struct Node<'a> {
+pub struct NodeSettings<'a> {
     /// Number of the node.
     pub number: usize,
     /// Number of its data centre.
     pub data_centre: usize,
-    /// Address of the platform.
+    /// Address of the platform stand-in.
     pub platform: SocketAddr,
-    /// Addresses of other nodes.
+    /// Peer addresses of other nodes.
     pub peers: &'a [SocketAddr],
-    /// Name of the policy, if not the default.
+    /// Name of the placement policy; `None` leaves the default.
     pub policy: Option<&'a str>,
 }
 
-impl Node<'_> {
-    /// Returns the text of the settings file; JSON is YAML as well.
+impl NodeSettings<'_> {
+    /// Returns the text of the settings file as JSON, which is also valid YAML.
     pub fn text(&self) -> String {
         let any = "127.0.0.1:0";
         let mut settings = json!({
             "node": {
-                "name": node(self.number),
-                "data_centre": data_centre(self.data_centre),
+                "name": node_name(self.number),
+                "data_centre": data_centre_name(self.data_centre),
             },
             "listen": { "callers": any, "operators": any, "peers": any },
             "peers": self.peers,
@@ -69,25 +69,25 @@
     }
 }
 
-/// One entry of the configuration.
+/// An entry of the configuration to set through the operators' API.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
-    /// Path below the operators' interface.
+pub struct ConfigurationEntry {
+    /// Path of the entry below `/v1/`.
     pub path: String,
-    /// Value of the entry.
+    /// Value to set.
     pub value: Value,
 }
 
-/// Returns the customers and templates of the load tool.
-pub fn entries() -> Vec<Entry> {
+/// Returns the entries for the customers and templates of the load tool.
+pub fn entries() -> Vec<ConfigurationEntry> {
     let mut entries = Vec::new();
     for (customer, _) in CUSTOMERS {
-        let key = sha256(&caller::key(customer));
-        entries.push(Entry {
+        let key = sha256(&caller::api_key(customer));
+        entries.push(ConfigurationEntry {
             path: format!("customers/{customer}"),
             value: json!({ "key_sha256": [key] }),
         });
-        entries.extend(USUAL.iter().map(|kind| Entry {
+        entries.extend(STANDARD_KINDS.iter().map(|kind| ConfigurationEntry {
             path: format!("templates/{customer}/{}", kind.name),
             value: template(customer, kind),
         }));
@@ -95,7 +95,7 @@
     entries
 }
 
-fn template(customer: &str, kind: &Kind) -> Value {
+fn template(customer: &str, kind: &RequestKind) -> Value {
     let call = kind.is_call();
     json!({
         "model": if call { SERVICE } else { MODEL },
@@ -104,7 +104,7 @@
         "priority": kind.priority,
         "idempotent": kind.idempotent,
         "prompt": kind.prefix(customer),
-        "parameters": [caller::PARAMETER],
+        "parameters": [caller::TEMPLATE_PARAMETER],
         "max_tokens": kind.max_tokens.max(1),
     })
 }
--- a/filbertpaddle-standins/src/observation.rs
+++ b/filbertpaddle-standins/src/observation.rs
@@ -1,12 +1,12 @@
-//! What a caller saw of one request, and the checks on it.
+//! Records and checks the answer to one request as its caller receives it.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use serde::Serialize;
 
-/// Gaps beyond this span count as stalls.
-pub const STALL: Duration = Duration::from_millis(250);
+/// Gap between tokens beyond which the excess counts as stall time.
+pub const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 
 /// How a request ended for its caller.
 #[derive(
@@ -26,56 +26,59 @@
 pub enum Ending {
     /// The whole answer arrived.
     Complete,
-    /// Refused, not run.
+    /// The request was refused and not run.
     NotRun,
-    /// The effect is unknown.
+    /// It is unknown whether the request ran.
     MayHaveRun,
-    /// The answer broke off, and the caller was told.
+    /// The answer broke off, and the caller was notified.
     Incomplete,
-    /// The answer broke off without a word.
+    /// The answer broke off without an end event or an outcome.
     Broken,
-    /// The request had not ended when the run was over.
+    /// The request had not ended when its time was over.
     Unfinished,
 }
 
-/// A promise that was broken.
+/// A guarantee that was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Violation {
     /// A token was missing, repeated or out of order.
     Order,
-    /// Tokens of two generations in one answer.
+    /// An answer contained tokens of two generations.
     Spliced,
-    /// The end told another number of tokens than were delivered.
+    /// The number of tokens in the end event differed from the tokens delivered.
     Count,
-    /// A request said not to have run had run.
+    /// A request reported as not run had run.
     NotRunButRan,
-    /// A request that must not be repeated ran twice.
+    /// A request that must not be repeated ran more than once.
     RanTwice,
 }
 
-/// One request as its caller saw it.
+/// One request as observed by its caller.
 #[derive(Clone, Debug)]
 pub struct Observation {
-    /// How it ended.
+    /// How the request ended.
     pub ending: Ending,
     /// Tokens delivered.
     pub tokens: u32,
     /// Time from when the request was due to its first token or answer.
     pub first_token: Option<Duration>,
     /// Time from when the request was due to its end.
-    pub took: Duration,
+    pub duration: Duration,
     /// Times between consecutive tokens.
     pub gaps: Vec<Duration>,
-    /// Promises broken.
+    /// Guarantees that were violated.
     pub violations: Vec<Violation>,
 }
 
 impl Observation {
-    /// Returns the time by which gaps went beyond a usual one.
-    pub fn stall(&self) -> Duration {
-        self.gaps.iter().map(|gap| gap.saturating_sub(STALL)).sum()
+    /// Returns the time by which gaps exceeded [`STALL_THRESHOLD`], summed.
+    pub fn stall_time(&self) -> Duration {
+        self.gaps
+            .iter()
+            .map(|gap| gap.saturating_sub(STALL_THRESHOLD))
+            .sum()
     }
 }
 
@@ -84,78 +87,81 @@
 pub struct Observer {
     due: Instant,
     last: Instant,
-    tag: Option<String>,
-    observed: Observation,
+    generation: Option<String>,
+    observation: Observation,
 }
 
 impl Observer {
-    /// Starts observing a request that was due at a time.
+    /// Starts observing a request that is due at the given time.
     pub fn new(due: Instant) -> Self {
-        let observed = Observation {
+        let observation = Observation {
             ending: Ending::Unfinished,
             tokens: 0,
             first_token: None,
-            took: Duration::ZERO,
+            duration: Duration::ZERO,
             gaps: Vec::new(),
             violations: Vec::new(),
         };
         Self {
             due,
             last: due,
-            tag: None,
-            observed,
+            generation: None,
+            observation,
         }
     }
 
-    /// Returns the number of tokens so far.
+    /// Returns the number of tokens received so far.
     pub const fn tokens(&self) -> u32 {
-        self.observed.tokens
+        self.observation.tokens
     }
 
-    /// Notes a token.
-    pub fn token(&mut self, index: u32, text: &str) {
+    /// Records a token of a stream and checks it.
+    pub fn record_token(&mut self, index: u32, text: &str) {
         let now = Instant::now();
-        if self.observed.first_token.is_none() {
-            self.observed.first_token = Some(now - self.due);
+        if self.observation.first_token.is_none() {
+            self.observation.first_token = Some(now - self.due);
         } else {
-            self.observed.gaps.push(now - self.last);
+            self.observation.gaps.push(now - self.last);
         }
         self.last = now;
-        self.check(index, text);
-        self.observed.tokens += 1;
+        self.check_token(index, text);
+        self.observation.tokens += 1;
     }
 
-    /// Notes a whole answer of a number of tokens.
-    pub fn answer(&mut self, tokens: u32) {
-        self.observed.first_token = Some(self.due.elapsed());
-        self.observed.tokens = tokens;
+    /// Records an answer that arrived whole, with its number of tokens.
+    pub fn record_answer(&mut self, tokens: u32) {
+        self.observation.first_token = Some(self.due.elapsed());
+        self.observation.tokens = tokens;
     }
 
-    /// Checks the text of a token, which tells its generation and its index.
-    fn check(&mut self, index: u32, text: &str) {
-        let expected = self.observed.tokens;
-        let (tag, inner) = text.trim_end().split_once('.').unwrap_or_default();
-        if index != expected || inner.parse() != Ok(expected) {
-            self.observed.violations.push(Violation::Order);
+    /// Checks the index of a token and its text, which names its generation and
+    /// repeats its index.
+    fn check_token(&mut self, index: u32, text: &str) {
+        let expected = self.observation.tokens;
+        let (generation, text_index) = text.trim_end().split_once('.').unwrap_or_default();
+        if index != expected || text_index.parse() != Ok(expected) {
+            self.observation.violations.push(Violation::Order);
         }
-        match &self.tag {
-            None => self.tag = Some(tag.to_owned()),
-            Some(known) if known != tag => self.observed.violations.push(Violation::Spliced),
+        match &self.generation {
+            None => self.generation = Some(generation.to_owned()),
+            Some(known) if known != generation => {
+                self.observation.violations.push(Violation::Spliced)
+            }
             Some(_) => {}
         }
     }
 
-    /// Checks the number of tokens that the end told.
-    pub fn count(&mut self, tokens: u32) {
-        if tokens != self.observed.tokens {
-            self.observed.violations.push(Violation::Count);
+    /// Checks the number of tokens given in the end event.
+    pub fn check_token_count(&mut self, tokens: u32) {
+        if tokens != self.observation.tokens {
+            self.observation.violations.push(Violation::Count);
         }
     }
 
-    /// Ends the observation.
-    pub fn end(mut self, ending: Ending) -> Observation {
-        self.observed.ending = ending;
-        self.observed.took = self.due.elapsed();
-        self.observed
+    /// Returns the finished observation.
+    pub fn finish(mut self, ending: Ending) -> Observation {
+        self.observation.ending = ending;
+        self.observation.duration = self.due.elapsed();
+        self.observation
     }
 }
--- a/filbertpaddle-standins/src/pool.rs
+++ b/filbertpaddle-standins/src/pool.rs
@@ -28,7 +28,7 @@
 
 use crate::batch_scheduler::BLOCK_TOKENS;
 use crate::batch_scheduler::TOKEN_BYTES;
-use crate::workload::Ask;
+use crate::workload::Request;
 
 /// Time between two polls of a target for its load report and cache events.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
@@ -106,7 +106,7 @@
     }
 
     /// Waits for a slot; returns `None` if none is granted in time.
-    pub async fn acquire(&self, ask: &Ask) -> Option<Grant> {
+    pub async fn acquire(&self, ask: &Request) -> Option<Grant> {
         let (answer, granted) = oneshot::channel();
         let blocks = digests(&ask.kind.prefix(&ask.customer));
         let prompt = ask.prompt();
--- a/filbertpaddle-standins/src/summary.rs
+++ b/filbertpaddle-standins/src/summary.rs
@@ -1,4 +1,4 @@
-//! Medians and spread over several runs.
+//! Summary of several runs: medians and ranges by scenario and policy, as a table and a plot.
 
 use std::fmt;
 use std::path::Path;
@@ -12,77 +12,78 @@
 /// Size of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (900, 480);
 
-/// One figure of a report, and how it is called.
-struct Figure {
+/// A column of the summary table: its heading and the figure of a report that it shows.
+struct Column {
     name: &'static str,
     value: fn(&Report) -> f64,
 }
 
-const FIGURES: &[Figure] = &[
-    Figure {
+const COLUMNS: &[Column] = &[
+    Column {
         name: "complete",
-        value: |report| report.ended(Ending::Complete) as f64,
+        value: |report| report.ending_count(Ending::Complete) as f64,
     },
-    Figure {
+    Column {
         name: "not run",
-        value: |report| report.ended(Ending::NotRun) as f64,
+        value: |report| report.ending_count(Ending::NotRun) as f64,
     },
-    Figure {
+    Column {
         name: "other",
         value: |report| {
-            let told = report.ended(Ending::Complete) + report.ended(Ending::NotRun);
-            (report.requests - told) as f64
+            let complete_or_refused =
+                report.ending_count(Ending::Complete) + report.ending_count(Ending::NotRun);
+            (report.requests - complete_or_refused) as f64
         },
     },
-    Figure {
+    Column {
         name: "tokens",
         value: |report| report.complete_tokens as f64,
     },
-    Figure {
+    Column {
         name: "first p95",
         value: |report| report.first_token.p95_ms,
     },
-    Figure {
+    Column {
         name: "gap p95",
         value: |report| report.token_gap.p95_ms,
     },
-    Figure {
+    Column {
         name: "gap p99",
         value: |report| report.token_gap.p99_ms,
     },
-    Figure {
+    Column {
         name: "stall s",
         value: |report| report.stall_s,
     },
-    Figure {
+    Column {
         name: "preempt.",
         value: |report| report.preemptions as f64,
     },
-    Figure {
+    Column {
         name: "wasted",
         value: |report| report.wasted_tokens as f64,
     },
-    Figure {
+    Column {
         name: "collapses",
         value: |report| report.collapses as f64,
     },
-    Figure {
+    Column {
         name: "fairness",
         value: |report| report.fairness,
     },
-    Figure {
+    Column {
         name: "broken",
         value: |report| report.violations.values().sum::<usize>() as f64,
     },
 ];
 
-/// Reports, by scenario and policy.
+/// Reports of runs, grouped by scenario and policy.
 #[derive(Debug, Default)]
 pub struct Summary {
     runs: IndexMap<String, IndexMap<String, Vec<Report>>>,
 }
 
-/// Lowest value, median and highest value.
+/// Lowest value, median and highest value over several runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Range {
     low: f64,
@@ -91,7 +92,7 @@
 }
 
 impl Summary {
-    /// Adds a run.
+    /// Adds the report of a run.
     pub fn add(&mut self, report: Report) {
         self.runs
             .entry(report.scenario.clone())
@@ -101,7 +102,8 @@
             .push(report);
     }
 
-    /// Draws the median stall time and preemptions of each scenario and policy.
+    /// Plots the median stall time and the median 95th percentile of the token
+    /// gap for each scenario and policy, as an SVG file.
     ///
     /// # Errors
     ///
@@ -110,21 +112,21 @@
         let area = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
         area.fill(&WHITE)?;
         let halves = area.split_evenly((1, 2));
-        self.bars(&halves[0], "stall time, s", |report| report.stall_s)?;
-        self.bars(&halves[1], "token gap p95, ms", |report| {
+        self.draw_bars(&halves[0], "stall time, s", |report| report.stall_s)?;
+        self.draw_bars(&halves[1], "token gap p95, ms", |report| {
             report.token_gap.p95_ms
         })?;
         area.present()
     }
 
-    fn bars(
+    fn draw_bars(
         &self,
         area: &DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
         caption: &str,
         value: fn(&Report) -> f64,
     ) -> Result<(), DrawingAreaErrorKind<std::io::Error>> {
         let bars: Vec<(String, f64)> = self
-            .cells()
+            .groups()
             .map(|(scenario, policy, reports)| {
                 (
                     format!("{scenario}, {policy}"),
@@ -157,7 +159,7 @@
         Ok(())
     }
 
-    fn cells(&self) -> impl Iterator<Item = (&str, &str, &[Report])> {
+    fn groups(&self) -> impl Iterator<Item = (&str, &str, &[Report])> {
         self.runs.iter().flat_map(|(scenario, policies)| {
             policies
                 .iter()
@@ -168,13 +170,13 @@
 
 impl fmt::Display for Summary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let names: Vec<&str> = FIGURES.iter().map(|figure| figure.name).collect();
+        let names: Vec<&str> = COLUMNS.iter().map(|column| column.name).collect();
         writeln!(f, "| scenario | policy | runs | {} |", names.join(" | "))?;
-        writeln!(f, "|{}", " --- |".repeat(FIGURES.len() + 3))?;
-        for (scenario, policy, reports) in self.cells() {
+        writeln!(f, "|{}", " --- |".repeat(COLUMNS.len() + 3))?;
+        for (scenario, policy, reports) in self.groups() {
             write!(f, "| {scenario} | {policy} | {} |", reports.len())?;
-            for figure in FIGURES {
-                write!(f, " {} |", range(reports, figure.value))?;
+            for column in COLUMNS {
+                write!(f, " {} |", range(reports, column.value))?;
             }
             writeln!(f)?;
         }
--- a/filbertpaddle-standins/src/workload.rs
+++ b/filbertpaddle-standins/src/workload.rs
@@ -1,4 +1,7 @@
-//! Open-loop workloads: who asks for what and when, from a seed.
+//! Open-loop workloads drawn from a seed: the customer, kind and time of each request.
+//!
+//! Arrivals are a Poisson process whose rate alternates at random between calm
+//! phases and bursts.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
@@ -10,7 +13,7 @@
 
 use crate::marker;
 
-/// Customers and their shares of the requests; the first few are large.
+/// Customers and their shares of the requests; the first three send most of them.
 pub const CUSTOMERS: &[(&str, f64)] = &[
     ("c0", 0.30),
     ("c1", 0.20),
@@ -24,40 +27,40 @@
     ("c9", 0.03),
 ];
 
-/// Span over which the arrival rate is taken as constant, in milliseconds.
+/// Time slice within which the arrival rate is constant.
 const SLICE_MS: u64 = 10;
 
-/// Mean length of a calm spell, in slices.
-const CALM_SLICES: f64 = 400.0;
+/// Mean length of a calm phase, in slices.
+const MEAN_CALM_SLICES: f64 = 400.0;
 
 /// Mean length of a burst, in slices.
-const BURST_SLICES: f64 = 100.0;
+const MEAN_BURST_SLICES: f64 = 100.0;
 
-/// Rate within calm spells, relative to the mean.
-const CALM_RATE: f64 = 0.7;
+/// Rate within calm phases, relative to the mean.
+const CALM_RATE_FACTOR: f64 = 0.7;
 
 /// Rate within bursts, relative to the mean.
-const BURST_RATE: f64 = 2.2;
+const BURST_RATE_FACTOR: f64 = 2.2;
 
-/// One kind of request.
+/// Kind of request: a template and its share of the workload.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Kind {
-    /// Name of the template, and the first word of the prompt.
+pub struct RequestKind {
+    /// Name of the template and first word of the prompt.
     pub name: &'static str,
     /// Share of the requests.
     pub share: f64,
     /// Scheduling priority.
     pub priority: u8,
-    /// Length of the shared prefix, in bytes.
+    /// Least length of the prompt prefix that requests of a customer share.
     pub prefix_bytes: usize,
     /// Most tokens to generate; zero for calls of a plain service.
     pub max_tokens: u32,
-    /// Whether running it twice is harmless.
+    /// Whether a request may run more than once without harm.
     pub idempotent: bool,
 }
 
-/// The kinds of a usual day.
-pub const USUAL: &[Kind] = &[
+/// Kinds of requests in most scenarios.
+pub const STANDARD_KINDS: &[RequestKind] = &[
     kind("stock", 0.35, 5, 1_100, 400, true),
     kind("topics", 0.18, 4, 1_100, 1_500, true),
     kind("menu", 0.12, 3, 2_100, 3_000, true),
@@ -66,8 +69,8 @@
     kind("booking", 0.10, 6, 0, 0, false),
 ];
 
-/// The kinds when long outputs crowd the engines' memory.
-pub const LONG: &[Kind] = &[
+/// Kinds of requests with mostly long outputs, which fill the engines' memory.
+pub const LONG_OUTPUT_KINDS: &[RequestKind] = &[
     kind("stock", 0.10, 5, 1_100, 400, true),
     kind("menu", 0.40, 3, 2_100, 3_000, true),
     kind("summary", 0.40, 2, 2_100, 3_000, true),
@@ -82,8 +85,8 @@
     prefix_bytes: usize,
     max_tokens: u32,
     idempotent: bool,
-) -> Kind {
-    Kind {
+) -> RequestKind {
+    RequestKind {
         name,
         share,
         priority,
@@ -93,8 +96,8 @@
     }
 }
 
-impl Kind {
-    /// Returns the text that all requests of a customer share.
+impl RequestKind {
+    /// Returns the prompt prefix that all requests of this kind by a customer share.
     pub fn prefix(&self, customer: &str) -> String {
         let mut text = format!("{} {customer} ", self.name);
         while text.len() < self.prefix_bytes {
@@ -105,7 +108,7 @@
         text
     }
 
-    /// Returns whether a plain service runs it.
+    /// Returns whether requests of this kind are calls of a plain service.
     pub const fn is_call(&self) -> bool {
         self.max_tokens == 0
     }
@@ -113,20 +116,20 @@
 
 /// One request of a workload.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
-    /// When it is sent, from the start of the run.
+pub struct Request {
+    /// Time at which it is due, from the start of the run.
     pub at_ms: Millis,
-    /// Who sends it.
+    /// Customer that sends it.
     pub customer: Name,
-    /// What it asks for.
-    pub kind: Kind,
-    /// Marker by which targets' counters name it.
+    /// Kind of the request.
+    pub kind: RequestKind,
+    /// Unique marker under which targets count executions of the request.
     pub marker: String,
-    /// The part that is its own.
+    /// Part of the prompt that is not shared with other requests.
     pub parameter: String,
 }
 
-impl Ask {
+impl Request {
     /// Returns the whole prompt.
     pub fn prompt(&self) -> String {
         self.kind.prefix(&self.customer) + &self.parameter
@@ -138,85 +141,111 @@
     }
 }
 
-/// What a workload is drawn from.
+/// Settings that a workload is drawn from.
 pub struct Settings<F>
 where
     F: Fn(f64) -> f64,
 {
-    /// Seed of everything drawn.
+    /// Seed of all random draws.
     pub seed: u64,
     /// Length of the run.
     pub duration_ms: Millis,
-    /// Mean requests a second.
+    /// Mean requests per second.
     pub rate: f64,
-    /// Relative rate by the share of the run that has passed.
-    pub shape: F,
+    /// Rate relative to the mean, as a function of the elapsed fraction of the run.
+    pub rate_profile: F,
     /// Kinds of requests.
-    pub kinds: &'static [Kind],
-    /// Share of the run in which the first customer sends more, if any.
+    pub kinds: &'static [RequestKind],
+    /// Additional requests of the first customer, if any.
     pub burst: Option<Burst>,
 }
 
-/// Additional requests of the first customer.
+/// Additional requests of the first customer during part of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Burst {
-    /// Start, as a share of the run.
+    /// Start, as a fraction of the run.
     pub from: f64,
-    /// End, as a share of the run.
+    /// End, as a fraction of the run.
     pub to: f64,
-    /// Additional requests a second, relative to the mean rate of all.
+    /// Rate of additional requests, relative to the mean rate of all customers.
     pub rate: f64,
 }
 
-/// Draws a workload, in order of time.
-pub fn draw<F>(settings: &Settings<F>) -> Vec<Ask>
+/// Draws the requests of a run, ordered by time slice.
+pub fn draw<F>(settings: &Settings<F>) -> Vec<Request>
 where
     F: Fn(f64) -> f64,
 {
     let mut rng = SmallRng::seed_from_u64(settings.seed);
-    let mut asks = Vec::new();
-    let mut bursting = false;
+    let mut requests = Vec::new();
+    let mut in_burst = false;
     for at_ms in (0..settings.duration_ms.0).step_by(SLICE_MS as usize) {
-        let spell_slices = if bursting { BURST_SLICES } else { CALM_SLICES };
-        bursting ^= rng.random::<f64>() < 1.0 / spell_slices;
-        let passed = at_ms as f64 / settings.duration_ms.0 as f64;
-        let swing = if bursting { BURST_RATE } else { CALM_RATE };
+        let mean_phase_slices = if in_burst {
+            MEAN_BURST_SLICES
+        } else {
+            MEAN_CALM_SLICES
+        };
+        in_burst ^= rng.random::<f64>() < 1.0 / mean_phase_slices;
+        let progress = at_ms as f64 / settings.duration_ms.0 as f64;
+        let rate_factor = if in_burst {
+            BURST_RATE_FACTOR
+        } else {
+            CALM_RATE_FACTOR
+        };
         let per_slice = settings.rate * SLICE_MS as f64 / 1_000.0;
-        let usual = per_slice * swing * (settings.shape)(passed);
-        for _ in 0..arrivals(&mut rng, usual) {
-            let customer = pick(&mut rng, CUSTOMERS, |(_, share)| *share).0;
-            asks.push(ask(settings, &mut rng, at_ms, customer, asks.len()));
+        let mean_arrivals = per_slice * rate_factor * (settings.rate_profile)(progress);
+        for _ in 0..draw_arrivals(&mut rng, mean_arrivals) {
+            let customer = pick_weighted(&mut rng, CUSTOMERS, |(_, share)| *share).0;
+            requests.push(draw_request(
+                settings,
+                &mut rng,
+                at_ms,
+                customer,
+                requests.len(),
+            ));
         }
         let Some(burst) = settings.burst else {
             continue;
         };
-        if (burst.from..burst.to).contains(&passed) {
-            for _ in 0..arrivals(&mut rng, per_slice * burst.rate) {
-                asks.push(ask(settings, &mut rng, at_ms, CUSTOMERS[0].0, asks.len()));
+        if (burst.from..burst.to).contains(&progress) {
+            for _ in 0..draw_arrivals(&mut rng, per_slice * burst.rate) {
+                requests.push(draw_request(
+                    settings,
+                    &mut rng,
+                    at_ms,
+                    CUSTOMERS[0].0,
+                    requests.len(),
+                ));
             }
         }
     }
-    asks
+    requests
 }
 
-fn ask<F, R>(settings: &Settings<F>, rng: &mut R, at_ms: u64, customer: &str, number: usize) -> Ask
+fn draw_request<F, R>(
+    settings: &Settings<F>,
+    rng: &mut R,
+    at_ms: u64,
+    customer: &str,
+    number: usize,
+) -> Request
 where
     F: Fn(f64) -> f64,
     R: Rng,
 {
     let marker = format!("{}-{number}", settings.seed);
     let filler = "x".repeat(rng.random_range(0..400));
-    Ask {
+    Request {
         at_ms: Millis(at_ms + rng.random_range(0..SLICE_MS)),
         customer: customer.into(),
-        kind: *pick(rng, settings.kinds, |kind| kind.share),
+        kind: *pick_weighted(rng, settings.kinds, |kind| kind.share),
         parameter: format!("{}{marker}; {filler}", marker::MARKER_PREFIX),
         marker,
     }
 }
 
-/// Draws a Poisson number by Knuth's method; the mean is small.
-fn arrivals<R>(rng: &mut R, mean: f64) -> u32
+/// Draws a Poisson number by Knuth's method, which is fast enough for small means.
+fn draw_arrivals<R>(rng: &mut R, mean: f64) -> u32
 where
     R: Rng,
 {
@@ -230,7 +259,7 @@
     count
 }
 
-fn pick<'a, T, F, R>(rng: &mut R, items: &'a [T], share: F) -> &'a T
+fn pick_weighted<'a, T, F, R>(rng: &mut R, items: &'a [T], share: F) -> &'a T
 where
     F: Fn(&T) -> f64,
     R: Rng,
--- a/filbertpaddle/tests/ownership.rs
+++ b/filbertpaddle/tests/ownership.rs
@@ -206,7 +206,7 @@
     .await;
     let others = deployment.other_nodes(owner);
     deployment.wait_until_served(&others).await;
-    deployment.nodes[owner].process.wake().unwrap();
+    deployment.nodes[owner].process.resume().unwrap();
     deployment.send_requests(&[0, 1, 2], 60).await;
     deployment.wait_until_served(&[owner]).await;
     assert_eq!(deployment.cold_excess().await, 0);
