--- a/filbertpaddle-gateway/src/job.rs
+++ b/filbertpaddle-gateway/src/job.rs
@@ -34,7 +34,7 @@
 /// Maximum number of connection attempts for one request before it is refused.
 pub const MAX_CONNECT_ATTEMPTS: u32 = 12;
 /// Lowest priority that targets accept.
-const LEAST_URGENT: u8 = 9;
+const LOWEST_PRIORITY: u8 = 9;
 /// Time after which a caller may retry if targets were full or failing.
 const RETRY_AFTER_MS: Millis = Millis(250);
 
@@ -331,11 +331,11 @@
             target,
             remaining_ms: Some(self.remaining_ms()),
             customer: self.customer.as_deref(),
-            urgency: is_generation.then_some(self.priority.min(LEAST_URGENT)),
+            priority: is_generation.then_some(self.priority.min(LOWEST_PRIORITY)),
             last_event: resume.last_event,
             copy: resume.copy,
         };
-        (self.state.platform.headers.apply)(headers, &values);
+        (self.state.platform.headers.set_for_target)(headers, &values);
         request
     }
 }
--- a/filbertpaddle-gateway/src/platform_api.rs
+++ b/filbertpaddle-gateway/src/platform_api.rs
@@ -37,9 +37,9 @@
     /// Decodes a caller's headers.
     pub decode_request: fn(&HeaderMap) -> Result<RequestMetadata, BadHeader>,
     /// Removes headers that only the system may set.
-    pub strip_internal: fn(&mut HeaderMap),
+    pub remove_reserved: fn(&mut HeaderMap),
     /// Adds the headers that are meant for the target.
-    pub apply: fn(&mut HeaderMap, &TargetHeaders<'_>),
+    pub set_for_target: fn(&mut HeaderMap, &TargetHeaders<'_>),
     /// Decodes the metadata of a target's response.
     pub decode_response: fn(StatusCode, &HeaderMap) -> ResponseMetadata,
 }
@@ -59,7 +59,7 @@
     /// Customer that the request belongs to.
     pub customer: Option<&'a str>,
     /// Priority among the target's requests, from 0 (most urgent) to 9.
-    pub urgency: Option<u8>,
+    pub priority: Option<u8>,
     /// Last event that the caller has received, if a stream is resumed.
     pub last_event: Option<u64>,
     /// Copy from which the generation resumes.
--- a/filbertpaddle-gateway/src/request.rs
+++ b/filbertpaddle-gateway/src/request.rs
@@ -177,7 +177,7 @@
     reply::strip_connection(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
-    (state.platform.headers.strip_internal)(&mut headers);
+    (state.platform.headers.remove_reserved)(&mut headers);
     headers
 }
 
