--- a/filbertpaddle-forward/src/directory.rs
+++ b/filbertpaddle-forward/src/directory.rs
@@ -226,7 +226,7 @@
     /// The entry keeps its revision, so that the next change from the store replaces it.
     pub fn mark_draining(&mut self, target: &Target) -> bool {
         let listed = self.targets.get_mut(&target.id);
-        let Some(listed) = listed.filter(|listed| listed.target.is_same_instance(target)) else {
+        let Some(listed) = listed.filter(|listed| listed.target.is_same_incarnation(target)) else {
             return false;
         };
         !std::mem::replace(&mut listed.target.is_draining, true)
--- a/filbertpaddle-forward/src/target.rs
+++ b/filbertpaddle-forward/src/target.rs
@@ -22,13 +22,13 @@
     pub is_draining: bool,
     /// Time for which the target stays cold, counted from when the entry was read.
     pub cold_ms: Millis,
-    /// Start time in Unix time, which distinguishes instances of the target.
+    /// Start time in Unix time, which distinguishes incarnations of the target.
     pub started_ms: Option<Millis>,
 }
 
 impl Target {
-    /// Returns whether `other` is the same instance of the same target, not a restarted one.
-    pub fn is_same_instance(&self, other: &Self) -> bool {
+    /// Returns whether `other` is the same incarnation of the same target, not a restarted one.
+    pub fn is_same_incarnation(&self, other: &Self) -> bool {
         self.id == other.id && self.address == other.address && self.started_ms == other.started_ms
     }
 }
--- a/filbertpaddle-forward/src/target_selector.rs
+++ b/filbertpaddle-forward/src/target_selector.rs
@@ -72,7 +72,7 @@
 /// This node's load on one target, and the target's health.
 #[derive(Clone, Debug, Default)]
 struct TargetState {
-    instance: Option<Target>,
+    incarnation: Option<Target>,
     own: TargetLoad,
     failures: u32,
     backoff_until_ms: Millis,
@@ -110,21 +110,21 @@
         self.nodes = nodes;
     }
 
-    /// Updates the targets from the directory. The failures of a target's former instance
+    /// Updates the targets from the directory. The failures of a target's former incarnation
     /// are discarded.
     pub fn update_targets(&mut self, directory: &Directory) {
         for (target, _) in directory.targets() {
             let state = self.states.entry(target.id.clone()).or_default();
             let is_same = state
-                .instance
+                .incarnation
                 .as_ref()
-                .is_some_and(|instance| instance.is_same_instance(target));
+                .is_some_and(|incarnation| incarnation.is_same_incarnation(target));
             if !is_same {
                 state.failures = 0;
                 state.backoff_until_ms = Millis::ZERO;
                 state.is_refusing = false;
             }
-            state.instance = Some(target.clone());
+            state.incarnation = Some(target.clone());
         }
         self.states
             .retain(|id, state| state.own.running > 0 || directory.target(id).is_some());
--- a/filbertpaddle-gateway/src/generation.rs
+++ b/filbertpaddle-gateway/src/generation.rs
@@ -199,7 +199,7 @@
             let directory = state.directory.borrow();
             let listed = directory.target(&source.target.id);
             !listed.is_some_and(|listed| {
-                listed.is_same_instance(&source.target) && !listed.is_draining
+                listed.is_same_incarnation(&source.target) && !listed.is_draining
             })
         };
         if is_leaving
--- a/filbertpaddle-gateway/src/migrator.rs
+++ b/filbertpaddle-gateway/src/migrator.rs
@@ -151,8 +151,8 @@
         };
         let directory = self.job.state.directory.borrow();
         let listed = directory.target(&reserved.id);
-        let is_available =
-            listed.is_some_and(|listed| listed.is_same_instance(reserved) && !listed.is_draining);
+        let is_available = listed
+            .is_some_and(|listed| listed.is_same_incarnation(reserved) && !listed.is_draining);
         drop(directory);
         if !is_available && self.copying.is_none() {
             self.migration.take_copy();
--- a/filbertpaddle-target/src/protocol.rs
+++ b/filbertpaddle-target/src/protocol.rs
@@ -21,7 +21,7 @@
 pub struct Submit {
     /// Attempt ID, unique among all attempts of all nodes.
     pub attempt: Name,
-    /// Fencing token of the pool owner that granted the slot.
+    /// Fencing number of the pool owner that granted the slot.
     pub fence: u64,
     /// Scheduling priority.
     pub priority: Priority,
@@ -92,7 +92,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalCause {
-    /// The fencing token is older than one that the target has seen.
+    /// The fencing number is older than one that the target has seen.
     StaleFence,
     /// The attempt ID was used before with another body.
     DuplicateAttempt,
@@ -118,7 +118,7 @@
 /// Load of a target, as it was `age_ms` ago.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Distinguishes the target from its earlier instances.
+    /// Distinguishes the target from its earlier incarnations.
     pub incarnation: u64,
     /// Age of the report.
     pub age_ms: Millis,
@@ -169,7 +169,7 @@
 pub struct Order {
     /// Order ID, unique among all orders.
     pub id: Name,
-    /// Fencing token of the owner that gives the order.
+    /// Fencing number of the owner that gives the order.
     pub fence: u64,
     /// State that the target must reach.
     pub state: LoadedState,
@@ -184,7 +184,7 @@
     pub version: Name,
     /// Adapters that are loaded, sorted by name.
     pub adapters: Vec<Name>,
-    /// Highest fencing token that the target has accepted.
+    /// Highest fencing number that the target has accepted.
     pub fence: u64,
 }
 
