--- a/filbertpaddle-forward/src/configuration.rs
+++ b/filbertpaddle-forward/src/configuration.rs
@@ -21,13 +21,13 @@
     pub limits: Limits,
 }
 
-/// How often a request may run, and the form of its answer.
+/// How often a request may run, and the form of its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum RequestKind {
-    /// Complete answer; may run any number of times.
+    /// Complete response; may run any number of times.
     Idempotent,
-    /// Complete answer; runs at most once.
+    /// Complete response; runs at most once.
     NonIdempotent,
     /// Stream of events; runs at most once.
     Stream,
@@ -41,7 +41,7 @@
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Returns whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
@@ -56,13 +56,13 @@
     pub host: Name,
     /// Path prefix, with a leading and a trailing slash.
     pub prefix: Name,
-    /// How often its requests may run, and the form of their answers.
+    /// How often its requests may run, and the form of their responses.
     pub kind: RequestKind,
     /// Services and their weights.
     pub services: Vec<(Name, u32)>,
-    /// Maximum time that a caller waits for the answer.
+    /// Maximum time that a caller waits for the response.
     pub timeout_ms: Millis,
-    /// Latency goal of an answer.
+    /// Latency goal of a response.
     pub latency_goal_ms: Millis,
     /// Goal for the longest gap between events of a stream.
     pub gap_goal_ms: Option<Millis>,
--- a/filbertpaddle-forward/src/drain.rs
+++ b/filbertpaddle-forward/src/drain.rs
@@ -12,7 +12,8 @@
 
 /// Time allowed until the first token of a generation.
 const FIRST_TOKEN_MS: Millis = Millis(1_000);
-/// Output length to plan for, as a percentage of the caller's estimate.
+/// Output length to plan for, as a percentage of the caller's estimate: an output may be
+/// longer than estimated.
 const PLANNED_OUTPUT_PERCENT: u64 = 150;
 /// Reserve at the end of the grace period, as a percentage of it.
 const GRACE_RESERVE_PERCENT: u64 = 10;
--- a/filbertpaddle-forward/src/load_table.rs
+++ b/filbertpaddle-forward/src/load_table.rs
@@ -1,7 +1,7 @@
 //! Load that all nodes place on each target, as last reported.
 //!
-//! A node reports its load on each target to the reader of its group, and readers
-//! exchange the totals of their groups. A node thus learns the load of all others
+//! A node reports its load on each target to the reader of its group, which is the node
+//! that it receives the store's tables from. Readers exchange the totals of their groups. A node thus learns the load of all others
 //! over a single link, however many nodes there are.
 
 use filbertpaddle_core::name::Name;
--- a/filbertpaddle-forward/src/request_metadata.rs
+++ b/filbertpaddle-forward/src/request_metadata.rs
@@ -8,7 +8,7 @@
 pub struct RequestMetadata {
     /// Attempt ID that the caller assigned.
     pub attempt: Name,
-    /// Time that the caller waits for the answer, counted from when the request was read.
+    /// Time that the caller waits for the response, counted from when the request was read.
     pub deadline_ms: Option<Millis>,
     /// API key of the caller.
     pub key: Option<Name>,
--- a/filbertpaddle-forward/src/target_selector.rs
+++ b/filbertpaddle-forward/src/target_selector.rs
@@ -12,7 +12,8 @@
 use crate::load_table::TargetLoad;
 use crate::target::Target;
 
-/// Back-off after the first failure of a target; it doubles with each further one.
+/// Time for which a target gets no requests after its first failure; it doubles with each
+/// further one.
 const INITIAL_BACKOFF_MS: Millis = Millis(400);
 /// Maximum back-off.
 const MAX_BACKOFF_MS: Millis = Millis(3_200);
@@ -263,7 +264,7 @@
         }
     }
 
-    /// Records a successful answer, which ends the target's back-off.
+    /// Records a successful response, which ends the target's back-off.
     pub fn record_success(&mut self, id: &str) {
         if let Some(state) = self.states.get_mut(id) {
             state.failures = 0;
--- a/filbertpaddle-gateway/src/connection_pool.rs
+++ b/filbertpaddle-gateway/src/connection_pool.rs
@@ -156,7 +156,7 @@
             body.recycle(&head.headers);
             Ok((head, bytes))
         };
-        let timed_out = || Error::Unknown("timeout".to_owned());
+        let timed_out = || Error::Unknown(format!("no complete response within {time_limit:?}"));
         timeout(time_limit, response)
             .await
             .map_err(|_| timed_out())?
@@ -312,7 +312,11 @@
             return Err(Error::Refused);
         }
         Ok(Err(error)) => return Err(Error::NotSent(error.to_string())),
-        Err(_) => return Err(Error::NotSent("connect timeout".to_owned())),
+        Err(_) => {
+            return Err(Error::NotSent(format!(
+                "no connection within {CONNECT_TIMEOUT:?}"
+            )));
+        }
     };
     set_socket_options(&stream).map_err(|error| Error::NotSent(error.to_string()))?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
--- a/filbertpaddle-gateway/src/job.rs
+++ b/filbertpaddle-gateway/src/job.rs
@@ -49,7 +49,7 @@
     pub metadata: RequestMetadata,
     /// Customer that the request belongs to.
     pub customer: Option<Name>,
-    /// Priority among the requests of its service; 0 is the most urgent.
+    /// Priority among the requests of its service; 0 is the highest.
     pub priority: u8,
     /// Method.
     pub method: Method,
@@ -112,7 +112,7 @@
 pub struct ResumePoint<'a> {
     /// Last event that the caller has received.
     pub last_event: Option<u64>,
-    /// Copy of the generation's memory.
+    /// Copy of the generation's KV cache.
     pub copy: Option<CopySource<'a>>,
 }
 
@@ -263,29 +263,29 @@
     }
 
     /// Records a failed send. Excludes the target for this request and, unless it only
-    /// refused to run it, for all requests for a while.
+    /// refused to run it, starts the target's back-off for all requests.
     pub fn mark_failed(&self, progress: &mut Progress, target: &Target, failure: &Failure) {
         let state = &self.state;
         let now = state.clock.now();
-        let mut excluded_until_ms = Millis::ZERO;
+        let mut backoff_until_ms = Millis::ZERO;
         progress.is_in_flight = false;
         progress.excluded_targets.push(target.id.clone());
         match failure {
             Failure::Refused => {
-                excluded_until_ms = state.selector.borrow_mut().record_refused(now, &target.id);
+                backoff_until_ms = state.selector.borrow_mut().record_refused(now, &target.id);
             }
             Failure::NotSent(_) => {
-                excluded_until_ms = state.selector.borrow_mut().record_failure(now, &target.id);
+                backoff_until_ms = state.selector.borrow_mut().record_failure(now, &target.id);
             }
             Failure::NotRun => progress.sends += 1,
             Failure::OtherTarget => {
                 progress.was_misdirected = true;
-                excluded_until_ms = state.selector.borrow_mut().record_failure(now, &target.id);
+                backoff_until_ms = state.selector.borrow_mut().record_failure(now, &target.id);
             }
             Failure::Unknown(_) => {
                 progress.sends += 1;
                 progress.may_have_run = true;
-                excluded_until_ms = state.selector.borrow_mut().record_failure(now, &target.id);
+                backoff_until_ms = state.selector.borrow_mut().record_failure(now, &target.id);
                 crash::record_if_crashed(state, target, self.digest);
             }
         }
@@ -293,7 +293,7 @@
         info!(state.log, "target did not serve the request";
             "id" => self.metadata.attempt.as_str(), "target" => target.id.as_str(),
             "failure" => %failure, "reason" => failure_reason(failure),
-            "passed_over_ms" => excluded_until_ms.since(now).0);
+            "passed_over_ms" => backoff_until_ms.since(now).0);
     }
 
     /// Returns the refusal that states correctly whether the request may have run.
--- a/filbertpaddle-gateway/src/migrator.rs
+++ b/filbertpaddle-gateway/src/migrator.rs
@@ -22,7 +22,7 @@
 use crate::store_sync::http_request;
 use crate::target_stream::TargetStream;
 
-/// Enough to copy the memory of several large generations over one link.
+/// Enough to copy the KV caches of several large generations over one link.
 const COPY_TIMEOUT: Duration = Duration::from_secs(4);
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
--- a/filbertpaddle-gateway/src/node.rs
+++ b/filbertpaddle-gateway/src/node.rs
@@ -29,7 +29,7 @@
 use crate::state::State;
 use crate::store_sync;
 
-/// Interval of the removal of targets and of idle connections.
+/// Interval at which due removals of targets are applied and stale connections closed.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 /// Time after the stop signal in which the balancer may still send callers here: it
--- a/filbertpaddle-gateway/src/peer_link.rs
+++ b/filbertpaddle-gateway/src/peer_link.rs
@@ -62,7 +62,7 @@
         operator_ms: Millis,
         /// Age of the targets' table.
         targets_ms: Millis,
-        /// Whether the sender currently has no data from a working store.
+        /// Whether the sender cannot get current data from the store.
         is_store_lost: bool,
     },
 }
@@ -83,7 +83,7 @@
     #[error("link closed by the other node")]
     Closed,
     /// A message cannot be encoded or decoded, or is not the expected one.
-    #[error("cannot encode or decode message: {0}")]
+    #[error("invalid message between nodes: {0}")]
     Unreadable(String),
     /// The followed node's data is too old.
     #[error("data of the followed node is too old")]
--- a/filbertpaddle-gateway/src/platform_api.rs
+++ b/filbertpaddle-gateway/src/platform_api.rs
@@ -58,7 +58,7 @@
     pub remaining_ms: Option<Millis>,
     /// Customer that the request belongs to.
     pub customer: Option<&'a str>,
-    /// Priority among the target's requests, from 0 (most urgent) to 9.
+    /// Priority among the target's requests, from 0 (the highest) to 9.
     pub priority: Option<u8>,
     /// Last event that the caller has received, if a stream is resumed.
     pub last_event: Option<u64>,
@@ -66,7 +66,7 @@
     pub copy: Option<CopySource<'a>>,
 }
 
-/// Identifies the copy of a generation's memory.
+/// Identifies the copy of a generation's KV cache.
 #[derive(Clone, Copy, Debug)]
 pub struct CopySource<'a> {
     /// Address of the target that ran the generation before.
@@ -106,7 +106,7 @@
     pub report: fn() -> Call,
     /// Decodes the report.
     pub decode_report: fn(&[u8]) -> Result<Report, DecodeError>,
-    /// Requests a copy of a running generation's memory.
+    /// Requests a copy of a running generation's KV cache.
     pub copy: fn(&CopyRequest<'_>) -> Call,
     /// Decodes the response to a copy request.
     pub decode_copy: fn(&CopyRequest<'_>, StatusCode, &[u8]) -> CopyOutcome,
--- a/filbertpaddle-gateway/src/request.rs
+++ b/filbertpaddle-gateway/src/request.rs
@@ -199,14 +199,14 @@
     let Some(drain) = state.drain.get() else {
         return true;
     };
-    let span = metadata.generation.as_ref().map_or(
+    let estimate = metadata.generation.as_ref().map_or(
         drain::DurationEstimate {
             expected_ms: route.timeout_ms,
             max_ms: route.timeout_ms,
         },
         drain::estimate_duration,
     );
-    drain.admits(state.clock.now(), span)
+    drain.admits(state.clock.now(), estimate)
 }
 
 async fn read_body(
--- a/filbertpaddle-gateway/src/state.rs
+++ b/filbertpaddle-gateway/src/state.rs
@@ -122,15 +122,15 @@
     /// Applies a batch from `source` that was up to date at `as_of_ms`.
     pub fn apply(&self, source: &str, as_of_ms: Millis, batch: &Batch) {
         let now = self.clock.now();
-        let effect = self.directory.borrow_mut().apply(now, as_of_ms, batch);
-        self.record_applied(source, as_of_ms, &effect);
+        let applied = self.directory.borrow_mut().apply(now, as_of_ms, batch);
+        self.record_applied(source, as_of_ms, &applied);
     }
 
     /// Applies removals of targets whose waiting time is over.
     pub fn apply_due_removals(&self) {
         let now = self.clock.now();
-        let effect = self.directory.borrow_mut().apply_due_removals(now);
-        self.record_applied("timer", now, &effect);
+        let applied = self.directory.borrow_mut().apply_due_removals(now);
+        self.record_applied("timer", now, &applied);
     }
 
     /// Calls `action` with the retry budget of a service.
@@ -178,8 +178,8 @@
         self.clock.now().since(as_of_ms)
     }
 
-    /// Returns whether this node reads the store: as a reader for others, or because no
-    /// node that it could follow does.
+    /// Returns whether this node reads the store: as a reader for others, because the node
+    /// that it follows has lost the store, or because it has found no node to follow in time.
     pub fn must_read(&self) -> bool {
         if self.is_reader() {
             return true;
@@ -233,21 +233,21 @@
         self.drain.get().is_none() && self.directory.borrow().is_complete()
     }
 
-    fn record_applied(&self, source: &str, as_of_ms: Millis, effect: &AppliedChanges) {
-        if effect.is_empty() {
+    fn record_applied(&self, source: &str, as_of_ms: Millis, applied: &AppliedChanges) {
+        if applied.is_empty() {
             return;
         }
         let age_ms = self.clock.now().since(as_of_ms).0;
-        if let Some(version) = effect.configuration {
+        if let Some(version) = applied.configuration {
             info!(self.log, "configuration applied";
                 "version" => version, "source" => source, "age_ms" => age_ms);
         }
-        for (name, is_out) in &effect.data_centres {
+        for (name, is_out) in &applied.data_centres {
             info!(self.log, "data centre state changed";
                 "data_centre" => name.as_str(), "is_out" => *is_out,
                 "source" => source, "age_ms" => age_ms);
         }
-        for id in &effect.targets {
+        for id in &applied.targets {
             self.log_target(id, source, age_ms);
         }
         self.selector
--- a/filbertpaddle-gateway/src/store_sync.rs
+++ b/filbertpaddle-gateway/src/store_sync.rs
@@ -253,7 +253,7 @@
 
 fn apply_page(state: &Rc<State>, table: Table, requested_ms: Millis, page: &Page) {
     for key in &page.unreadable {
-        warn!(state.log, "row ignored: cannot be decoded";
+        warn!(state.log, "entry cannot be decoded, its target gets no requests";
             "table" => %table, "key" => key.as_str());
     }
     let now = state.clock.now();
--- a/filbertpaddle-wire/src/remote.rs
+++ b/filbertpaddle-wire/src/remote.rs
@@ -47,7 +47,7 @@
     pub address: Name,
     /// Fencing number to send to the target.
     pub fence: u64,
-    /// Attempt name to send to the target; the pool's owner identifies the slot
+    /// Attempt ID to send to the target; the pool's owner identifies the slot
     /// by it.
     pub attempt: Name,
 }
--- a/filbertpaddle/tests/gateway/cluster.rs
+++ b/filbertpaddle/tests/gateway/cluster.rs
@@ -32,7 +32,7 @@
 
 pub(crate) struct Cluster {
     pub(crate) store: Store,
-    pub(crate) ledger: RunLog,
+    pub(crate) run_log: RunLog,
     pub(crate) targets: Vec<Target>,
     pub(crate) nodes: Vec<Node>,
     copies: Copies,
@@ -48,7 +48,7 @@
         store.put_configuration(&configuration(1, KEY));
         Self {
             store,
-            ledger: RunLog::new(),
+            run_log: RunLog::new(),
             targets: Vec::new(),
             nodes: Vec::new(),
             copies: Copies::default(),
@@ -84,7 +84,7 @@
             cold_ms: 0,
             incarnation: 1,
         };
-        let started = Target::start(options, self.ledger.clone(), self.copies.clone());
+        let started = Target::start(options, self.run_log.clone(), self.copies.clone());
         let target = started.await.unwrap();
         self.store.put_target(id, &target.announce(target.address));
         self.targets.push(target);
@@ -119,7 +119,7 @@
 
     /// Returns the target that an attempt was first sent to.
     pub(crate) fn first_target_of(&self, attempt: &str) -> &Target {
-        self.target(&self.ledger.runs_of(attempt)[0].target)
+        self.target(&self.run_log.runs_of(attempt)[0].target)
     }
 
     /// Removes a target from the cluster, so that it can be closed.
--- a/filbertpaddle/tests/gateway/limits.rs
+++ b/filbertpaddle/tests/gateway/limits.rs
@@ -28,12 +28,12 @@
         .send(&request("r", Method::GET, READ_PATH, None))
         .await;
     assert_eq!((response.code(), response.is_sealed()), (500, true));
-    assert_eq!(cluster.ledger.runs_of("r").len(), 2);
+    assert_eq!(cluster.run_log.runs_of("r").len(), 2);
     let response = cluster
         .send(&request("w", Method::POST, WRITE_PATH, None))
         .await;
     assert_eq!((response.code(), response.is_sealed()), (500, true));
-    assert_eq!(cluster.ledger.runs_of("w").len(), 1);
+    assert_eq!(cluster.run_log.runs_of("w").len(), 1);
     cluster.close();
 }
 
@@ -81,11 +81,15 @@
             .await;
     }
     wait_until("the node sends to the new targets", async || {
-        let attempt = format!("r{}", cluster.ledger.runs().len());
+        let attempt = format!("r{}", cluster.run_log.runs().len());
         cluster
             .send(&request(&attempt, Method::GET, READ_PATH, None))
             .await;
-        cluster.ledger.runs().iter().any(|run| run.target == "q149")
+        cluster
+            .run_log
+            .runs()
+            .iter()
+            .any(|run| run.target == "q149")
     })
     .await;
     let before: u64 = cluster.targets.iter().map(Target::arrivals).sum();
--- a/filbertpaddle/tests/gateway/main.rs
+++ b/filbertpaddle/tests/gateway/main.rs
@@ -42,7 +42,7 @@
         .await;
     assert!(stream.is_complete && stream.is_sealed());
     assert_eq!(stream.body, complete_stream("s1", 20));
-    let runs = cluster.ledger.runs_of("s1");
+    let runs = cluster.run_log.runs_of("s1");
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].customer.as_deref(), Some("huka"));
     cluster.close();
@@ -64,7 +64,7 @@
     let mut large = request("d", Method::POST, WRITE_PATH, None);
     large.attempt = "d".repeat(2_000);
     assert_eq!(cluster.send(&large).await.code(), 413);
-    assert!(cluster.ledger.runs().is_empty());
+    assert!(cluster.run_log.runs().is_empty());
     cluster.close();
 }
 
@@ -97,7 +97,7 @@
         .await;
     assert_eq!(full.code(), 503);
     assert!(full.retry_after_sec().is_some());
-    assert!(cluster.ledger.runs_of("full").is_empty());
+    assert!(cluster.run_log.runs_of("full").is_empty());
     for (attempt, behaviour) in [
         ("lost", Behaviour::LosesAnswers),
         ("crossed", Behaviour::WrongAttempt),
@@ -116,7 +116,7 @@
             response.code() == 502
         })
         .await;
-        assert_eq!(cluster.ledger.runs_of(attempt).len(), 1, "{attempt}");
+        assert_eq!(cluster.run_log.runs_of(attempt).len(), 1, "{attempt}");
     }
     cluster.close();
 }
@@ -152,21 +152,21 @@
     cluster.add_target("p3", "app", "dc-b").await;
     cluster.store.set_data_centre("dc-a", true);
     wait_until("only the other data centre gets requests", async || {
-        let attempt = format!("a{}", cluster.ledger.runs().len());
+        let attempt = format!("a{}", cluster.run_log.runs().len());
         cluster
             .send(&request(&attempt, Method::GET, READ_PATH, None))
             .await;
-        let runs = cluster.ledger.runs_of(&attempt);
+        let runs = cluster.run_log.runs_of(&attempt);
         runs.iter().all(|run| run.target == "p3") && !runs.is_empty()
     })
     .await;
     cluster.store.set_data_centre("dc-a", false);
     wait_until("the data centre is used again", async || {
-        let attempt = format!("b{}", cluster.ledger.runs().len());
+        let attempt = format!("b{}", cluster.run_log.runs().len());
         cluster
             .send(&request(&attempt, Method::GET, READ_PATH, None))
             .await;
-        let runs = cluster.ledger.runs_of(&attempt);
+        let runs = cluster.run_log.runs_of(&attempt);
         runs.iter().any(|run| run.target != "p3")
     })
     .await;
@@ -181,11 +181,11 @@
     cluster.add_target("p3", "app", "dc-a").await;
     cluster.store.put_unreadable_target("p2");
     wait_until("only the new target is used", async || {
-        let attempt = format!("a{}", cluster.ledger.runs().len());
+        let attempt = format!("a{}", cluster.run_log.runs().len());
         cluster
             .send(&request(&attempt, Method::GET, READ_PATH, None))
             .await;
-        let runs = cluster.ledger.runs_of(&attempt);
+        let runs = cluster.run_log.runs_of(&attempt);
         runs.iter().all(|run| run.target == "p3") && !runs.is_empty()
     })
     .await;
@@ -231,7 +231,7 @@
     let node = cluster.nodes[0].addresses.callers;
     let stream = request("s", Method::POST, STREAM_PATH, Some(800));
     let running = tokio::spawn(async move { caller::send(node, &stream).await });
-    wait_until("it runs", async || !cluster.ledger.runs_of("s").is_empty()).await;
+    wait_until("it runs", async || !cluster.run_log.runs_of("s").is_empty()).await;
     cluster.nodes[0].process.terminate().unwrap();
     wait_until("it is not ready", async || {
         readiness(&cluster.nodes[0]).await != 200
@@ -247,7 +247,7 @@
         .await;
     assert_eq!(long.code(), 503);
     assert!(long.retry_after_sec().is_some());
-    assert!(cluster.ledger.runs_of("l").is_empty());
+    assert!(cluster.run_log.runs_of("l").is_empty());
     let response = running.await.unwrap();
     assert!(response.is_complete);
     assert_eq!(response.body, complete_stream("s", 200));
@@ -269,7 +269,7 @@
     for caller in callers {
         answered.extend(caller.await.unwrap());
     }
-    for run in cluster.ledger.runs() {
+    for run in cluster.run_log.runs() {
         assert!(answered.contains(&run.attempt), "{} was cut", run.attempt);
     }
     assert!(cluster.nodes[0].process.wait().unwrap().success());
@@ -325,7 +325,7 @@
     let mut cluster = Cluster::with_nodes("reload", 1).await;
     let stream = request("s", Method::POST, STREAM_PATH, Some(400));
     let hang_up = async {
-        wait_until("it runs", async || !cluster.ledger.runs_of("s").is_empty()).await;
+        wait_until("it runs", async || !cluster.run_log.runs_of("s").is_empty()).await;
         let mut options = cluster.node_options("node-0", "dc-a");
         options.grace_s = 1;
         cluster.nodes[0].write_settings(&options).unwrap();
@@ -344,7 +344,7 @@
         .send(&request("l", Method::POST, STREAM_PATH, Some(40)))
         .await;
     assert_ne!(long.code(), 200);
-    assert!(cluster.ledger.runs_of("l").is_empty());
+    assert!(cluster.run_log.runs_of("l").is_empty());
     assert!(cluster.nodes[0].process.wait().unwrap().success());
     cluster.close();
 }
--- a/filbertpaddle/tests/gateway/streams.rs
+++ b/filbertpaddle/tests/gateway/streams.rs
@@ -17,7 +17,7 @@
     let stream = request("s", Method::POST, STREAM_PATH, Some(800));
     let leave = async {
         wait_until("the stream runs", async || {
-            let runs = cluster.ledger.runs_of("s");
+            let runs = cluster.run_log.runs_of("s");
             !runs.is_empty() && cluster.first_target_of("s").running().get("s") > Some(&10)
         })
         .await;
@@ -29,7 +29,7 @@
     let (response, ()) = tokio::join!(cluster.send(&stream), leave);
     assert!(response.is_complete);
     assert_eq!(response.body, complete_stream("s", 200));
-    let runs = cluster.ledger.runs_of("s");
+    let runs = cluster.run_log.runs_of("s");
     assert_eq!(runs.len(), 2);
     assert!(runs[1].is_migrated && runs[1].target != runs[0].target);
     cluster.close();
@@ -41,7 +41,7 @@
     let stream = request("s", Method::POST, STREAM_PATH, Some(1_600));
     let leave = async {
         wait_until("the stream runs", async || {
-            !cluster.ledger.runs_of("s").is_empty()
+            !cluster.run_log.runs_of("s").is_empty()
         })
         .await;
         cluster.store.set_fault(Fault::Unresponsive);
@@ -50,7 +50,7 @@
     let (response, ()) = tokio::join!(cluster.send(&stream), leave);
     assert!(response.is_complete);
     assert_eq!(response.body, complete_stream("s", 400));
-    assert!(cluster.ledger.runs_of("s")[1].is_migrated);
+    assert!(cluster.run_log.runs_of("s")[1].is_migrated);
     cluster.close();
 }
 
@@ -71,20 +71,20 @@
         has_events("go") && has_events("cut")
     })
     .await;
-    let target = cluster.ledger.runs_of("go").remove(0).target;
+    let target = cluster.run_log.runs_of("go").remove(0).target;
     cluster.take_target(&target).close();
     let response = resumed.await.unwrap();
     assert!(response.is_complete);
     assert_eq!(response.body, complete_stream("go", 100));
-    assert_eq!(cluster.ledger.runs_of("go").len(), 2);
-    let other = cluster.ledger.runs_of("cut").remove(0).target;
+    assert_eq!(cluster.run_log.runs_of("go").len(), 2);
+    let other = cluster.run_log.runs_of("cut").remove(0).target;
     if other != target {
         cluster.take_target(&other).close();
     }
     let response = cut.await.unwrap();
     assert!(!response.is_complete);
     assert!(complete_stream("cut", 600).starts_with(&response.body));
-    assert_eq!(cluster.ledger.runs_of("cut").len(), 1);
+    assert_eq!(cluster.run_log.runs_of("cut").len(), 1);
     cluster.close();
 }
 
--- a/filbertpaddle/tests/soak/cluster.rs
+++ b/filbertpaddle/tests/soak/cluster.rs
@@ -114,7 +114,7 @@
 #[derive(Debug)]
 pub(crate) struct Cluster {
     pub(crate) store: Store,
-    pub(crate) ledger: RunLog,
+    pub(crate) run_log: RunLog,
     pub(crate) history: History,
     pub(crate) addresses: Addresses,
     pub(crate) vms: Vec<Vm>,
@@ -136,7 +136,7 @@
         let addresses = (0..size.nodes).map(|_| Mutex::new(unset)).collect();
         let mut cluster = Self {
             store: Store::start().await.unwrap(),
-            ledger: RunLog::new(),
+            run_log: RunLog::new(),
             history: History::default(),
             addresses: Addresses {
                 addresses: Arc::new(addresses),
@@ -200,8 +200,8 @@
     }
 
     async fn start_target(&self, options: target::Options) -> TargetHost {
-        let (ledger, copies) = (self.ledger.clone(), self.copies.clone());
-        let target = Target::start(options.clone(), ledger, copies)
+        let (run_log, copies) = (self.run_log.clone(), self.copies.clone());
+        let target = Target::start(options.clone(), run_log, copies)
             .await
             .unwrap();
         let link = Proxy::start(target.address).await.unwrap();
--- a/filbertpaddle/tests/soak/main.rs
+++ b/filbertpaddle/tests/soak/main.rs
@@ -123,7 +123,7 @@
         caller.await.unwrap();
     }
     wait_until_settled(&mut cluster).await;
-    invariants::check_run(&cluster.history, &cluster.ledger.runs());
+    invariants::check_run(&cluster.history, &cluster.run_log.runs());
     let violations = {
         let events = cluster.history.events();
         println!("seed {seed}: {}", invariants::summary(&events));
