--- a/filbertpaddle-gateway/src/drain_detection.rs
+++ b/filbertpaddle-gateway/src/drain_detection.rs
@@ -61,7 +61,7 @@
     let report = match called.await {
         Ok((_, bytes)) => (calls.decode_report)(&bytes),
         Err(error) => {
-            info!(state.log, "target did not answer the request for its report";
+            info!(state.log, "no report from target, polling it again";
                 "target" => target.id.as_str(), "error" => %error);
             return;
         }
--- a/filbertpaddle-gateway/src/store_sync.rs
+++ b/filbertpaddle-gateway/src/store_sync.rs
@@ -1,7 +1,7 @@
 //! Watches the store's tables and keeps this node registered in the store.
 //!
 //! Only the readers of a data centre watch the tables all the time. The other nodes
-//! receive them from a reader, and read the store themselves while no reader answers.
+//! receive them from a reader, and read the store themselves while no reader responds.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -253,7 +253,7 @@
 
 fn apply_page(state: &Rc<State>, table: Table, requested_ms: Millis, page: &Page) {
     for key in &page.unreadable {
-        warn!(state.log, "entry cannot be decoded, its target gets no requests";
+        warn!(state.log, "entry cannot be decoded, its target counts as removed";
             "table" => %table, "key" => key.as_str());
     }
     let now = state.clock.now();
--- a/filbertpaddle-platform/src/protocol.rs
+++ b/filbertpaddle-platform/src/protocol.rs
@@ -122,7 +122,7 @@
 /// List of VMs, as known to the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmList {
-    /// VMs, sorted by name.
+    /// VMs, each identified by its name.
     pub vms: Vec<Vm>,
 }
 
--- a/filbertpaddle/tests/soak/traffic.rs
+++ b/filbertpaddle/tests/soak/traffic.rs
@@ -1,4 +1,5 @@
-//! Simulated callers, which send random requests over connections that they reuse.
+//! Simulated callers, which send random requests and keep their connections open until the
+//! node closes them, also while it is stopping.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
