--- a/filbertpaddle-gateway/src/crash.rs
+++ b/filbertpaddle-gateway/src/crash.rs
@@ -24,7 +24,7 @@
     let (state, target) = (Rc::clone(state), target.clone());
     tokio::task::spawn_local(async move {
         sleep(CHECK_DELAY).await;
-        if is_draining(&state, &target) || is_up(&target).await {
+        if is_listed_as_draining(&state, &target) || is_up(&target).await {
             return;
         }
         let now = state.clock.now();
@@ -37,7 +37,7 @@
     });
 }
 
-fn is_draining(state: &State, target: &Target) -> bool {
+fn is_listed_as_draining(state: &State, target: &Target) -> bool {
     let directory = state.directory.borrow();
     directory
         .target(&target.id)
