--- a/filbertpaddle-gateway/src/peer_follower.rs
+++ b/filbertpaddle-gateway/src/peer_follower.rs
@@ -29,7 +29,7 @@
 use crate::peer_link::PeerLink;
 use crate::peer_link::SILENCE_TIMEOUT;
 use crate::peer_link::merge_suspects;
-use crate::state::PeerStatus;
+use crate::state::FollowedPeer;
 use crate::state::State;
 
 /// Age of a node's data above which it is not worth following. Exceeds the time that the
@@ -49,7 +49,7 @@
             continue;
         };
         let result = follow_peer(&state, address).await;
-        state.set_followed_peer(PeerStatus::default());
+        state.set_followed_peer(FollowedPeer::default());
         info!(state.log, "stopped following a node";
             "peer" => %address, "reason" => result.as_ref().err().map(ToString::to_string));
         if let (Err(_), Some(name)) = (result, name) {
@@ -124,7 +124,7 @@
             directory.record_current(Table::Operator, as_of(operator_ms));
             directory.record_current(Table::Targets, as_of(targets_ms));
             drop(directory);
-            state.set_followed_peer(PeerStatus {
+            state.set_followed_peer(FollowedPeer {
                 is_up: true,
                 is_store_lost: is_store_lost || is_old,
             });
--- a/filbertpaddle-gateway/src/platform_api.rs
+++ b/filbertpaddle-gateway/src/platform_api.rs
@@ -102,7 +102,7 @@
 /// Calls to engines other than the forwarded requests.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineCalls {
-    /// Requests an engine's load report.
+    /// Requests an engine's report, which states whether it drains.
     pub report: fn() -> Call,
     /// Decodes the report.
     pub decode_report: fn(&[u8]) -> Result<Report, DecodeError>,
--- a/filbertpaddle-gateway/src/state.rs
+++ b/filbertpaddle-gateway/src/state.rs
@@ -37,7 +37,7 @@
 
 /// Status of the followed node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PeerStatus {
+pub struct FollowedPeer {
     /// Whether this node follows another that responds.
     pub is_up: bool,
     /// Whether that node has lost the store or its data is old.
@@ -68,7 +68,7 @@
     /// Live nodes.
     pub nodes: RefCell<Nodes>,
     /// Status of the node that this one follows.
-    pub followed_peer: Cell<PeerStatus>,
+    pub followed_peer: Cell<FollowedPeer>,
     /// Load that nodes have placed on targets.
     pub load_table: RefCell<LoadTable>,
     /// Time when the followed node was lost, or when this node could first follow one.
@@ -218,7 +218,7 @@
     }
 
     /// Sets the status of the followed node.
-    pub fn set_followed_peer(&self, status: PeerStatus) {
+    pub fn set_followed_peer(&self, status: FollowedPeer) {
         let previous = self.followed_peer.replace(status);
         if previous.is_up && !status.is_up {
             self.peer_lost_ms.set(self.clock.now());
