--- a/filbertpaddle-forward/src/target_selector.rs
+++ b/filbertpaddle-forward/src/target_selector.rs
@@ -12,7 +12,8 @@
 use crate::load_table::TargetLoad;
 use crate::target::Target;
 
-/// Back-off after the first failure of a target; it doubles with each further one.
+/// Time for which a target gets no requests after its first failure; it doubles with each
+/// further one.
 const INITIAL_BACKOFF_MS: Millis = Millis(400);
 /// Maximum back-off.
 const MAX_BACKOFF_MS: Millis = Millis(3_200);
@@ -72,7 +73,7 @@
 /// This node's load on one target, and the target's health.
 #[derive(Clone, Debug, Default)]
 struct TargetState {
-    instance: Option<Target>,
+    incarnation: Option<Target>,
     own: TargetLoad,
     failures: u32,
     backoff_until_ms: Millis,
@@ -110,21 +111,21 @@
         self.nodes = nodes;
     }
 
-    /// Updates the targets from the directory. The failures of a target's former instance
+    /// Updates the targets from the directory. The failures of a target's former incarnation
     /// are discarded.
     pub fn update_targets(&mut self, directory: &Directory) {
         for (target, _) in directory.targets() {
             let state = self.states.entry(target.id.clone()).or_default();
             let is_same = state
-                .instance
+                .incarnation
                 .as_ref()
-                .is_some_and(|instance| instance.is_same_instance(target));
+                .is_some_and(|incarnation| incarnation.is_same_incarnation(target));
             if !is_same {
                 state.failures = 0;
                 state.backoff_until_ms = Millis::ZERO;
                 state.is_refusing = false;
             }
-            state.instance = Some(target.clone());
+            state.incarnation = Some(target.clone());
         }
         self.states
             .retain(|id, state| state.own.running > 0 || directory.target(id).is_some());
@@ -263,7 +264,7 @@
         }
     }
 
-    /// Records a successful answer, which ends the target's back-off.
+    /// Records a successful response, which ends the target's back-off.
     pub fn record_success(&mut self, id: &str) {
         if let Some(state) = self.states.get_mut(id) {
             state.failures = 0;
--- a/filbertpaddle-gateway/src/migrator.rs
+++ b/filbertpaddle-gateway/src/migrator.rs
@@ -22,7 +22,7 @@
 use crate::store_sync::http_request;
 use crate::target_stream::TargetStream;
 
-/// Enough to copy the memory of several large generations over one link.
+/// Enough to copy the KV caches of several large generations over one link.
 const COPY_TIMEOUT: Duration = Duration::from_secs(4);
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -151,8 +151,8 @@
         };
         let directory = self.job.state.directory.borrow();
         let listed = directory.target(&reserved.id);
-        let is_available =
-            listed.is_some_and(|listed| listed.is_same_instance(reserved) && !listed.is_draining);
+        let is_available = listed
+            .is_some_and(|listed| listed.is_same_incarnation(reserved) && !listed.is_draining);
         drop(directory);
         if !is_available && self.copying.is_none() {
             self.migration.take_copy();
--- a/filbertpaddle-gateway/src/platform_api.rs
+++ b/filbertpaddle-gateway/src/platform_api.rs
@@ -37,9 +37,9 @@
     /// Decodes a caller's headers.
     pub decode_request: fn(&HeaderMap) -> Result<RequestMetadata, BadHeader>,
     /// Removes headers that only the system may set.
-    pub strip_internal: fn(&mut HeaderMap),
+    pub remove_reserved: fn(&mut HeaderMap),
     /// Adds the headers that are meant for the target.
-    pub apply: fn(&mut HeaderMap, &TargetHeaders<'_>),
+    pub set_for_target: fn(&mut HeaderMap, &TargetHeaders<'_>),
     /// Decodes the metadata of a target's response.
     pub decode_response: fn(StatusCode, &HeaderMap) -> ResponseMetadata,
 }
@@ -58,15 +58,15 @@
     pub remaining_ms: Option<Millis>,
     /// Customer that the request belongs to.
     pub customer: Option<&'a str>,
-    /// Priority among the target's requests, from 0 (most urgent) to 9.
-    pub urgency: Option<u8>,
+    /// Priority among the target's requests, from 0 (the highest) to 9.
+    pub priority: Option<u8>,
     /// Last event that the caller has received, if a stream is resumed.
     pub last_event: Option<u64>,
     /// Copy from which the generation resumes.
     pub copy: Option<CopySource<'a>>,
 }
 
-/// Identifies the copy of a generation's memory.
+/// Identifies the copy of a generation's KV cache.
 #[derive(Clone, Copy, Debug)]
 pub struct CopySource<'a> {
     /// Address of the target that ran the generation before.
@@ -102,11 +102,11 @@
 /// Calls to engines other than the forwarded requests.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineCalls {
-    /// Requests an engine's load report.
+    /// Requests an engine's report, which states whether it drains.
     pub report: fn() -> Call,
     /// Decodes the report.
     pub decode_report: fn(&[u8]) -> Result<Report, DecodeError>,
-    /// Requests a copy of a running generation's memory.
+    /// Requests a copy of a running generation's KV cache.
     pub copy: fn(&CopyRequest<'_>) -> Call,
     /// Decodes the response to a copy request.
     pub decode_copy: fn(&CopyRequest<'_>, StatusCode, &[u8]) -> CopyOutcome,
--- a/filbertpaddle-gateway/src/request.rs
+++ b/filbertpaddle-gateway/src/request.rs
@@ -177,7 +177,7 @@
     reply::strip_connection(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
-    (state.platform.headers.strip_internal)(&mut headers);
+    (state.platform.headers.remove_reserved)(&mut headers);
     headers
 }
 
@@ -199,14 +199,14 @@
     let Some(drain) = state.drain.get() else {
         return true;
     };
-    let span = metadata.generation.as_ref().map_or(
+    let estimate = metadata.generation.as_ref().map_or(
         drain::DurationEstimate {
             expected_ms: route.timeout_ms,
             max_ms: route.timeout_ms,
         },
         drain::estimate_duration,
     );
-    drain.admits(state.clock.now(), span)
+    drain.admits(state.clock.now(), estimate)
 }
 
 async fn read_body(
