--- a/filbertpaddle/src/claims.rs
+++ b/filbertpaddle/src/claims.rs
@@ -98,7 +98,7 @@
 
 /// Dependencies of the claims.
 #[derive(Debug)]
-pub struct Parts {
+pub struct Dependencies {
     /// This node.
     pub own: Peer,
     /// Settings of the group commit of claims.
@@ -131,23 +131,26 @@
 impl Claims {
     /// Starts the tasks that claim keys, commit claims, remove expired ones and answer
     /// other nodes.
-    pub fn start(parts: Parts) -> Self {
+    pub fn start(dependencies: Dependencies) -> Self {
         let (actor, mailbox) = Mailbox::unbounded();
-        let committer = committer(&parts, actor.clone());
-        tokio::spawn(xtra::run(mailbox, claim_actor(&parts, committer.clone())));
-        tokio::spawn(receive(parts.inbox, actor.clone(), committer));
+        let committer = committer(&dependencies, actor.clone());
+        tokio::spawn(xtra::run(
+            mailbox,
+            claim_actor(&dependencies, committer.clone()),
+        ));
+        tokio::spawn(receive(dependencies.inbox, actor.clone(), committer));
         let sweep = Sweep {
-            platform: parts.platform.clone(),
+            platform: dependencies.platform.clone(),
             actor: actor.clone(),
-            metrics: Arc::clone(&parts.metrics),
-            log: parts.log.clone(),
+            metrics: Arc::clone(&dependencies.metrics),
+            log: dependencies.log.clone(),
         };
         tokio::spawn(sweep.run());
         Self {
             actor,
-            platform: parts.platform,
-            metrics: parts.metrics,
-            log: parts.log,
+            platform: dependencies.platform,
+            metrics: dependencies.metrics,
+            log: dependencies.log,
         }
     }
 
@@ -289,43 +292,45 @@
     }
 }
 
-fn claim_actor(parts: &Parts, committer: Address<claim_commit::Actor>) -> Actor {
-    let own = &parts.own;
+fn claim_actor(dependencies: &Dependencies, committer: Address<claim_commit::Actor>) -> Actor {
+    let own = &dependencies.own;
     let mut settings = core::Settings::default();
-    settings.group_commit.pace_ms = parts.settings.pace_ms;
+    settings.group_commit.pace_ms = dependencies.settings.pace_ms;
     let route = Route::new(
         own.clone(),
-        parts.settings.nodes_per_committer.get(),
+        dependencies.settings.nodes_per_committer.get(),
         committer,
-        parts.peers.clone(),
-        parts.platform_timeout + clock::duration(parts.settings.pace_ms) + COMMIT_TIMEOUT_MARGIN,
+        dependencies.peers.clone(),
+        dependencies.platform_timeout
+            + clock::duration(dependencies.settings.pace_ms)
+            + COMMIT_TIMEOUT_MARGIN,
     );
     Actor {
         core: core::Claims::new(own.name.clone(), own.incarnation, settings),
         route,
-        platform: parts.platform.clone(),
-        peers: parts.peers.clone(),
-        clock: parts.clock,
-        metrics: Arc::clone(&parts.metrics),
+        platform: dependencies.platform.clone(),
+        peers: dependencies.peers.clone(),
+        clock: dependencies.clock,
+        metrics: Arc::clone(&dependencies.metrics),
         pending: IndexMap::new(),
         timer_ms: None,
     }
 }
 
-fn committer(parts: &Parts, claims: Address<Actor>) -> Address<claim_commit::Actor> {
+fn committer(dependencies: &Dependencies, claims: Address<Actor>) -> Address<claim_commit::Actor> {
     let settings = commit::Settings {
-        pace_ms: parts.settings.pace_ms,
+        pace_ms: dependencies.settings.pace_ms,
         ..commit::Settings::default()
     };
     let actor = claim_commit::Actor {
         core: Committer::new(settings),
-        own: parts.own.name.clone(),
+        own: dependencies.own.name.clone(),
         claims,
-        platform: parts.platform.clone(),
-        peers: parts.peers.clone(),
-        clock: parts.clock,
-        metrics: Arc::clone(&parts.metrics),
-        log: parts.log.clone(),
+        platform: dependencies.platform.clone(),
+        peers: dependencies.peers.clone(),
+        clock: dependencies.clock,
+        metrics: Arc::clone(&dependencies.metrics),
+        log: dependencies.log.clone(),
         timer_ms: None,
     };
     xtra::spawn_tokio(actor, Mailbox::unbounded())
--- a/filbertpaddle/src/config.rs
+++ b/filbertpaddle/src/config.rs
@@ -44,7 +44,7 @@
 
 /// Dependencies of the actor.
 #[derive(Debug)]
-pub struct Parts {
+pub struct Dependencies {
     /// This node.
     pub own: Peer,
     /// Connections to other nodes.
@@ -74,27 +74,27 @@
     ///
     /// The reader returns a snapshot once the configuration is recent enough to
     /// start serving.
-    pub fn start(parts: Parts) -> (Self, ConfigReader) {
+    pub fn start(dependencies: Dependencies) -> (Self, ConfigReader) {
         let (snapshots, current) = watch::channel(None);
         let member = Member {
-            node: parts.own.name.clone(),
-            data_centre: parts.own.data_centre.clone(),
+            node: dependencies.own.name.clone(),
+            data_centre: dependencies.own.data_centre.clone(),
         };
         let replicator_actor = ReplicatorActor {
             replicator: Replicator::new(member),
             status: StatusTracker::default(),
             snapshots,
-            own: parts.own,
-            peers: parts.peers,
-            platform: parts.platform,
-            availability: parts.availability,
-            clock: parts.clock,
-            metrics: parts.metrics,
-            log: parts.log,
+            own: dependencies.own,
+            peers: dependencies.peers,
+            platform: dependencies.platform,
+            availability: dependencies.availability,
+            clock: dependencies.clock,
+            metrics: dependencies.metrics,
+            log: dependencies.log,
         };
         let actor = xtra::spawn_tokio(replicator_actor, Mailbox::unbounded());
         tokio::spawn(tick(actor.downgrade()));
-        tokio::spawn(receive(actor.downgrade(), parts.inbox));
+        tokio::spawn(receive(actor.downgrade(), dependencies.inbox));
         (Self { actor }, ConfigReader::new(current))
     }
 
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -231,7 +231,7 @@
     peers: Peers,
     inbox: mpsc::Receiver<inbox::Incoming<claim::Message>>,
 ) -> Claims {
-    Claims::start(claims::Parts {
+    Claims::start(claims::Dependencies {
         own: common.own.clone(),
         settings: settings.claims,
         platform: common.platform.clone(),
@@ -250,7 +250,7 @@
     inbox: mpsc::Receiver<inbox::Incoming<wire_config::Message>>,
     service: &SharedAvailability,
 ) -> (Config, ConfigReader) {
-    Config::start(config::Parts {
+    Config::start(config::Dependencies {
         own: common.own.clone(),
         peers,
         inbox,
