--- a/filbertpaddle/src/claim_actor.rs
+++ b/filbertpaddle/src/claim_actor.rs
@@ -55,7 +55,7 @@
 pub(crate) struct TransactionSettled {
     pub(crate) committer: Name,
     pub(crate) sequence: u64,
-    pub(crate) answer: TransactionResult,
+    pub(crate) result: TransactionResult,
 }
 
 /// The timeout for a committer's answer has passed.
@@ -69,9 +69,9 @@
 #[derive(Debug)]
 struct Timer;
 
-/// State of the actor.
+/// Runs the core of this node's claims and performs its actions.
 #[derive(Debug)]
-pub(crate) struct Actor {
+pub(crate) struct ClaimActor {
     pub(crate) core: Claims,
     pub(crate) route: Route,
     pub(crate) platform: Client,
@@ -82,13 +82,13 @@
     pub(crate) timer_ms: Option<Millis>,
 }
 
-impl xtra::Actor for Actor {
+impl xtra::Actor for ClaimActor {
     type Stop = ();
 
     async fn stopped(self) {}
 }
 
-impl Handler<SubmitClaim> for Actor {
+impl Handler<SubmitClaim> for ClaimActor {
     type Return = ();
 
     async fn handle(&mut self, claim: SubmitClaim, context: &mut Context<Self>) {
@@ -98,7 +98,7 @@
     }
 }
 
-impl Handler<CoreEvent> for Actor {
+impl Handler<CoreEvent> for ClaimActor {
     type Return = ();
 
     async fn handle(&mut self, event: CoreEvent, context: &mut Context<Self>) {
@@ -106,7 +106,7 @@
     }
 }
 
-impl Handler<CountUnsettled> for Actor {
+impl Handler<CountUnsettled> for ClaimActor {
     type Return = usize;
 
     async fn handle(&mut self, _: CountUnsettled, _: &mut Context<Self>) -> usize {
@@ -114,18 +114,18 @@
     }
 }
 
-impl Handler<TransactionSettled> for Actor {
+impl Handler<TransactionSettled> for ClaimActor {
     type Return = ();
 
     async fn handle(&mut self, settled: TransactionSettled, context: &mut Context<Self>) {
         if self.route.settle(settled.sequence, &settled.committer) {
-            let event = Event::TransactionDone(settled.answer);
+            let event = Event::TransactionDone(settled.result);
             self.on(event, &context.mailbox().address());
         }
     }
 }
 
-impl Handler<CommitTimeout> for Actor {
+impl Handler<CommitTimeout> for ClaimActor {
     type Return = ();
 
     async fn handle(&mut self, timeout: CommitTimeout, context: &mut Context<Self>) {
@@ -138,7 +138,7 @@
     }
 }
 
-impl Handler<Timer> for Actor {
+impl Handler<Timer> for ClaimActor {
     type Return = ();
 
     async fn handle(&mut self, _: Timer, context: &mut Context<Self>) {
@@ -147,7 +147,7 @@
     }
 }
 
-impl Actor {
+impl ClaimActor {
     fn on(&mut self, event: Event, address: &WeakAddress<Self>) {
         for action in self.core.on(self.clock.now(), event) {
             self.perform(action, address);
@@ -196,8 +196,8 @@
 
     fn query_status(&self, holder: &Name, query: StatusQuery, address: &WeakAddress<Self>) {
         self.metrics.count("claim.asked");
-        // A missing reply says nothing about the request, so it counts as a holder that
-        // is gone.
+        // A missing reply does not show whether the request ran, so the holder is taken
+        // as gone.
         let no_reply = StatusReply {
             requester: query.requester.clone(),
             attempt: query.attempt.clone(),
@@ -219,13 +219,13 @@
     }
 
     fn decide(&mut self, attempt: &Name, decision: Decision, address: &WeakAddress<Self>) {
-        let held = decision == Decision::Held;
+        let is_held = decision == Decision::Held;
         let is_delivered = self
             .pending
             .swap_remove(attempt)
             .is_some_and(|pending| pending.send(decision).is_ok());
-        if held && !is_delivered {
-            // The task that would send the request has ended.
+        if is_held && !is_delivered {
+            // The task that would have sent the request has ended, so nothing was sent.
             let attempt = attempt.clone();
             self.on(Event::Release { attempt }, address);
         }
--- a/filbertpaddle/src/claim_commit.rs
+++ b/filbertpaddle/src/claim_commit.rs
@@ -38,12 +38,12 @@
 #[derive(Debug)]
 struct Timer;
 
-/// State of the actor.
+/// Runs the core of the group commit for the nodes that chose this one as committer.
 #[derive(Debug)]
-pub(crate) struct Actor {
+pub(crate) struct CommitActor {
     pub(crate) core: Committer,
     pub(crate) own: Name,
-    pub(crate) claims: Address<claim_actor::Actor>,
+    pub(crate) claims: Address<claim_actor::ClaimActor>,
     pub(crate) platform: Client,
     pub(crate) peers: Peers,
     pub(crate) clock: Clock,
@@ -52,13 +52,13 @@
     pub(crate) timer_ms: Option<Millis>,
 }
 
-impl xtra::Actor for Actor {
+impl xtra::Actor for CommitActor {
     type Stop = ();
 
     async fn stopped(self) {}
 }
 
-impl Handler<Submit> for Actor {
+impl Handler<Submit> for CommitActor {
     type Return = ();
 
     async fn handle(&mut self, submit: Submit, context: &mut Context<Self>) {
@@ -66,7 +66,7 @@
     }
 }
 
-impl Handler<TransactionDone> for Actor {
+impl Handler<TransactionDone> for CommitActor {
     type Return = ();
 
     async fn handle(&mut self, done: TransactionDone, context: &mut Context<Self>) {
@@ -74,7 +74,7 @@
     }
 }
 
-impl Handler<Timer> for Actor {
+impl Handler<Timer> for CommitActor {
     type Return = ();
 
     async fn handle(&mut self, _: Timer, context: &mut Context<Self>) {
@@ -83,7 +83,7 @@
     }
 }
 
-impl Actor {
+impl CommitActor {
     fn on(&mut self, event: Event, address: &WeakAddress<Self>) {
         for action in self.core.on(self.clock.now(), event) {
             match action {
@@ -112,19 +112,16 @@
         });
     }
 
-    fn reply(&self, to: &Name, sequence: u64, answer: TransactionResult) {
+    fn reply(&self, to: &Name, sequence: u64, result: TransactionResult) {
         if *to != self.own {
-            let message = claim::Message::Committed {
-                sequence,
-                result: answer,
-            };
+            let message = claim::Message::Committed { sequence, result };
             self.peers.send(to, Message::Claim(message));
             return;
         }
         let settled = TransactionSettled {
             committer: to.clone(),
             sequence,
-            answer,
+            result,
         };
         tokio::spawn(self.claims.send(settled).detach());
     }
--- a/filbertpaddle/src/claim_route.rs
+++ b/filbertpaddle/src/claim_route.rs
@@ -12,7 +12,7 @@
 use indexmap::IndexMap;
 use xtra::Address;
 
-use crate::claim_commit::Actor as Committer;
+use crate::claim_commit::CommitActor;
 use crate::claim_commit::Submit;
 use crate::peers::Peer;
 use crate::peers::Peers;
@@ -25,7 +25,7 @@
 pub(crate) struct Route {
     own: Peer,
     nodes_per_committer: usize,
-    local: Address<Committer>,
+    local: Address<CommitActor>,
     peers: Peers,
     sequence: u64,
     in_flight: Option<(u64, Name)>,
@@ -38,7 +38,7 @@
     pub(crate) fn new(
         own: Peer,
         nodes_per_committer: usize,
-        local: Address<Committer>,
+        local: Address<CommitActor>,
         peers: Peers,
         timeout: Duration,
     ) -> Self {
--- a/filbertpaddle/src/claim_sweep.rs
+++ b/filbertpaddle/src/claim_sweep.rs
@@ -24,7 +24,7 @@
 use slog::debug;
 use xtra::Address;
 
-use crate::claim_actor::Actor;
+use crate::claim_actor::ClaimActor;
 use crate::claim_actor::CoreEvent;
 use crate::clock;
 use crate::metrics::Metrics;
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub(crate) struct Sweep {
     pub(crate) platform: Client,
-    pub(crate) actor: Address<Actor>,
+    pub(crate) actor: Address<ClaimActor>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) log: Logger,
 }
@@ -44,7 +44,7 @@
 impl Sweep {
     /// Processes one page at intervals until the actor of the claims stops.
     pub(crate) async fn run(self) {
-        // Nodes that start together get different delays.
+        // The random delay spreads the first steps of nodes that start together.
         let start = rand::random_range(0..sweep::MAX_START_DELAY_MS.0);
         tokio::time::sleep(clock::duration(Millis(start))).await;
         while self.actor.is_connected() {
@@ -53,7 +53,7 @@
                 Err(error) => {
                     debug!(
                         self.log,
-                        "Page of expired claims not processed; a later step repeats it.";
+                        "Page of expired claims not processed; a later step or pass repeats it.";
                         "error" => %error,
                     );
                     sweep::SLOW_INTERVAL_MS
--- a/filbertpaddle/src/claims.rs
+++ b/filbertpaddle/src/claims.rs
@@ -25,7 +25,7 @@
 use xtra::Address;
 use xtra::Mailbox;
 
-use crate::claim_actor::Actor;
+use crate::claim_actor::ClaimActor;
 use crate::claim_actor::CoreEvent;
 use crate::claim_actor::CountUnsettled;
 use crate::claim_actor::SubmitClaim;
@@ -73,7 +73,7 @@
 #[derive(Debug)]
 pub struct Claim {
     attempt: Name,
-    actor: Option<Address<Actor>>,
+    actor: Option<Address<ClaimActor>>,
 }
 
 /// Response to a claim request.
@@ -122,7 +122,7 @@
 /// Handle of the tasks that claim keys for this node.
 #[derive(Clone, Debug)]
 pub struct Claims {
-    actor: Address<Actor>,
+    actor: Address<ClaimActor>,
     platform: Client,
     metrics: Arc<Metrics>,
     log: Logger,
@@ -245,7 +245,7 @@
             .await
             .ok()?;
         match tokio::time::timeout(DECISION_TIMEOUT, &mut receiver).await {
-            Ok(verdict) => verdict.ok(),
+            Ok(decision) => decision.ok(),
             Err(_) => {
                 // The claim may have been granted in the meantime, so this waits for the
                 // decision that follows the abandonment.
@@ -292,7 +292,10 @@
     }
 }
 
-fn claim_actor(dependencies: &Dependencies, committer: Address<claim_commit::Actor>) -> Actor {
+fn claim_actor(
+    dependencies: &Dependencies,
+    committer: Address<claim_commit::CommitActor>,
+) -> ClaimActor {
     let own = &dependencies.own;
     let mut settings = core::Settings::default();
     settings.group_commit.pace_ms = dependencies.settings.pace_ms;
@@ -305,7 +308,7 @@
             + clock::duration(dependencies.settings.pace_ms)
             + COMMIT_TIMEOUT_MARGIN,
     );
-    Actor {
+    ClaimActor {
         core: core::Claims::new(own.name.clone(), own.incarnation, settings),
         route,
         platform: dependencies.platform.clone(),
@@ -317,12 +320,15 @@
     }
 }
 
-fn committer(dependencies: &Dependencies, claims: Address<Actor>) -> Address<claim_commit::Actor> {
+fn committer(
+    dependencies: &Dependencies,
+    claims: Address<ClaimActor>,
+) -> Address<claim_commit::CommitActor> {
     let settings = commit::Settings {
         pace_ms: dependencies.settings.pace_ms,
         ..commit::Settings::default()
     };
-    let actor = claim_commit::Actor {
+    let actor = claim_commit::CommitActor {
         core: Committer::new(settings),
         own: dependencies.own.name.clone(),
         claims,
@@ -338,8 +344,8 @@
 
 async fn receive(
     mut inbox: mpsc::Receiver<Incoming<Message>>,
-    actor: Address<Actor>,
-    committer: Address<claim_commit::Actor>,
+    actor: Address<ClaimActor>,
+    committer: Address<claim_commit::CommitActor>,
 ) {
     while let Some(Incoming { peer, message }) = inbox.recv().await {
         let from = peer.name;
@@ -358,14 +364,11 @@
                 };
                 committer.send(Submit(change_set)).await
             }
-            Message::Committed {
-                sequence,
-                result: answer,
-            } => {
+            Message::Committed { sequence, result } => {
                 let settled = TransactionSettled {
                     committer: from,
                     sequence,
-                    answer,
+                    result,
                 };
                 actor.send(settled).await
             }
