--- a/filbertpaddle/src/arguments.rs
+++ b/filbertpaddle/src/arguments.rs
@@ -188,7 +188,7 @@
             "serve" | "gateway" | "check" | "template" | "data-centre" | "vm" | "status" | "audit"
             | "refusals",
             ..,
-        ] => return Err(format!("wrong arguments of {}", words[0]).into()),
+        ] => return Err(format!("wrong arguments for {}", words[0]).into()),
         [other, ..] => return Err(format!("unknown command {other}").into()),
     };
     Ok(action)
--- a/filbertpaddle/src/bounds.rs
+++ b/filbertpaddle/src/bounds.rs
@@ -77,8 +77,8 @@
     })
 }
 
-// Deserializes a value and validates it. The error includes the line, because serde's
-// custom errors have no location.
+/// Deserializes a value and validates it. The error includes the line, because serde's
+/// custom errors have no location.
 fn validated<'de, D, T, F>(deserializer: D, reason: &str, valid: F) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
--- a/filbertpaddle/src/claim_commit.rs
+++ b/filbertpaddle/src/claim_commit.rs
@@ -30,7 +30,7 @@
 
 /// Submits the changes of one node.
 #[derive(Debug)]
-pub(crate) struct Submit(pub(crate) ChangeSet);
+pub(crate) struct SubmitChanges(pub(crate) ChangeSet);
 
 #[derive(Debug)]
 struct TransactionDone(TransactionResult);
@@ -58,10 +58,10 @@
     async fn stopped(self) {}
 }
 
-impl Handler<Submit> for CommitActor {
+impl Handler<SubmitChanges> for CommitActor {
     type Return = ();
 
-    async fn handle(&mut self, submit: Submit, context: &mut Context<Self>) {
+    async fn handle(&mut self, submit: SubmitChanges, context: &mut Context<Self>) {
         self.on(Event::Submit(submit.0), &context.mailbox().address());
     }
 }
--- a/filbertpaddle/src/claim_route.rs
+++ b/filbertpaddle/src/claim_route.rs
@@ -13,7 +13,7 @@
 use xtra::Address;
 
 use crate::claim_commit::CommitActor;
-use crate::claim_commit::Submit;
+use crate::claim_commit::SubmitChanges;
 use crate::peers::Peer;
 use crate::peers::Peers;
 
@@ -43,7 +43,8 @@
         timeout: Duration,
     ) -> Self {
         Self {
-            // Answers to an earlier incarnation of the node carry smaller sequence numbers.
+            // Answers to an earlier incarnation of the node carry smaller sequence numbers,
+            // so they never match changes in flight.
             sequence: own.incarnation << 16,
             own,
             nodes_per_committer,
@@ -72,7 +73,7 @@
                 sequence,
                 changes,
             };
-            tokio::spawn(self.local.send(Submit(change_set)).detach());
+            tokio::spawn(self.local.send(SubmitChanges(change_set)).detach());
         }
         self.in_flight = Some((sequence, committer.clone()));
         (sequence, committer)
--- a/filbertpaddle/src/claims.rs
+++ b/filbertpaddle/src/claims.rs
@@ -31,7 +31,7 @@
 use crate::claim_actor::SubmitClaim;
 use crate::claim_actor::TransactionSettled;
 use crate::claim_commit;
-use crate::claim_commit::Submit;
+use crate::claim_commit::SubmitChanges;
 use crate::claim_route::Route;
 use crate::claim_store;
 use crate::claim_sweep::Sweep;
@@ -362,7 +362,7 @@
                     sequence,
                     changes,
                 };
-                committer.send(Submit(change_set)).await
+                committer.send(SubmitChanges(change_set)).await
             }
             Message::Committed { sequence, result } => {
                 let settled = TransactionSettled {
--- a/filbertpaddle/src/config.rs
+++ b/filbertpaddle/src/config.rs
@@ -113,7 +113,8 @@
         self.actor.send(Entry(key)).await.ok().flatten()
     }
 
-    /// Returns whether the configuration stays within its size limit with a setting.
+    /// Returns whether the configuration stays within its size limit with a setting, or the
+    /// setting does not grow its entry; `false` if the node stops.
     pub async fn has_room(&self, setting: Setting) -> bool {
         self.actor.send(HasRoom(setting)).await.unwrap_or(false)
     }
--- a/filbertpaddle/src/config_snapshot.rs
+++ b/filbertpaddle/src/config_snapshot.rs
@@ -101,7 +101,8 @@
         Self { current }
     }
 
-    /// Returns the current snapshot; `None` until it is recent enough to serve.
+    /// Returns the current snapshot; `None` until the configuration is recent enough to
+    /// serve.
     pub fn current(&self) -> Option<Arc<ConfigSnapshot>> {
         self.current.borrow().clone()
     }
--- a/filbertpaddle/src/config_table.rs
+++ b/filbertpaddle/src/config_table.rs
@@ -188,7 +188,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error if a value has no JSON form.
+/// Returns an error if a value cannot be serialized.
 pub fn record_writes(record: &Record) -> Result<Vec<Write>, serde_json::Error> {
     let change = &record.change;
     Ok(vec![
--- a/filbertpaddle/src/edit_runner.rs
+++ b/filbertpaddle/src/edit_runner.rs
@@ -35,7 +35,7 @@
                 match config_table::read_snapshot(platform, &key, audit).await {
                     Ok(snapshot) => Event::RowsRead(snapshot),
                     Err(error) => {
-                        warn!(log, "Read from the platform for a configuration change failed."; "error" => %error);
+                        warn!(log, "Read from the platform for a configuration change failed; the change is refused unless it may already be committed."; "error" => %error);
                         Event::Refused
                     }
                 }
--- a/filbertpaddle/src/health.rs
+++ b/filbertpaddle/src/health.rs
@@ -13,19 +13,19 @@
 /// Returns the routes `GET /healthz` (the process runs) and `GET /readyz` (the node
 /// accepts requests: it has a configuration and is not draining).
 pub fn routes(
-    front: Arc<RequestContext>,
+    context: Arc<RequestContext>,
 ) -> impl Filter<Extract = (Response,), Error = Rejection> + Clone + Send + Sync + 'static {
     let healthz = warp::path!("healthz")
         .and(warp::get())
         .map(|| StatusCode::OK.into_response());
     let readyz = warp::path!("readyz")
         .and(warp::get())
-        .map(move || readiness(&front).into_response());
+        .map(move || readiness(&context).into_response());
     healthz.or(readyz).unify()
 }
 
-fn readiness(front: &RequestContext) -> StatusCode {
-    if front.admission.is_draining() || front.templates.current().is_none() {
+fn readiness(context: &RequestContext) -> StatusCode {
+    if context.admission.is_draining() || context.templates.current().is_none() {
         return StatusCode::SERVICE_UNAVAILABLE;
     }
     StatusCode::OK
--- a/filbertpaddle/src/operator_api.rs
+++ b/filbertpaddle/src/operator_api.rs
@@ -107,11 +107,13 @@
     pub reason: Name,
 }
 
-/// Refused operator actions of all nodes; each node overwrites its oldest ones.
+/// Refused operator actions of one row or of all nodes; each node overwrites its oldest
+/// rows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusals {
     /// The refusals, ordered by time.
     pub refusals: Vec<Refusal>,
-    /// Largest number of refusals that a node dropped because there were too many.
+    /// Number of refusals that a node dropped because there were too many; over several
+    /// nodes, the largest of their numbers.
     pub dropped: u64,
 }
--- a/filbertpaddle/src/operator_routes.rs
+++ b/filbertpaddle/src/operator_routes.rs
@@ -248,7 +248,7 @@
             Err(detail) => return Answer::Invalid { detail },
         };
         if !self.config.has_room(change.value.clone()).await {
-            let detail = "the configuration as a whole is full".to_owned();
+            let detail = "the configuration would exceed its size limit".to_owned();
             return Answer::Invalid { detail };
         }
         let is_resend = change.change_id.is_some();
--- a/filbertpaddle/src/refusals.rs
+++ b/filbertpaddle/src/refusals.rs
@@ -22,6 +22,7 @@
 use crate::operator_api::Refusal;
 use crate::operator_api::Refusals;
 
+/// Prefix of the keys of rows.
 const PREFIX: &str = "refusal/";
 /// Number of rows that each node overwrites in turn.
 const ROWS_PER_NODE: u64 = 16;
@@ -139,9 +140,9 @@
         dropped: 0,
     };
     for row in &rows {
-        let more: Refusals = config_table::decode(row)?;
-        all.refusals.extend(more.refusals);
-        all.dropped = all.dropped.max(more.dropped);
+        let stored: Refusals = config_table::decode(row)?;
+        all.refusals.extend(stored.refusals);
+        all.dropped = all.dropped.max(stored.dropped);
     }
     all.refusals.sort_by_key(|refusal| refusal.at_ms);
     Ok(all)
--- a/filbertpaddle/src/settings.rs
+++ b/filbertpaddle/src/settings.rs
@@ -260,8 +260,8 @@
     serde_saphyr::from_str(text).map_err(|error| Error::Invalid(describe(text, &error)))
 }
 
-// Formats an error without the library's snippet of neighbouring lines, which may
-// contain secrets.
+/// Formats an error without the library's snippet of neighbouring lines, which may
+/// contain secrets.
 fn describe(text: &str, error: &serde_saphyr::Error) -> String {
     let plain = error.without_snippet().to_string();
     let reason = plain
@@ -274,8 +274,8 @@
     format!("line {}: {reason}", line_of_key(text, reason, from))
 }
 
-// Returns the line of an unknown key, which the library reports at the start of the
-// mapping that contains it.
+/// Returns the line of an unknown key, which the library reports at the start of the
+/// mapping that contains it.
 fn line_of_key(text: &str, reason: &str, from: u64) -> u64 {
     let Some(key) = reason
         .strip_prefix("unknown field `")
--- a/filbertpaddle/src/shared_availability.rs
+++ b/filbertpaddle/src/shared_availability.rs
@@ -33,7 +33,7 @@
 }
 
 impl SharedAvailability {
-    /// Creates a view without any VM or data centre.
+    /// Creates the state, without any known VM or data centre.
     pub fn new(clock: Clock, log: Logger) -> Self {
         Self {
             shared: Arc::new(Shared {
@@ -66,7 +66,7 @@
         self.log_actions(&actions);
     }
 
-    /// Returns the share of its usual new work that a VM may get.
+    /// Returns the share of its usual new work that a VM may get; an unknown VM gets none.
     pub fn vm_share(&self, vm: &Name) -> Share {
         let now = self.shared.clock.now();
         self.availability().vm_share(now, vm)
--- a/filbertpaddle/tests/at_most_once.rs
+++ b/filbertpaddle/tests/at_most_once.rs
@@ -56,8 +56,8 @@
         Self::start_with(call_ms, "").await
     }
 
-    /// Starts nodes with additional settings.
-    async fn start_with(call_ms: Millis, more: &str) -> Self {
+    /// Starts nodes with YAML appended to their settings files.
+    async fn start_with(call_ms: Millis, extra_yaml: &str) -> Self {
         let mut platform = Platform::start();
         let service = Service::start(service::Settings {
             listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
@@ -78,7 +78,7 @@
             nodes: Vec::new(),
         };
         for name in ["entry-1", "entry-2"] {
-            fleet.add_node(name, more).await;
+            fleet.add_node(name, extra_yaml).await;
         }
         for index in 0..fleet.nodes.len() {
             fleet.wait_for_target(index).await;
@@ -86,14 +86,14 @@
         fleet
     }
 
-    async fn add_node(&mut self, name: &str, more: &str) {
+    async fn add_node(&mut self, name: &str, extra_yaml: &str) {
         let proxy = Proxy::start(self.platform.standin.address).await.unwrap();
         let settings = NodeSettings {
             name: name.to_owned(),
             data_centre: "north".to_owned(),
             platform: proxy.address,
             peers: self.nodes.iter().map(|node| node.addresses.peers).collect(),
-            extra_yaml: more.to_owned(),
+            extra_yaml: extra_yaml.to_owned(),
         };
         self.proxies.push(proxy);
         self.nodes.push(Node::start(&settings));
--- a/filbertpaddle/tests/configuration.rs
+++ b/filbertpaddle/tests/configuration.rs
@@ -142,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn a_change_is_in_force_on_every_node() {
+async fn a_change_takes_effect_on_every_node() {
     let fleet = Fleet::start().await;
     for prompt in ["one", "two", "three"] {
         let answer = set(&fleet.operator("south-2"), prompt).await;
--- a/filbertpaddle/tests/operator_commands.rs
+++ b/filbertpaddle/tests/operator_commands.rs
@@ -198,7 +198,7 @@
     assert_usage_error(&["fly"], &expect!["filbertpaddle: unknown command fly"]).await;
     assert_usage_error(
         &["template", "get", "school-1"],
-        &expect!["filbertpaddle: wrong arguments of template"],
+        &expect!["filbertpaddle: wrong arguments for template"],
     )
     .await;
     assert_usage_error(
