--- a/filbertpaddle/src/claim_route.rs
+++ b/filbertpaddle/src/claim_route.rs
@@ -12,8 +12,8 @@
 use indexmap::IndexMap;
 use xtra::Address;
 
-use crate::claim_commit::Actor as Committer;
-use crate::claim_commit::Submit;
+use crate::claim_commit::CommitActor;
+use crate::claim_commit::SubmitChanges;
 use crate::peers::Peer;
 use crate::peers::Peers;
 
@@ -25,7 +25,7 @@
 pub(crate) struct Route {
     own: Peer,
     nodes_per_committer: usize,
-    local: Address<Committer>,
+    local: Address<CommitActor>,
     peers: Peers,
     sequence: u64,
     in_flight: Option<(u64, Name)>,
@@ -38,12 +38,13 @@
     pub(crate) fn new(
         own: Peer,
         nodes_per_committer: usize,
-        local: Address<Committer>,
+        local: Address<CommitActor>,
         peers: Peers,
         timeout: Duration,
     ) -> Self {
         Self {
-            // Answers to an earlier incarnation of the node carry smaller sequence numbers.
+            // Answers to an earlier incarnation of the node carry smaller sequence numbers,
+            // so they never match changes in flight.
             sequence: own.incarnation << 16,
             own,
             nodes_per_committer,
@@ -72,7 +73,7 @@
                 sequence,
                 changes,
             };
-            tokio::spawn(self.local.send(Submit(change_set)).detach());
+            tokio::spawn(self.local.send(SubmitChanges(change_set)).detach());
         }
         self.in_flight = Some((sequence, committer.clone()));
         (sequence, committer)
