--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -66,7 +66,7 @@
     /// Client of the targets, for their load reports.
     pub targets: target::Client,
     /// VMs and data centres that may get new work.
-    pub service: SharedAvailability,
+    pub availability: SharedAvailability,
     /// The node's clock.
     pub clock: Clock,
     /// Policy for the order and placement of queued requests.
@@ -85,7 +85,7 @@
         peers: dependencies.peers,
         platform: dependencies.platform,
         targets: dependencies.targets,
-        service: dependencies.service,
+        availability: dependencies.availability,
         clock: dependencies.clock,
         log: dependencies.log,
         timing,
@@ -118,7 +118,7 @@
     pub(crate) peers: Peers,
     pub(crate) platform: Client,
     pub(crate) targets: target::Client,
-    pub(crate) service: SharedAvailability,
+    pub(crate) availability: SharedAvailability,
     pub(crate) clock: Clock,
     pub(crate) log: Logger,
     pub(crate) timing: Timing,
@@ -153,7 +153,7 @@
                 pool.on_owner_unreachable(now);
             }
             for (name, target) in &mut pool.targets {
-                target.per_mille = self.service.vm_share(name).per_mille();
+                target.per_mille = self.availability.vm_share(name).per_mille();
             }
             pool.update_owner_targets();
             match uses_shares {
@@ -301,7 +301,7 @@
     }
 
     pub(crate) fn on_vms(&mut self, now: Millis, vms: &[Vm]) {
-        self.service.on_list(vms);
+        self.availability.on_list(vms);
         for pool in self.pools.values_mut() {
             pool.targets.retain(|name, target| {
                 vms.iter()
--- a/filbertpaddle/src/coordinator_messages.rs
+++ b/filbertpaddle/src/coordinator_messages.rs
@@ -101,7 +101,7 @@
             refuse(acquire.reply, Reason::NoTarget);
             return;
         };
-        let is_open = |name: &Name| !self.service.vm_share(name).is_none();
+        let is_open = |name: &Name| !self.availability.vm_share(name).is_none();
         if !pool.targets.keys().any(is_open) {
             refuse(acquire.reply, Reason::NoTarget);
             return;
@@ -218,7 +218,7 @@
             return;
         };
         if load.leaving {
-            self.service.on_reclaim(&polled.target);
+            self.availability.on_reclaim(&polled.target);
         }
         pool.on_report(
             now,
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 pub struct Node {
     addresses: Addresses,
-    front: Arc<RequestContext>,
+    context: Arc<RequestContext>,
     servers: Vec<Server>,
     log: Logger,
 }
@@ -108,7 +108,7 @@
             log: log.clone(),
         };
         let (peers, inboxes) = start_peers(&settings, identity, peers, &common);
-        let service = SharedAvailability::new(common.clock, log::component(&log, "service"));
+        let availability = SharedAvailability::new(common.clock, log::component(&log, "service"));
         let pools = Pools::start(pools::Dependencies {
             own: common.own.clone(),
             peers: peers.clone(),
@@ -116,7 +116,7 @@
             grant: inboxes.grant,
             platform: common.platform.clone(),
             targets: target::Client::new(target::Settings::default())?,
-            service: service.clone(),
+            availability: availability.clone(),
             clock: common.clock,
             placement: settings.placement,
             log: log::component(&log, "pool"),
@@ -128,25 +128,25 @@
             inboxes.remote,
         );
         let claims = start_claims(&settings, &common, peers.clone(), inboxes.claim);
-        let (config, templates) = start_config(&common, peers, inboxes.config, &service);
-        let desk = Arc::new(desk(&settings, &common, config));
+        let (config, templates) = start_config(&common, peers, inboxes.config, &availability);
+        let handler = Arc::new(operator_handler(&settings, &common, config));
         let slots = SlotRouter::new(pools, remote);
-        let front = Arc::new(front(&settings, &common, templates, claims, slots)?);
+        let context = Arc::new(request_context(&settings, &common, templates, claims, slots)?);
         let servers = vec![
             serve(
                 callers,
-                caller_api::routes(Arc::clone(&front)).or(health::routes(Arc::clone(&front))),
+                caller_api::routes(Arc::clone(&context)).or(health::routes(Arc::clone(&context))),
             ),
             serve(
                 operators,
-                operator_routes::routes(desk).or(health::routes(Arc::clone(&front))),
+                operator_routes::routes(handler).or(health::routes(Arc::clone(&context))),
             ),
         ];
         let log = log::component(&log, "node");
         info!(log, "node started"; "name" => %settings.node.name);
         Ok(Self {
             addresses,
-            front,
+            context,
             servers,
             log,
         })
@@ -160,9 +160,9 @@
     /// Refuses new requests, waits for running ones to end, and stops.
     pub async fn close(self) {
         info!(self.log, "node draining; new requests are refused");
-        self.front.admission.drain().await;
-        self.front.slots.leave().await;
-        self.front.claims.close().await;
+        self.context.admission.drain().await;
+        self.context.slots.leave().await;
+        self.context.claims.close().await;
         for server in self.servers {
             server.stop.send(()).ok();
             server.task.await.ok();
@@ -198,7 +198,7 @@
     Ok(Client::new(base, timeout)?)
 }
 
-fn front(
+fn request_context(
     settings: &Settings,
     common: &Common,
     templates: ConfigReader,
@@ -248,21 +248,21 @@
     common: &Common,
     peers: Peers,
     inbox: mpsc::Receiver<inbox::Incoming<wire_config::Message>>,
-    service: &SharedAvailability,
+    availability: &SharedAvailability,
 ) -> (Config, ConfigReader) {
     Config::start(config::Parts {
         own: common.own.clone(),
         peers,
         inbox,
         platform: common.platform.clone(),
-        availability: service.clone(),
+        availability: availability.clone(),
         clock: common.clock,
         metrics: Arc::clone(&common.metrics),
         log: log::component(&common.log, "config"),
     })
 }
 
-fn desk(settings: &Settings, common: &Common, config: Config) -> OperatorHandler {
+fn operator_handler(settings: &Settings, common: &Common, config: Config) -> OperatorHandler {
     let log = log::component(&common.log, "operator");
     let node = common.own.name.clone();
     OperatorHandler {
