--- a/filbertpaddle/src/caller_api.rs
+++ b/filbertpaddle/src/caller_api.rs
@@ -138,7 +138,7 @@
     let customer = authenticated_customer(context, authorization)?;
     let body: Body = read_body(context, body).await?;
     let template = context
-        .templates
+        .config
         .current()
         .and_then(|current| current.template(&customer, &body.template))
         .ok_or_else(|| bad_request(format!("template {} is unknown", body.template)))?;
@@ -149,7 +149,7 @@
     context: &RequestContext,
     authorization: Option<String>,
 ) -> Result<Name, ValidationError> {
-    let current = context.templates.current();
+    let current = context.config.current();
     let key = authorization
         .as_deref()
         .and_then(|value| value.strip_prefix("Bearer "));
--- a/filbertpaddle/src/health.rs
+++ b/filbertpaddle/src/health.rs
@@ -25,7 +25,7 @@
 }
 
 fn readiness(front: &RequestContext) -> StatusCode {
-    if front.admission.is_draining() || front.templates.current().is_none() {
+    if front.admission.is_draining() || front.config.current().is_none() {
         return StatusCode::SERVICE_UNAVAILABLE;
     }
     StatusCode::OK
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -128,10 +128,16 @@
             inboxes.remote,
         );
         let claims = start_claims(&settings, &common, peers.clone(), inboxes.claim);
-        let (config, templates) = start_config(&common, peers, inboxes.config, &availability);
+        let (config, config_reader) = start_config(&common, peers, inboxes.config, &availability);
         let handler = Arc::new(operator_handler(&settings, &common, config));
         let slots = SlotRouter::new(pools, remote);
-        let context = Arc::new(request_context(&settings, &common, templates, claims, slots)?);
+        let context = Arc::new(request_context(
+            &settings,
+            &common,
+            config_reader,
+            claims,
+            slots,
+        )?);
         let servers = vec![
             serve(
                 callers,
@@ -201,7 +207,7 @@
 fn request_context(
     settings: &Settings,
     common: &Common,
-    templates: ConfigReader,
+    config: ConfigReader,
     claims: Claims,
     slots: SlotRouter,
 ) -> eyre::Result<RequestContext> {
@@ -212,7 +218,7 @@
         incarnation: own.incarnation,
     });
     Ok(RequestContext {
-        templates,
+        config,
         claims,
         slots,
         retries: Retries::new(settings.retries),
--- a/filbertpaddle/src/request_context.rs
+++ b/filbertpaddle/src/request_context.rs
@@ -16,8 +16,8 @@
 /// Services and limits shared by all requests of a node.
 #[derive(Debug)]
 pub struct RequestContext {
-    /// Current configuration.
-    pub templates: ConfigReader,
+    /// Reader of the current configuration.
+    pub config: ConfigReader,
     /// Claims of idempotency keys.
     pub claims: Claims,
     /// Slots on targets.
