--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -80,7 +80,7 @@
     let now = dependencies.clock.now();
     let timing = Timing::default();
     let state = Coordinator {
-        id: id(&dependencies.own),
+        id: node_id(&dependencies.own),
         own: dependencies.own,
         peers: dependencies.peers,
         platform: dependencies.platform,
@@ -434,7 +434,7 @@
     }
 }
 
-pub(crate) fn id(peer: &Peer) -> NodeId {
+pub(crate) fn node_id(peer: &Peer) -> NodeId {
     NodeId {
         name: peer.name.clone(),
         incarnation: peer.incarnation,
--- a/filbertpaddle/src/coordinator_messages.rs
+++ b/filbertpaddle/src/coordinator_messages.rs
@@ -19,7 +19,7 @@
 
 use crate::attempt_id;
 use crate::coordinator::Coordinator;
-use crate::coordinator::id;
+use crate::coordinator::node_id;
 use crate::inbox::Incoming;
 use crate::pools::Grant;
 use crate::pools::Refusal;
@@ -237,7 +237,7 @@
     async fn handle(&mut self, from: Incoming<wire::Message>, _: &mut Context<Self>) {
         let now = self.clock.now();
         if from.peer.data_centre == self.own.data_centre {
-            self.on_member(now, &id(&from.peer), from.message);
+            self.on_member(now, &node_id(&from.peer), from.message);
         }
     }
 }
@@ -248,7 +248,7 @@
     async fn handle(&mut self, from: Incoming<grant::Message>, _: &mut Context<Self>) {
         let now = self.clock.now();
         if from.peer.data_centre == self.own.data_centre {
-            self.on_grant_message(now, &id(&from.peer), from.message);
+            self.on_grant_message(now, &node_id(&from.peer), from.message);
             self.send_outgoing(now);
         }
     }
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -274,21 +274,21 @@
             }
             Message::Grant(_, grant) => self.on_grant(now, from, grant),
             Message::Refuse(_, number) => self.on_refuse(now, number),
-            Message::Release(_, used, end) => {
+            Message::Release(_, released, end) => {
                 if let Some(owner) = &mut self.owner {
-                    let key = slot_message::key_of_used(from, used);
+                    let key = slot_message::key_of_released(from, released);
                     owner.on_release(now, &key, end.ending.is_over());
                     self.scheduler.record_end(now, &key, end);
                 }
             }
             Message::CollectRequest(_, collect) => self.on_collect(from, &collect),
-            Message::CollectReply(_, holding) => {
+            Message::CollectReply(_, reply) => {
                 if let Some(owner) = &mut self.owner {
-                    let holding = slot_message::to_holding(from, &holding);
-                    if owner.has_collected(from, holding.session) {
-                        owner.on_recount_reply(now, &holding);
+                    let reply = slot_message::to_collect_reply(from, &reply);
+                    if owner.has_collected(from, reply.session) {
+                        owner.on_recount_reply(now, &reply);
                     } else {
-                        owner.on_collect_reply(&holding);
+                        owner.on_collect_reply(&reply);
                     }
                 }
             }
@@ -303,8 +303,8 @@
         if slot.key.source == Source::Share {
             self.scheduler.record_end(now, &slot.key, end);
         }
-        let used = slot_message::to_used(&slot.key);
-        self.send_to_owner(Message::Release(self.name.clone(), used, end));
+        let released = slot_message::to_released_slot(&slot.key);
+        self.send_to_owner(Message::Release(self.name.clone(), released, end));
     }
 
     fn on_deny(&mut self, number: u64, denial: Denial) {
@@ -334,16 +334,16 @@
             epoch: collect.epoch,
             upto: collect.upto,
         };
-        let Some(holding) = self.member.on_collect(&collect) else {
+        let Some(reply) = self.member.on_collect(&collect) else {
             return;
         };
-        let works = holding.works.iter();
+        let works = reply.works.iter();
         let message = grant::CollectReply {
-            epoch: holding.epoch,
-            upto: holding.upto,
-            session: holding.session,
+            epoch: reply.epoch,
+            upto: reply.upto,
+            session: reply.session,
             works: works
-                .map(|held| slot_message::to_work(&held.target, &held.key))
+                .map(|held| slot_message::to_held_work(&held.target, &held.key))
                 .collect(),
         };
         let message = Message::CollectReply(self.name.clone(), message);
@@ -353,7 +353,7 @@
 
     fn on_grant(&mut self, now: Millis, from: &NodeId, granted: grant::Grant) {
         let is_owner = |owner: &roster::Owner| owner.member == *from;
-        let used = grant::ReleasedSlot {
+        let released = grant::ReleasedSlot {
             epoch: granted.epoch,
             source: Source::Granted,
             number: granted.number,
@@ -363,7 +363,7 @@
         });
         let own = self.member.id().clone();
         let grant = slot::Grant {
-            key: slot_message::key_of_used(&own, used),
+            key: slot_message::key_of_released(&own, released),
             target: granted.target,
             request: granted.ask,
             stamp: granted.stamp,
@@ -385,7 +385,7 @@
             Ok((waiter, held)) => self.deliver_grant(now, waiter, held),
             Err(_) => {
                 let to = from.clone();
-                let message = Message::Release(self.name.clone(), used, End::UNSENT);
+                let message = Message::Release(self.name.clone(), released, End::UNSENT);
                 self.outgoing.push(Outgoing { to, message });
                 self.on_refuse(now, grant.request);
             }
--- a/filbertpaddle/src/record_edit.rs
+++ b/filbertpaddle/src/record_edit.rs
@@ -99,8 +99,8 @@
 }
 
 fn assign_owners(roster: &Roster, pools: &[Name]) -> Option<RecordEdit> {
-    let known = roster.owners.iter().map(|owner| owner.pool.clone());
-    let mut all: Vec<Name> = known.chain(pools.iter().cloned()).collect();
+    let assigned = roster.owners.iter().map(|owner| owner.pool.clone());
+    let mut all: Vec<Name> = assigned.chain(pools.iter().cloned()).collect();
     all.sort();
     all.dedup();
     Some(RecordEdit {
--- a/filbertpaddle/src/slot_message.rs
+++ b/filbertpaddle/src/slot_message.rs
@@ -26,7 +26,7 @@
     }
 }
 
-pub(crate) fn to_work(target: &Name, key: &WorkKey) -> grant::HeldWork {
+pub(crate) fn to_held_work(target: &Name, key: &WorkKey) -> grant::HeldWork {
     grant::HeldWork {
         target: target.clone(),
         epoch: key.epoch,
@@ -35,7 +35,7 @@
     }
 }
 
-pub(crate) fn to_used(key: &WorkKey) -> grant::ReleasedSlot {
+pub(crate) fn to_released_slot(key: &WorkKey) -> grant::ReleasedSlot {
     grant::ReleasedSlot {
         epoch: key.epoch,
         source: key.source,
@@ -43,12 +43,12 @@
     }
 }
 
-pub(crate) fn key_of_used(holder: &NodeId, used: grant::ReleasedSlot) -> WorkKey {
+pub(crate) fn key_of_released(holder: &NodeId, released: grant::ReleasedSlot) -> WorkKey {
     WorkKey {
         holder: holder.clone(),
-        epoch: used.epoch,
-        source: used.source,
-        number: used.number,
+        epoch: released.epoch,
+        source: released.source,
+        number: released.number,
     }
 }
 
@@ -61,17 +61,20 @@
     }
 }
 
-pub(crate) fn to_holding(holder: &NodeId, holding: &grant::CollectReply) -> owner::CollectReply {
-    let works = holding.works.iter();
+pub(crate) fn to_collect_reply(
+    holder: &NodeId,
+    reply: &grant::CollectReply,
+) -> owner::CollectReply {
+    let works = reply.works.iter();
     let held = |work: &grant::HeldWork| HeldWork {
         key: key_of_work(holder, work),
         target: work.target.clone(),
     };
     owner::CollectReply {
         holder: holder.clone(),
-        session: holding.session,
-        epoch: holding.epoch,
-        upto: holding.upto,
+        session: reply.session,
+        epoch: reply.epoch,
+        upto: reply.upto,
         works: works.map(held).collect(),
     }
 }
