--- a/filbertpaddle/src/admission.rs
+++ b/filbertpaddle/src/admission.rs
@@ -21,7 +21,7 @@
 }
 
 impl Admission {
-    /// Creates an admission of at most `max_requests` concurrent requests.
+    /// Returns an admission of at most `max_requests` concurrent requests.
     ///
     /// `attempt_prefix` is the prefix of all attempt ids of this incarnation of the node.
     pub fn new(attempt_prefix: Name, max_requests: usize) -> Self {
@@ -40,7 +40,8 @@
         format!("{}-{number:x}", self.attempt_prefix).into()
     }
 
-    /// Admits a request until the permit is dropped; `None` if the limit is reached.
+    /// Admits a request, which counts until the permit is dropped; `None` if the limit is
+    /// reached.
     pub fn try_admit(&self) -> Option<OwnedSemaphorePermit> {
         Arc::clone(&self.permits).try_acquire_owned().ok()
     }
--- a/filbertpaddle/src/coordinator.rs
+++ b/filbertpaddle/src/coordinator.rs
@@ -1,5 +1,5 @@
-//! Actor that connects a node's pools to its data centre: record, relay,
-//! heartbeats and targets.
+//! Actor that keeps a node's pools in step with its data centre: it sends heartbeats,
+//! acts as the relay if chosen, reads and edits the record, and polls the targets.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::grant_mode::Mode;
@@ -202,13 +202,13 @@
             return;
         }
         let mode = self.mode_state.mode();
-        info!(self.log, "grant mode changed"; "mode" => ?mode);
+        info!(self.log, "Grant mode changed."; "mode" => ?mode);
         let session = self.mode_state.session();
         let pools = self.pools.values_mut();
         pools.for_each(|pool| pool.member.on_mode(mode, session));
     }
 
-    /// Writes the edit of the record that is due, if this node has to make it.
+    /// Starts to write the edit of the record that is due, if this node has to make it.
     fn edit_record(&mut self, now: Millis, address: &WeakAddress<Self>) {
         let recent = |read_ms: Millis| now.since(read_ms) < MAX_RECORD_AGE_MS;
         if self.is_leaving || self.is_writing || !self.record_read_ms.is_some_and(recent) {
@@ -228,7 +228,7 @@
         let Some(edit) = edit else {
             return;
         };
-        info!(self.log, "writing an edit of the data centre's record";
+        info!(self.log, "Writing an edit of the data centre's record.";
             "change" => edit.description, "version" => edit.roster.version);
         self.is_writing = true;
         let platform = self.platform.clone();
@@ -296,7 +296,7 @@
         for pool in self.pools.values_mut() {
             pool.on_roster(now, &self.id, roster);
         }
-        info!(self.log, "newer version of the data centre's record applied";
+        info!(self.log, "Newer version of the roster applied.";
             "version" => roster.version);
     }
 
@@ -362,7 +362,8 @@
                         roster: *roster,
                         revision: None,
                     };
-                    // The record lacks a table revision, so it cannot be edited until it is read.
+                    // A roster sent by the relay comes without the table revision of the record,
+                    // so this node cannot edit the record until it reads it.
                     self.record_read_ms = None;
                     self.on_record(now, record);
                 }
--- a/filbertpaddle/src/coordinator_messages.rs
+++ b/filbertpaddle/src/coordinator_messages.rs
@@ -161,8 +161,8 @@
 impl Handler<IsRecordReader> for Coordinator {
     type Return = bool;
 
-    /// The relay reads it for all members. A node that is not a member yet, or
-    /// that no relay answers, reads it for itself.
+    /// The relay reads the record for all members. A node that is not a member yet,
+    /// or that no relay answers, reads it for itself.
     async fn handle(&mut self, _: IsRecordReader, _: &mut Context<Self>) -> bool {
         let now = self.clock.now();
         let is_member = record_edit::is_member(&self.id, &self.record.roster);
@@ -179,11 +179,11 @@
         let Some(record) = read.record else {
             warn!(
                 self.log,
-                "cannot read the data centre's record; keeping the last version"
+                "Cannot read the data centre's record; keeping the last roster."
             );
             return;
         };
-        // A record older than the one applied here confirms nothing.
+        // A read that is older than the roster applied here confirms no ownership.
         if record.roster.version < self.record.roster.version {
             return;
         }
--- a/filbertpaddle/src/generation.rs
+++ b/filbertpaddle/src/generation.rs
@@ -35,7 +35,7 @@
     Ended(Outcome),
     /// The target may have run the attempt; another may be started.
     Restart,
-    /// The target did not start the attempt; another may be started.
+    /// The target is known not to have started the attempt; another may be started.
     Unsent,
 }
 
@@ -202,7 +202,7 @@
 
     fn log_failure(&self, error: &Error) {
         let target = &self.grant.target;
-        debug!(self.context.log, "Call to target failed."; "target" => %target, "error" => %error);
+        debug!(self.context.log, "Request to target failed."; "target" => %target, "error" => %error);
     }
 }
 
--- a/filbertpaddle/src/heartbeat.rs
+++ b/filbertpaddle/src/heartbeat.rs
@@ -76,7 +76,8 @@
         }
         let relay = self.choose_relay(now, roster, data_centre)?;
         self.last_sent_ms = Some(now);
-        // Without a valid answer the node may have to use its shares: no promise.
+        // Without a valid answer the node may have to use its shares, so it must not promise
+        // the owners to leave them unused.
         let may_promise = may_promise && self.confirmation(now).is_some();
         let promise = match may_promise && self.last_relay_ms.is_some() {
             true => mode_state.promise(now),
--- a/filbertpaddle/src/lent_slot.rs
+++ b/filbertpaddle/src/lent_slot.rs
@@ -103,7 +103,7 @@
     local.release(grant, end.ending, end.tokens);
 }
 
-// The name starts with this node's prefix, as this node holds the slot.
+// The attempt id starts with this node's prefix, since this node holds the slot.
 fn attempt_name(own: &Peer, borrower: &Borrower, grant: &Grant) -> Name {
     let prefix = attempt_id::prefix(&NodeId {
         name: own.name.clone(),
--- a/filbertpaddle/src/node.rs
+++ b/filbertpaddle/src/node.rs
@@ -149,7 +149,7 @@
             ),
         ];
         let log = log::component(&log, "node");
-        info!(log, "node started"; "name" => %settings.node.name);
+        info!(log, "Node started."; "name" => %settings.node.name);
         Ok(Self {
             addresses,
             context,
@@ -165,7 +165,7 @@
 
     /// Refuses new requests, waits for running ones to end, and stops.
     pub async fn close(self) {
-        info!(self.log, "node draining; new requests are refused");
+        info!(self.log, "Node draining; new requests are refused.");
         self.context.admission.drain().await;
         self.context.slots.leave().await;
         self.context.claims.close().await;
@@ -173,7 +173,7 @@
             server.stop.send(()).ok();
             server.task.await.ok();
         }
-        info!(self.log, "node stopped");
+        info!(self.log, "Node stopped.");
     }
 }
 
@@ -189,7 +189,7 @@
     }
 }
 
-/// What most components of a node use.
+/// Values that most components of a node share.
 struct Common {
     own: Peer,
     platform: Client,
--- a/filbertpaddle/src/output.rs
+++ b/filbertpaddle/src/output.rs
@@ -29,8 +29,7 @@
         &self.text
     }
 
-    /// Waits until the caller disconnects before its first response; pending forever after
-    /// that response.
+    /// Waits until the caller disconnects; never returns once the first response was sent.
     pub(crate) async fn caller_gone(&mut self) {
         match &mut self.first_response {
             Some(first_response) => first_response.closed().await,
--- a/filbertpaddle/src/peers.rs
+++ b/filbertpaddle/src/peers.rs
@@ -1,7 +1,7 @@
 //! WebSocket links to other nodes.
 //!
 //! A node sends on the connections it dials and receives on those it
-//! accepts, so that a one-way network fault affects one direction only.
+//! accepts, so that a fault of one connection stops messages in one direction only.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -37,7 +37,7 @@
 const MAX_QUEUED_MESSAGES: usize = 4_096;
 /// Maximum number of messages in one frame.
 const MAX_BATCH_MESSAGES: usize = 256;
-/// Delay between two attempts to dial or accept.
+/// Delay before a link is dialled again, or before accepting again after an error.
 const REDIAL_INTERVAL: Duration = Duration::from_millis(500);
 /// Time limit for a connection and its handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
@@ -71,7 +71,7 @@
     pub message: Message,
 }
 
-/// This node's identity and the peer secret, used by every link.
+/// This node's identity and the peer secret, used in the handshake of every link.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Name, incarnation, data centre and address of this node.
@@ -226,7 +226,7 @@
                 tokio::spawn(receive_messages(peers.clone(), stream));
             }
             Err(error) => {
-                warn!(peers.shared.log, "cannot accept a peer connection; retrying";
+                warn!(peers.shared.log, "Cannot accept a peer connection; retrying.";
                     "error" => %error);
                 tokio::time::sleep(REDIAL_INTERVAL).await;
             }
@@ -245,7 +245,7 @@
         Ok(accepted) => accepted,
         Err(error) => {
             peers.shared.metrics.count("peer.refused");
-            warn!(peers.shared.log, "peer handshake failed; connection closed"; "error" => %error);
+            warn!(peers.shared.log, "Peer handshake failed; connection closed."; "error" => %error);
             return;
         }
     };
@@ -257,7 +257,7 @@
             continue;
         };
         let Ok(messages) = frame::decode(&bytes) else {
-            warn!(peers.shared.log, "malformed frame from peer; connection closed";
+            warn!(peers.shared.log, "Malformed frame from peer; connection closed.";
                 "peer" => %from.name);
             return;
         };
@@ -296,18 +296,18 @@
         let connected = tokio::time::timeout(HANDSHAKE_TIMEOUT, dial_handshake(&peers, address));
         match connected.await {
             Ok(Ok((peer, socket))) => {
-                info!(peers.shared.log, "peer connected"; "peer" => %peer.name);
+                info!(peers.shared.log, "Peer connected."; "peer" => %peer.name);
                 peers.set_peer(address, Some(peer.clone()));
                 write_frames(&peers, socket, &mut messages).await;
                 peers.set_peer(address, None);
-                info!(peers.shared.log, "peer disconnected; dialling again"; "peer" => %peer.name);
+                info!(peers.shared.log, "Peer disconnected; dialling again."; "peer" => %peer.name);
             }
             Ok(Err(error)) => {
-                debug!(peers.shared.log, "cannot connect to peer; dialling again";
+                debug!(peers.shared.log, "Cannot connect to peer; dialling again.";
                     "address" => %address, "error" => %error);
             }
             Err(_) => {
-                debug!(peers.shared.log, "peer did not complete the handshake in time; dialling again";
+                debug!(peers.shared.log, "Peer did not complete the handshake in time; dialling again.";
                     "address" => %address)
             }
         }
@@ -390,7 +390,7 @@
     match encoded {
         Ok(bytes) => Some(tungstenite::Message::Binary(bytes.into())),
         Err(error) => {
-            warn!(peers.shared.log, "cannot encode frame; its messages are dropped";
+            warn!(peers.shared.log, "Cannot encode frame; its messages are dropped.";
                 "error" => %error);
             None
         }
--- a/filbertpaddle/src/pool.rs
+++ b/filbertpaddle/src/pool.rs
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Applies a new version of the record: starts or ends this node's ownership, and
+    /// Applies a new version of the roster: starts or ends this node's ownership, and
     /// marks all slot requests to be sent again if the epoch changed.
     pub(crate) fn on_roster(&mut self, now: Millis, own: &NodeId, roster: &Roster) {
         let named = roster.owner(&self.name).cloned();
@@ -198,7 +198,10 @@
     }
 
     /// Removes waiters that are past their deadline or whose caller has gone, and
-    /// withdraws their slot requests; renews the stamp of the remaining ones.
+    /// withdraws their slot requests, so that the owner grants them nothing.
+    ///
+    /// For the remaining ones a new stamp is sent to the owner in time, since a grant is
+    /// accepted only within `accept_ms` of the stamp that it names.
     pub(crate) fn expire_waiters(&mut self, now: Millis) {
         let (expired, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiters)
             .into_iter()
@@ -223,7 +226,8 @@
         }
     }
 
-    /// Grants waiters slots within this node's shares of the targets.
+    /// Grants waiters slots within this node's shares of the targets, and refuses those whose
+    /// request is quarantined.
     pub(crate) fn take_shares(&mut self, now: Millis, roster: &Roster) {
         while let Some(waiter) = self.waiters.first() {
             if self.scheduler.is_blocked(waiter.want.digest) {
--- a/filbertpaddle/src/pool_owner.rs
+++ b/filbertpaddle/src/pool_owner.rs
@@ -1,4 +1,5 @@
-//! The owner's side of a pool: targets, grants and collect requests.
+//! The owner's side of a pool: targets, grants, and collect requests, which ask members
+//! for the slots that they hold.
 
 use filbertpaddle_core::clock::Millis;
 use filbertpaddle_core::name::Name;
@@ -15,7 +16,7 @@
 use crate::slot_message;
 
 /// Interval between two collect requests to every member, which find slots that
-/// are still counted because a release was lost.
+/// are still counted because a message, such as a release, was lost.
 const RECOUNT_INTERVAL_MS: Millis = Millis(10_000);
 
 impl Pool {
--- a/filbertpaddle/src/pool_scheduler.rs
+++ b/filbertpaddle/src/pool_scheduler.rs
@@ -127,7 +127,7 @@
             }
             self.scheduler.record_end(now, slot, 0, Ending::Unsent);
             if owner.is_queued(&slot_request) {
-                // The target's free slots are reserved for other members; retry later.
+                // The target's free slots are kept for other members; the request is queued again.
                 if self.scheduler.push(now, placement.request.clone()).is_ok() {
                     self.requests.insert(placement.request.id, slot_request);
                 }
--- a/filbertpaddle/src/record.rs
+++ b/filbertpaddle/src/record.rs
@@ -1,4 +1,5 @@
-//! Reads and writes a data centre's record, a row of the platform's table.
+//! Reads and writes a data centre's record: the row of the platform's table that holds
+//! its roster.
 
 use filbertpaddle_core::roster::NodeId;
 use filbertpaddle_core::roster::Roster;
@@ -14,10 +15,10 @@
 /// fails if another node changes the record at the same time.
 const MAX_LEAVE_ATTEMPTS: usize = 4;
 
-/// The record and the table revision of its last write.
+/// Content of the record and the table revision of its last write.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Record {
-    /// The record; empty if there is no row yet.
+    /// The roster; empty if there is no row yet.
     pub roster: Roster,
     /// Table revision, for compare-and-set.
     pub revision: Option<u64>,
@@ -43,7 +44,7 @@
     })
 }
 
-/// Removes a node from the record, in a limited number of attempts.
+/// Removes a node from the roster, in a limited number of attempts.
 pub async fn leave(platform: &Client, data_centre: &str, id: &NodeId) {
     for _ in 0..MAX_LEAVE_ATTEMPTS {
         let Ok(record) = read(platform, data_centre).await else {
@@ -58,7 +59,7 @@
     }
 }
 
-/// Replaces the record if it is still at `revision`.
+/// Replaces the roster in the record if the row is still at `revision`.
 ///
 /// The answer may be lost, so only reading the record again shows whether the
 /// write succeeded.
--- a/filbertpaddle/src/record_edit.rs
+++ b/filbertpaddle/src/record_edit.rs
@@ -12,13 +12,13 @@
 /// An edit of the record.
 #[derive(Debug)]
 pub(crate) struct RecordEdit {
-    /// The record after the edit.
+    /// The roster after the edit.
     pub(crate) roster: Roster,
     /// Description for the log.
     pub(crate) description: &'static str,
 }
 
-/// Returns whether an incarnation of a node is a member.
+/// Returns whether the roster lists an incarnation of a node as a member.
 pub(crate) fn is_member(id: &NodeId, roster: &Roster) -> bool {
     roster.members.iter().any(|member| member.id == *id)
 }
--- a/filbertpaddle/src/remote_slots.rs
+++ b/filbertpaddle/src/remote_slots.rs
@@ -90,7 +90,7 @@
     pub lender: Name,
     /// Number that this node gave the slot.
     pub number: u64,
-    /// Name for the attempt, chosen by the lender.
+    /// Attempt id, chosen by the lender, which holds the slot at its pool's owner.
     pub attempt: Name,
 }
 
@@ -119,8 +119,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the last [`Refusal`] that is not for lack of a target, or else
-    /// `refused`, if none grants a slot.
+    /// Returns the last [`Refusal`] that is not for lack of a target, if none grants a
+    /// slot; without one, returns `refused`, this data centre's own refusal.
     pub(crate) async fn acquire(
         &self,
         request: &SlotRequest,
@@ -178,7 +178,7 @@
         self.state()
             .requested
             .insert(number, RequestState::Waiting(reply));
-        // Gives the request up if the caller goes away.
+        // Withdraws the request if the caller disconnects.
         let mut pending = PendingRequest {
             remote: self,
             lender: &lender.name,
@@ -294,7 +294,7 @@
     }
 }
 
-/// Gives a slot request up when dropped, unless it was answered.
+/// Withdraws a slot request when dropped, unless it was answered.
 struct PendingRequest<'a> {
     remote: &'a RemoteSlots,
     lender: &'a Name,
--- a/filbertpaddle/src/reply.rs
+++ b/filbertpaddle/src/reply.rs
@@ -184,7 +184,7 @@
             retry_after_ms,
         } => match reason {
             Reason::BadRequest | Reason::KeyRequired => StatusCode::BAD_REQUEST,
-            // Without a retry time, the deadline in the request was invalid.
+            // Without a retry time, the deadline in the request had passed on arrival.
             Reason::Deadline if retry_after_ms.is_none() => StatusCode::BAD_REQUEST,
             Reason::Unauthorized => StatusCode::UNAUTHORIZED,
             Reason::KeyReused | Reason::Quarantined => StatusCode::UNPROCESSABLE_ENTITY,
--- a/filbertpaddle/src/request_context.rs
+++ b/filbertpaddle/src/request_context.rs
@@ -22,7 +22,7 @@
     pub claims: Claims,
     /// Slots on targets.
     pub slots: SlotRouter,
-    /// Retry budgets of the pools.
+    /// Retry budgets of the pools, for attempts on another target.
     pub retries: Retries,
     /// Client of targets.
     pub targets: Client,
--- a/filbertpaddle/src/run.rs
+++ b/filbertpaddle/src/run.rs
@@ -244,7 +244,7 @@
         self.output.restart();
     }
 
-    // The outcome is `NotRun` only if nothing was sent to any target.
+    // The outcome is `NotRun` only if no target may have started an attempt.
     fn refused_outcome(&self, refusal: pools::Refusal) -> Outcome {
         if self.sent {
             return Outcome::Incomplete {
--- a/filbertpaddle/src/ticket.rs
+++ b/filbertpaddle/src/ticket.rs
@@ -48,7 +48,8 @@
 }
 
 impl Ticket {
-    /// Returns whether the generation may restart when its target fails.
+    /// Returns the restart policy for a failure of the target; the caller has already received
+    /// the tokens so far, so the output does not count as buffered.
     pub fn restart_policy(&self) -> RestartPolicy {
         RestartPolicy {
             idempotent: self.idempotent,
