--- a/filbertpaddle/src/coordinator_messages.rs
+++ b/filbertpaddle/src/coordinator_messages.rs
@@ -19,7 +19,7 @@
 
 use crate::attempt_id;
 use crate::coordinator::Coordinator;
-use crate::coordinator::id;
+use crate::coordinator::node_id;
 use crate::inbox::Incoming;
 use crate::pools::Grant;
 use crate::pools::Refusal;
@@ -101,7 +101,7 @@
             refuse(acquire.reply, Reason::NoTarget);
             return;
         };
-        let is_open = |name: &Name| !self.service.vm_share(name).is_none();
+        let is_open = |name: &Name| !self.availability.vm_share(name).is_none();
         if !pool.targets.keys().any(is_open) {
             refuse(acquire.reply, Reason::NoTarget);
             return;
@@ -161,8 +161,8 @@
 impl Handler<IsRecordReader> for Coordinator {
     type Return = bool;
 
-    /// The relay reads it for all members. A node that is not a member yet, or
-    /// that no relay answers, reads it for itself.
+    /// The relay reads the record for all members. A node that is not a member yet,
+    /// or that no relay answers, reads it for itself.
     async fn handle(&mut self, _: IsRecordReader, _: &mut Context<Self>) -> bool {
         let now = self.clock.now();
         let is_member = record_edit::is_member(&self.id, &self.record.roster);
@@ -179,11 +179,11 @@
         let Some(record) = read.record else {
             warn!(
                 self.log,
-                "cannot read the data centre's record; keeping the last version"
+                "Cannot read the data centre's record; keeping the last roster."
             );
             return;
         };
-        // A record older than the one applied here confirms nothing.
+        // A read that is older than the roster applied here confirms no ownership.
         if record.roster.version < self.record.roster.version {
             return;
         }
@@ -218,7 +218,7 @@
             return;
         };
         if load.leaving {
-            self.service.on_reclaim(&polled.target);
+            self.availability.on_reclaim(&polled.target);
         }
         pool.on_report(
             now,
@@ -237,7 +237,7 @@
     async fn handle(&mut self, from: Incoming<wire::Message>, _: &mut Context<Self>) {
         let now = self.clock.now();
         if from.peer.data_centre == self.own.data_centre {
-            self.on_member(now, &id(&from.peer), from.message);
+            self.on_member(now, &node_id(&from.peer), from.message);
         }
     }
 }
@@ -248,7 +248,7 @@
     async fn handle(&mut self, from: Incoming<grant::Message>, _: &mut Context<Self>) {
         let now = self.clock.now();
         if from.peer.data_centre == self.own.data_centre {
-            self.on_grant_message(now, &id(&from.peer), from.message);
+            self.on_grant_message(now, &node_id(&from.peer), from.message);
             self.send_outgoing(now);
         }
     }
--- a/filbertpaddle/src/health.rs
+++ b/filbertpaddle/src/health.rs
@@ -25,7 +25,7 @@
 }
 
 fn readiness(context: &RequestContext) -> StatusCode {
-    if context.admission.is_draining() || context.templates.current().is_none() {
+    if context.admission.is_draining() || context.config.current().is_none() {
         return StatusCode::SERVICE_UNAVAILABLE;
     }
     StatusCode::OK
--- a/filbertpaddle/src/request_context.rs
+++ b/filbertpaddle/src/request_context.rs
@@ -16,13 +16,13 @@
 /// Services and limits shared by all requests of a node.
 #[derive(Debug)]
 pub struct RequestContext {
-    /// Current configuration.
-    pub templates: ConfigReader,
+    /// Reader of the current configuration.
+    pub config: ConfigReader,
     /// Claims of idempotency keys.
     pub claims: Claims,
     /// Slots on targets.
     pub slots: SlotRouter,
-    /// Retry budgets of the pools.
+    /// Retry budgets of the pools, for attempts on another target.
     pub retries: Retries,
     /// Client of targets.
     pub targets: Client,
