--- a/filbertpaddle-standins/examples/placement/traffic.rs
+++ b/filbertpaddle-standins/examples/placement/traffic.rs
@@ -94,7 +94,7 @@
             priority: Priority(priority),
             prompt_tokens: 2 * BLOCK_TOKENS + rng.random_range(20..500),
             blocks,
-            output_tokens: lengths::draw(seed, &format!("{template} {index}")),
+            output_tokens: lengths::draw_output_tokens(seed, &format!("{template} {index}")),
             max_tokens: MAX_TOKENS,
             poison: false,
         },
--- a/filbertpaddle-standins/src/balancer.rs
+++ b/filbertpaddle-standins/src/balancer.rs
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 struct Inner {
     targets: Vec<Target>,
-    out: Option<usize>,
+    out_of_service: Option<usize>,
     rotation: usize,
 }
 
@@ -53,7 +53,7 @@
         });
         let inner = Inner {
             targets: targets.collect(),
-            out: None,
+            out_of_service: None,
             rotation,
         };
         Self {
@@ -66,21 +66,22 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes one data centre out of service, or with `None` returns all to service.
-    pub fn set_out(&self, data_centre: Option<usize>) {
-        self.lock().out = data_centre;
+    /// Takes a data centre out of service; `None` puts all back in service.
+    pub fn set_out_of_service(&self, data_centre: Option<usize>) {
+        self.lock().out_of_service = data_centre;
     }
 
     /// Chooses a target and counts a request in flight; returns `None` if no target is available.
     pub fn choose(&self) -> Option<SocketAddr> {
         let now = Instant::now();
         let mut inner = self.lock();
-        let out = inner.out;
+        let out_of_service = inner.out_of_service;
         inner.rotation += 1;
         let rotation = inner.rotation;
         let count = inner.targets.len();
         let available = |target: &Target| {
-            Some(target.data_centre) != out && target.suspended_until.is_none_or(|end| end <= now)
+            Some(target.data_centre) != out_of_service
+                && target.suspended_until.is_none_or(|end| end <= now)
         };
         // The search starts at a different target each time, so that ties rotate.
         let mut candidates = (0..count)
--- a/filbertpaddle-standins/src/baseline.rs
+++ b/filbertpaddle-standins/src/baseline.rs
@@ -72,10 +72,10 @@
     }
 
     /// Takes a data centre out of service; `None` puts all back in service.
-    pub fn set_out(&self, data_centre: Option<usize>) {
+    pub fn set_out_of_service(&self, data_centre: Option<usize>) {
         match self {
-            Self::Independent(balancer) => balancer.set_out(data_centre),
-            Self::Pool(pool) => pool.set_out(data_centre),
+            Self::Independent(balancer) => balancer.set_out_of_service(data_centre),
+            Self::Pool(pool) => pool.set_out_of_service(data_centre),
         }
     }
 }
--- a/filbertpaddle-standins/src/engine.rs
+++ b/filbertpaddle-standins/src/engine.rs
@@ -118,8 +118,8 @@
     }
 
     /// Injects a fault.
-    pub fn inject(&self, fault: Fault) {
-        engine_http::inject(&self.state, fault);
+    pub fn inject_fault(&self, fault: Fault) {
+        engine_http::inject_fault(&self.state, fault);
     }
 
     /// Returns the counters since the first start.
--- a/filbertpaddle-standins/src/engine_http.rs
+++ b/filbertpaddle-standins/src/engine_http.rs
@@ -108,7 +108,7 @@
         .and(warp::body::json())
         .and(shared.clone())
         .map(|fault: Fault, state: SharedState| {
-            inject(&state, fault);
+            inject_fault(&state, fault);
             StatusCode::OK
         });
     let counters = warp::get()
@@ -119,8 +119,8 @@
 }
 
 /// Injects a fault; a reclaimed engine stops when its notice has run out.
-pub(crate) fn inject(state: &SharedState, fault: Fault) {
-    state.inject(fault);
+pub(crate) fn inject_fault(state: &SharedState, fault: Fault) {
+    state.inject_fault(fault);
     if let Fault::Leave { notice_ms } = fault {
         let state = state.clone();
         tokio::spawn(async move {
@@ -200,7 +200,7 @@
         let chunk = encode_events(state, attempt, next, current.tokens, current.ended);
         next = next.max(current.tokens);
         wait_while_frozen(state).await;
-        tokio::time::sleep(duration(state.active_faults().line_delay_ms)).await;
+        tokio::time::sleep(duration(state.active_faults().write_delay_ms)).await;
         if !chunk.is_empty() && sender.send(Ok(chunk)).await.is_err() {
             return;
         }
--- a/filbertpaddle-standins/src/engine_state.rs
+++ b/filbertpaddle-standins/src/engine_state.rs
@@ -72,7 +72,7 @@
 pub(crate) struct ActiveFaults {
     pub(crate) cross_every: u32,
     pub(crate) duplicate_every: u32,
-    pub(crate) line_delay_ms: Millis,
+    pub(crate) write_delay_ms: Millis,
     slow_percent: u32,
     frozen_until: Option<Instant>,
 }
@@ -130,7 +130,7 @@
         let active_faults = ActiveFaults {
             cross_every: 0,
             duplicate_every: 0,
-            line_delay_ms: Millis::ZERO,
+            write_delay_ms: Millis::ZERO,
             slow_percent: 100,
             frozen_until: None,
         };
@@ -219,7 +219,7 @@
             priority: submit.priority,
             prompt_tokens: submit.prompt.len().div_ceil(TOKEN_BYTES) as u32,
             blocks: digests(&submit.prompt),
-            output_tokens: lengths::draw(self.settings.seed, &submit.prompt),
+            output_tokens: lengths::draw_output_tokens(self.settings.seed, &submit.prompt),
             max_tokens: submit.max_tokens,
             poison: poison.is_some_and(|text| submit.prompt.contains(text)),
         }
@@ -325,7 +325,7 @@
     }
 
     /// Puts a fault into force.
-    pub(crate) fn inject(&self, fault: Fault) {
+    pub(crate) fn inject_fault(&self, fault: Fault) {
         let now_us = self.now_us();
         let mut inner = self.lock();
         match fault {
@@ -340,7 +340,7 @@
             Fault::Slow { percent } => inner.active_faults.slow_percent = percent,
             Fault::Cross { every } => inner.active_faults.cross_every = every,
             Fault::Duplicate { every } => inner.active_faults.duplicate_every = every,
-            Fault::Late { delay_ms } => inner.active_faults.line_delay_ms = delay_ms,
+            Fault::Late { delay_ms } => inner.active_faults.write_delay_ms = delay_ms,
         }
     }
 
--- a/filbertpaddle-standins/src/experiment.rs
+++ b/filbertpaddle-standins/src/experiment.rs
@@ -127,7 +127,7 @@
 /// Entry points that requests are sent to.
 #[derive(Debug)]
 enum EntryPoints {
-    Direct(Vec<EntryVm>),
+    Baseline(Vec<EntryVm>),
     Nodes(Box<Cluster>),
 }
 
@@ -137,7 +137,7 @@
     entry_points: EntryPoints,
     fleet: Fleet,
     http: reqwest::Client,
-    excluded: watch::Sender<Option<usize>>,
+    out_of_service: watch::Sender<Option<usize>>,
     next_turn: AtomicUsize,
     data_centres: usize,
 }
@@ -266,7 +266,7 @@
             entry_points,
             fleet,
             http,
-            excluded: watch::Sender::new(None),
+            out_of_service: watch::Sender::new(None),
             next_turn: AtomicUsize::new(0),
             data_centres: settings.fleet.data_centres,
         })
@@ -274,19 +274,21 @@
 
     async fn send(&self, request: &Request, observer: &mut Observer) -> Ending {
         let turn = self.next_turn.fetch_add(1, Ordering::Relaxed);
-        let excluded = *self.excluded.borrow();
+        let out_of_service = *self.out_of_service.borrow();
         match &self.entry_points {
-            EntryPoints::Direct(entry_vms) => {
-                let open: Vec<&EntryVm> = entry_vms
+            EntryPoints::Baseline(entry_vms) => {
+                let in_service: Vec<&EntryVm> = entry_vms
                     .iter()
                     .enumerate()
-                    .filter(|(number, _)| Some(number % self.data_centres) != excluded)
+                    .filter(|(number, _)| Some(number % self.data_centres) != out_of_service)
                     .map(|(_, entry_vm)| entry_vm)
                     .collect();
-                open[turn % open.len()].run(request, observer).await
+                in_service[turn % in_service.len()]
+                    .run(request, observer)
+                    .await
             }
             EntryPoints::Nodes(cluster) => {
-                let callers = cluster.caller_addresses(excluded);
+                let callers = cluster.caller_addresses(out_of_service);
                 let node = callers[turn % callers.len()];
                 caller::run(&self.http, node, request, observer).await
             }
@@ -296,21 +298,24 @@
     async fn apply(&self, action: Action) -> Result<(), Error> {
         match action {
             Action::Engines { every, fault } => self.fleet.inject_fault(every, fault).await?,
-            Action::DataCentreOut => self.set_out(Some(OUT_OF_SERVICE_DATA_CENTRE)).await?,
-            Action::DataCentreIn => self.set_out(None).await?,
+            Action::DataCentreOut => {
+                self.set_out_of_service(Some(OUT_OF_SERVICE_DATA_CENTRE))
+                    .await?
+            }
+            Action::DataCentreIn => self.set_out_of_service(None).await?,
             Action::PlatformDown => self.set_outage(true).await?,
             Action::PlatformUp => self.set_outage(false).await?,
         }
         Ok(())
     }
 
-    async fn set_out(&self, data_centre: Option<usize>) -> Result<(), Error> {
-        self.excluded.send_replace(data_centre);
+    async fn set_out_of_service(&self, data_centre: Option<usize>) -> Result<(), Error> {
+        self.out_of_service.send_replace(data_centre);
         match &self.entry_points {
-            EntryPoints::Direct(entry_vms) => {
+            EntryPoints::Baseline(entry_vms) => {
                 for entry_vm in entry_vms {
-                    entry_vm.engines.set_out(data_centre);
-                    entry_vm.services.set_out(data_centre);
+                    entry_vm.engines.set_out_of_service(data_centre);
+                    entry_vm.services.set_out_of_service(data_centre);
                 }
             }
             EntryPoints::Nodes(cluster) => {
@@ -332,7 +337,7 @@
 
     fn usage(&self) -> Vec<usage::Usage> {
         match &self.entry_points {
-            EntryPoints::Direct(_) => Vec::new(),
+            EntryPoints::Baseline(_) => Vec::new(),
             EntryPoints::Nodes(cluster) => cluster.usage(),
         }
     }
@@ -348,18 +353,18 @@
 fn independent_balancers(
     settings: &Settings,
     fleet: &Fleet,
-    choice: BalancingPolicy,
+    policy: BalancingPolicy,
 ) -> Result<EntryPoints, Error> {
     let client = client()?;
-    let selector = |targets: &[Target], turn| {
-        TargetSelector::Independent(Balancer::new(choice, &addresses(targets), turn))
+    let selector = |targets: &[Target], rotation| {
+        TargetSelector::Independent(Balancer::new(policy, &addresses(targets), rotation))
     };
     let entry_vms = (0..settings.entry_vms).map(|number| EntryVm {
         client: client.clone(),
         engines: selector(&fleet.engines, number),
         services: selector(&fleet.services, number),
     });
-    Ok(EntryPoints::Direct(entry_vms.collect()))
+    Ok(EntryPoints::Baseline(entry_vms.collect()))
 }
 
 fn shared_pool(settings: &Settings, fleet: &Fleet, policy: Policy) -> Result<EntryPoints, Error> {
@@ -375,7 +380,7 @@
         engines: TargetSelector::Pool(engines.clone()),
         services: TargetSelector::Pool(services.clone()),
     });
-    Ok(EntryPoints::Direct(entry_vms.collect()))
+    Ok(EntryPoints::Baseline(entry_vms.collect()))
 }
 
 fn client() -> Result<Client, Error> {
--- a/filbertpaddle-standins/src/lengths.rs
+++ b/filbertpaddle-standins/src/lengths.rs
@@ -59,7 +59,7 @@
 /// The same seed and prompt always give the same length. If the prompt has a
 /// marker, only the marker and the first word count, so that the length of a
 /// request does not depend on how its prompt is assembled.
-pub fn draw(seed: u64, prompt: &str) -> u32 {
+pub fn draw_output_tokens(seed: u64, prompt: &str) -> u32 {
     let word = prompt.split_whitespace().next().unwrap_or_default();
     let distribution = LENGTH_DISTRIBUTIONS
         .iter()
--- a/filbertpaddle-standins/src/pool.rs
+++ b/filbertpaddle-standins/src/pool.rs
@@ -63,7 +63,7 @@
     Release(Release),
     Report(usize, Option<LoadReport>),
     Cache(usize, CacheEvent),
-    SetOut(Option<usize>),
+    SetOutOfService(Option<usize>),
 }
 
 /// Handle of a pool, which grants slots of its targets.
@@ -97,7 +97,7 @@
             targets,
             waiting: IndexMap::new(),
             held: IndexMap::new(),
-            out: None,
+            out_of_service: None,
             next_id: 0,
             started: Instant::now(),
         };
@@ -106,25 +106,25 @@
     }
 
     /// Waits for a slot; returns `None` if none is granted in time.
-    pub async fn acquire(&self, ask: &Request) -> Option<Grant> {
+    pub async fn acquire(&self, request: &Request) -> Option<Grant> {
         let (answer, granted) = oneshot::channel();
-        let blocks = digests(&ask.kind.prefix(&ask.customer));
-        let prompt = ask.prompt();
-        let request = scheduler::SlotRequest {
+        let blocks = digests(&request.kind.prefix(&request.customer));
+        let prompt = request.prompt();
+        let slot_request = scheduler::SlotRequest {
             id: RequestId(0),
-            customer: ask.customer.clone(),
-            template: Name::new(format!("{}/{}", ask.customer, ask.kind.name)),
-            priority: ask.priority(),
+            customer: request.customer.clone(),
+            template: Name::new(format!("{}/{}", request.customer, request.kind.name)),
+            priority: request.priority(),
             weight: 1,
             prompt_tokens: (prompt.len() / TOKEN_BYTES) as u32,
-            max_tokens: ask.kind.max_tokens.max(1),
+            max_tokens: request.kind.max_tokens.max(1),
             prefix: blocks.last().copied().unwrap_or_default(),
             prefix_tokens: blocks.len() as u32 * BLOCK_TOKENS,
             digest: xxh3_64(prompt.as_bytes()),
             arrived_ms: Millis::ZERO,
             deadline_ms: Millis::ZERO,
         };
-        let command = Command::Acquire(Box::new(request), answer);
+        let command = Command::Acquire(Box::new(slot_request), answer);
         self.commands.send(command).ok()?;
         granted.await.ok().flatten()
     }
@@ -135,10 +135,10 @@
         let _ = self.commands.send(Command::Release(release));
     }
 
-    /// Takes one data centre out of service, or with `None` returns all to service.
-    pub fn set_out(&self, data_centre: Option<usize>) {
+    /// Takes a data centre out of service; `None` puts all back in service.
+    pub fn set_out_of_service(&self, data_centre: Option<usize>) {
         // Sending fails only when the pool has ended together with the run.
-        let _ = self.commands.send(Command::SetOut(data_centre));
+        let _ = self.commands.send(Command::SetOutOfService(data_centre));
     }
 }
 
@@ -186,11 +186,11 @@
     }
 
     /// Returns the target as the scheduler sees it; without slots if it is leaving or out.
-    fn view(&self, out: Option<usize>) -> TargetView {
+    fn view(&self, out_of_service: Option<usize>) -> TargetView {
         let usable = self
             .report
             .as_ref()
-            .filter(|report| !report.leaving && Some(self.data_centre) != out);
+            .filter(|report| !report.leaving && Some(self.data_centre) != out_of_service);
         let limit = usable.map_or(0, |report| match report.warmth {
             Warmth::Cold => report.cold_limit,
             Warmth::Warm => report.warm_limit,
@@ -212,7 +212,7 @@
     targets: Vec<Target>,
     waiting: IndexMap<RequestId, oneshot::Sender<Option<Grant>>>,
     held: IndexMap<SlotId, usize>,
-    out: Option<usize>,
+    out_of_service: Option<usize>,
     next_id: u64,
     started: Instant,
 }
@@ -235,7 +235,7 @@
 
     fn handle(&mut self, command: Command) {
         match command {
-            Command::Acquire(request, answer) => self.acquire(*request, answer),
+            Command::Acquire(slot_request, answer) => self.acquire(*slot_request, answer),
             Command::Release(release) => self.release(release),
             Command::Report(index, report) => self.report(index, report),
             Command::Cache(index, event) => {
@@ -244,22 +244,22 @@
                 self.scheduler
                     .record_cache_event(now, name, event.prefix, event.held);
             }
-            Command::SetOut(data_centre) => self.out = data_centre,
+            Command::SetOutOfService(data_centre) => self.out_of_service = data_centre,
         }
     }
 
     fn acquire(
         &mut self,
-        mut request: scheduler::SlotRequest,
+        mut slot_request: scheduler::SlotRequest,
         answer: oneshot::Sender<Option<Grant>>,
     ) {
         let now = self.now();
         self.next_id += 1;
-        request.id = RequestId(self.next_id);
-        request.arrived_ms = now;
-        request.deadline_ms = now + MAX_WAIT_MS;
-        let id = request.id;
-        match self.scheduler.push(now, request) {
+        slot_request.id = RequestId(self.next_id);
+        slot_request.arrived_ms = now;
+        slot_request.deadline_ms = now + MAX_WAIT_MS;
+        let id = slot_request.id;
+        match self.scheduler.push(now, slot_request) {
             Ok(()) => {
                 self.waiting.insert(id, answer);
             }
@@ -304,9 +304,12 @@
             }
         }
         loop {
-            let out = self.out;
-            let views: Vec<TargetView> =
-                self.targets.iter().map(|target| target.view(out)).collect();
+            let out_of_service = self.out_of_service;
+            let views: Vec<TargetView> = self
+                .targets
+                .iter()
+                .map(|target| target.view(out_of_service))
+                .collect();
             let Some(placement) = self.scheduler.next_placement(now, &views) else {
                 return;
             };
--- a/filbertpaddle-standins/src/proxy.rs
+++ b/filbertpaddle-standins/src/proxy.rs
@@ -74,14 +74,14 @@
     pub address: SocketAddr,
     /// Address that serves control requests.
     pub control: SocketAddr,
-    state: SharedState,
+    state: ProxyState,
     accept_task: tokio::task::JoinHandle<()>,
     control_server: Server,
 }
 
 /// State shared between the connections of a proxy.
 #[derive(Clone, Debug)]
-pub(crate) struct SharedState {
+pub(crate) struct ProxyState {
     pub(crate) faults: Arc<watch::Sender<Faults>>,
     pub(crate) counters: Arc<TrafficCounters>,
 }
@@ -116,7 +116,7 @@
         upstream: SocketAddr,
         control: SocketAddr,
     ) -> io::Result<Self> {
-        let state = SharedState {
+        let state = ProxyState {
             faults: Arc::new(watch::Sender::new(Faults::default())),
             counters: Arc::default(),
         };
@@ -174,7 +174,7 @@
     }
 }
 
-async fn accept(listener: TcpListener, upstream: SocketAddr, state: SharedState) {
+async fn accept(listener: TcpListener, upstream: SocketAddr, state: ProxyState) {
     // When this task is aborted, the set is dropped, which ends all connections.
     let mut connections = JoinSet::new();
     loop {
@@ -189,13 +189,13 @@
     }
 }
 
-async fn serve(client: TcpStream, upstream: SocketAddr, state: SharedState) {
+async fn serve(client: TcpStream, upstream: SocketAddr, state: ProxyState) {
     // An error on either side ends both connections; nothing else depends on it.
     let _ = proxy_connection::relay_connection(client, upstream, &state).await;
 }
 
 fn routes(
-    state: &SharedState,
+    state: &ProxyState,
 ) -> impl Filter<Extract = (Response,), Error = Rejection> + Clone + Send + Sync + 'static {
     let with = {
         let state = state.clone();
@@ -206,13 +206,13 @@
         .and(warp::post())
         .and(with.clone())
         .and(warp::body::json())
-        .map(|state: SharedState, faults: Faults| {
+        .map(|state: ProxyState, faults: Faults| {
             state.faults.send_replace(faults);
             StatusCode::NO_CONTENT.into_response()
         });
     let counts = warp::path!("control" / "counts")
         .and(warp::get())
         .and(with)
-        .map(|state: SharedState| warp::reply::json(&state.counters.counts()).into_response());
+        .map(|state: ProxyState| warp::reply::json(&state.counters.counts()).into_response());
     set.or(counts).unify()
 }
--- a/filbertpaddle-standins/src/proxy_connection.rs
+++ b/filbertpaddle-standins/src/proxy_connection.rs
@@ -18,7 +18,7 @@
 
 use crate::proxy::Faults;
 use crate::proxy::Link;
-use crate::proxy::SharedState;
+use crate::proxy::ProxyState;
 
 /// Most bytes read at once.
 const CHUNK_BYTES: usize = 16 * 1024;
@@ -53,7 +53,7 @@
 pub(crate) async fn relay_connection(
     mut client: TcpStream,
     upstream: SocketAddr,
-    state: &SharedState,
+    state: &ProxyState,
 ) -> io::Result<()> {
     let faults = state.faults.subscribe();
     let link = faults.borrow().link;
@@ -90,7 +90,7 @@
 async fn relay(
     client: &mut TcpStream,
     server: &mut TcpStream,
-    state: &SharedState,
+    state: &ProxyState,
 ) -> ConnectionEnd {
     let (client_read, client_write) = client.split();
     let (server_read, server_write) = server.split();
--- a/filbertpaddle-standins/src/scenario.rs
+++ b/filbertpaddle-standins/src/scenario.rs
@@ -4,7 +4,7 @@
 
 use crate::engine_fault::Fault;
 use crate::workload;
-use crate::workload::Burst;
+use crate::workload::CustomerBurst;
 use crate::workload::Request;
 use crate::workload::RequestKind;
 
@@ -86,7 +86,7 @@
             kinds: self.kinds(),
             burst: self.burst(),
         };
-        workload::draw(&settings)
+        workload::draw_requests(&settings)
     }
 
     /// Returns the actions during a run, in order of time.
@@ -144,9 +144,9 @@
         }
     }
 
-    const fn burst(self) -> Option<Burst> {
+    const fn burst(self) -> Option<CustomerBurst> {
         match self {
-            Self::CustomerBurst => Some(Burst {
+            Self::CustomerBurst => Some(CustomerBurst {
                 from: DISRUPTION_START,
                 to: DISRUPTION_END,
                 rate: 1.5,
--- a/filbertpaddle-standins/src/workload.rs
+++ b/filbertpaddle-standins/src/workload.rs
@@ -157,12 +157,12 @@
     /// Kinds of requests.
     pub kinds: &'static [RequestKind],
     /// Additional requests of the first customer, if any.
-    pub burst: Option<Burst>,
+    pub burst: Option<CustomerBurst>,
 }
 
 /// Additional requests of the first customer during part of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Burst {
+pub struct CustomerBurst {
     /// Start, as a fraction of the run.
     pub from: f64,
     /// End, as a fraction of the run.
@@ -172,7 +172,7 @@
 }
 
 /// Draws the requests of a run, ordered by time slice.
-pub fn draw<F>(settings: &Settings<F>) -> Vec<Request>
+pub fn draw_requests<F>(settings: &Settings<F>) -> Vec<Request>
 where
     F: Fn(f64) -> f64,
 {
--- a/filbertpaddle-standins/tests/engine.rs
+++ b/filbertpaddle-standins/tests/engine.rs
@@ -55,7 +55,7 @@
 fn long_submit(attempt: &str) -> Submit {
     let prompt = (0..)
         .map(|n| format!("menu {n}"))
-        .find(|prompt| filbertpaddle_standins::lengths::draw(1, prompt) > 2_000);
+        .find(|prompt| filbertpaddle_standins::lengths::draw_output_tokens(1, prompt) > 2_000);
     Submit {
         max_tokens: 2_000,
         ..submit(attempt, &prompt.unwrap())
@@ -165,8 +165,8 @@
 #[tokio::test]
 async fn lines_of_other_attempts_and_repeated_lines_are_recognised() {
     let engine = Engine::start(settings()).await.unwrap();
-    engine.inject(Fault::Cross { every: 3 });
-    engine.inject(Fault::Duplicate { every: 4 });
+    engine.inject_fault(Fault::Cross { every: 3 });
+    engine.inject_fault(Fault::Duplicate { every: 4 });
     let client = client();
     let request = submit("a1", "menu");
     let mut stream = client.submit(engine.address, &request).await.unwrap();
