--- a/filbertpaddle-standins/src/balancer.rs
+++ b/filbertpaddle-standins/src/balancer.rs
@@ -42,8 +42,9 @@
 }
 
 impl Balancer {
-    /// Creates a balancer over targets, given with their data centres; `rotation` is the index
-    /// before the first target tried.
+    /// Creates a balancer over targets, given with their data centres.
+    ///
+    /// The first search starts at the target after index `rotation`.
     pub fn new(policy: BalancingPolicy, targets: &[(SocketAddr, usize)], rotation: usize) -> Self {
         let targets = targets.iter().map(|(address, data_centre)| Target {
             address: *address,
--- a/filbertpaddle-standins/src/batch.rs
+++ b/filbertpaddle-standins/src/batch.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A generation request with its output length, which only the engine has.
+/// A generation request as submitted to an engine, with its output length, which nodes do not know.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineRequest {
     /// Id of the attempt.
@@ -73,7 +73,8 @@
     pub cached_tokens: u64,
     /// Submissions to a cold engine above its limit.
     pub cold_excess: u64,
-    /// Submissions of `cold_excess` within the grace period after the engine turned cold.
+    /// Submissions of `cold_excess` within the grace period after the engine turned cold, which
+    /// nodes cannot avoid because no load report shows the change yet.
     pub cold_excess_in_grace: u64,
 }
 
--- a/filbertpaddle-standins/src/batch_scheduler.rs
+++ b/filbertpaddle-standins/src/batch_scheduler.rs
@@ -1,7 +1,8 @@
 //! Batch scheduler of a simulated engine: continuous batching in limited memory.
 //!
 //! Each step prefills prompts up to a budget and decodes one token for every prefilled attempt.
-//! When memory pages run out, the attempt of the lowest rank is preempted and recomputed later.
+//! When memory pages run out, the attempt with the lowest priority, and among equals the newest,
+//! is preempted and recomputed later.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -83,6 +84,7 @@
     preempted_at_us: Option<u64>,
 }
 
+/// Sort key of attempts: highest priority first, then earliest arrival.
 type Rank = (Reverse<Priority>, u64);
 
 impl Sequence {
@@ -277,7 +279,8 @@
             .count()
     }
 
-    /// Frees pages by evicting idle blocks; evicts nothing and returns `false` if that would not suffice.
+    /// Frees pages by evicting idle blocks; evicts nothing and returns `false` if that would not
+    /// suffice.
     fn reserve(&mut self, now_us: u64, pages: u32) -> bool {
         let idle_pages = self.cache.idle_blocks() as u32 * self.block_pages();
         if self.free_pages() + idle_pages < pages {
--- a/filbertpaddle-standins/src/cluster.rs
+++ b/filbertpaddle-standins/src/cluster.rs
@@ -62,7 +62,10 @@
     #[error("cannot change the configuration: the cluster has no nodes")]
     NoNode,
     /// A node did not become ready.
-    #[error("node at {0} did not become ready within {MAX_READY_RETRIES} retries")]
+    #[error(
+        "the cluster did not start: node at {0} was not ready after {MAX_READY_RETRIES} retries \
+         at intervals of {READY_CHECK_INTERVAL:?}"
+    )]
     NotReady(SocketAddr),
 }
 
@@ -323,5 +326,6 @@
     }
 }
 
-/// Time after the start in which nodes discover targets, configuration and each other.
+/// Time between the start of the nodes and the load, in which nodes discover targets,
+/// configuration and each other.
 pub const SETTLE_TIME_MS: Millis = Millis(6_000);
--- a/filbertpaddle-standins/src/engine.rs
+++ b/filbertpaddle-standins/src/engine.rs
@@ -179,7 +179,8 @@
         };
         due += state.wall_time(step.duration_us);
         tokio::time::sleep_until(due).await;
-        // After a pause the steps do not run faster to catch up.
+        // Steps that are late catch up at most 20 ms, so that a pause, such as a freeze, still
+        // counts as lost time.
         due = due.max(tokio::time::Instant::now() - Duration::from_millis(20));
         state.finish_step(step);
     }
--- a/filbertpaddle-standins/src/engine_fault.rs
+++ b/filbertpaddle-standins/src/engine_fault.rs
@@ -10,7 +10,8 @@
 pub enum Fault {
     /// The engine loses every attempt and restarts cold.
     Crash,
-    /// The engine makes no progress and sends nothing for a while; connections stay open.
+    /// The engine makes no progress for a while, and streams and load reports wait; connections
+    /// stay open.
     Freeze {
         /// Length of the freeze in wall-clock time.
         duration_ms: Millis,
--- a/filbertpaddle-standins/src/engine_http.rs
+++ b/filbertpaddle-standins/src/engine_http.rs
@@ -32,7 +32,8 @@
 /// Chunks of lines that are buffered for a slow reader.
 const MAX_BUFFERED_CHUNKS: usize = 64;
 
-/// Bytes of the digest of the attempt id at the start of a token's text.
+/// Bytes of the digest of the attempt id at the start of a token's text, by which the load tool
+/// recognises answers with tokens of two generations.
 const TAG_BYTES: usize = 8;
 
 #[derive(Deserialize)]
--- a/filbertpaddle-standins/src/experiment.rs
+++ b/filbertpaddle-standins/src/experiment.rs
@@ -43,10 +43,11 @@
 use crate::usage;
 use crate::workload::Request;
 
-/// Time from when a request is due until it counts as unfinished.
+/// Time from when a request is due until it counts as unfinished; it also bounds how long a run
+/// waits for running requests after the last one was sent.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(75);
 
-/// Longest time between two events of a stream before a baseline gives it up.
+/// Maximum time between two events of a stream at a baseline; after it the stream counts as broken.
 const BASELINE_IDLE_TIMEOUT_MS: Millis = Millis(300_000);
 
 /// Index of the data centre that scenarios take out of service.
@@ -127,7 +128,9 @@
 /// Entry points that requests are sent to.
 #[derive(Debug)]
 enum EntryPoints {
+    /// Simulated entry VMs of a baseline.
     Baseline(Vec<EntryVm>),
+    /// Platform stand-in and nodes.
     Nodes(Box<Cluster>),
 }
 
--- a/filbertpaddle-standins/src/fleet.rs
+++ b/filbertpaddle-standins/src/fleet.rs
@@ -28,7 +28,7 @@
     pub pages: u32,
     /// Most attempts in the batch of an engine.
     pub warm_limit: u32,
-    /// Attempts that a cold engine can run at once without collapsing.
+    /// Maximum attempts, running or waiting, of a cold engine; one more crashes it.
     pub cold_limit: u32,
 }
 
--- a/filbertpaddle-standins/src/lib.rs
+++ b/filbertpaddle-standins/src/lib.rs
@@ -1,4 +1,8 @@
-//! Stand-ins of model engines, services and the platform with injectable faults, and a load tool.
+//! Tools for development and tests: stand-ins of model engines, plain services and the platform,
+//! a proxy that injects link faults, and a load tool that compares routing policies.
+//!
+//! The load tool sends the same workload to nodes or to baselines without nodes, and checks the
+//! answers that callers receive against the executions that the stand-ins count.
 
 pub mod balancer;
 pub mod baseline;
--- a/filbertpaddle-standins/src/main.rs
+++ b/filbertpaddle-standins/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line of the stand-ins and the load tool.
+//! Command line of the stand-ins, the fault-injection proxy and the load tool.
 
 use eyre::bail;
 
--- a/filbertpaddle-standins/src/observation.rs
+++ b/filbertpaddle-standins/src/observation.rs
@@ -34,7 +34,7 @@
     Incomplete,
     /// The answer broke off without an end event or an outcome.
     Broken,
-    /// The request had not ended when its time was over.
+    /// The request had not ended when its timeout expired.
     Unfinished,
 }
 
--- a/filbertpaddle-standins/src/pool.rs
+++ b/filbertpaddle-standins/src/pool.rs
@@ -185,7 +185,8 @@
         }
     }
 
-    /// Returns the target as the scheduler sees it; without slots if it is leaving or out.
+    /// Returns the target as the scheduler sees it; without free slots if it has no load report,
+    /// is leaving or is out of service.
     fn view(&self, out_of_service: Option<usize>) -> TargetView {
         let usable = self
             .report
--- a/filbertpaddle-standins/src/prefix_cache.rs
+++ b/filbertpaddle-standins/src/prefix_cache.rs
@@ -5,7 +5,7 @@
 use filbertpaddle_target::protocol::CacheEvent;
 use indexmap::IndexMap;
 
-/// Changes that are kept.
+/// Changes that are kept, from which delayed cache events are taken.
 const MAX_CHANGES: usize = 4_096;
 
 /// A change of the cache with its time.
--- a/filbertpaddle-standins/src/report.rs
+++ b/filbertpaddle-standins/src/report.rs
@@ -92,16 +92,16 @@
     pub recomputed_tokens: u64,
     /// Generated tokens that are not part of a complete answer, and recomputed tokens.
     pub wasted_tokens: u64,
-    /// Prompt tokens that prefix caches saved, in percent.
+    /// Tokens that prefix caches saved, in percent of all prompt tokens.
     pub cached_percent: f64,
-    /// Jain's fairness index of the customers' shares of complete requests.
+    /// Jain's fairness index of the shares of each customer's requests that were complete.
     pub fairness: f64,
     /// 95th percentile of the time to the first token, for the customer with the worst.
     pub worst_customer_p95_ms: f64,
     /// Cold engines that collapsed under too much load.
     pub collapses: u64,
-    /// Submissions to cold engines beyond their limit, without those in the time
-    /// in which nobody could know yet that the engine was cold.
+    /// Submissions to cold engines beyond their limit, without those in the grace period in which
+    /// load reports do not show yet that the engine is cold.
     pub cold_excess: u64,
     /// Violated guarantees, by kind.
     pub violations: IndexMap<String, usize>,
@@ -331,8 +331,9 @@
     customers
 }
 
-/// Returns Jain's fairness index of the customers' shares of complete requests;
-/// it is one if all shares are equal.
+/// Returns Jain's fairness index of the shares of each customer's requests that were complete.
+///
+/// The index is one if all shares are equal.
 fn fairness(customers: &IndexMap<&Name, Vec<&RequestRecord>>) -> f64 {
     let shares: Vec<f64> = customers
         .values()
--- a/filbertpaddle-standins/src/server.rs
+++ b/filbertpaddle-standins/src/server.rs
@@ -67,7 +67,8 @@
     }
 }
 
-/// Binds a listener whose connections have `TCP_NODELAY` set, so that small writes are sent at once.
+/// Binds a listener whose connections have `TCP_NODELAY` set, so that small writes are sent
+/// without delay.
 ///
 /// Accepted connections inherit the option from the listener.
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
--- a/filbertpaddle-standins/src/vm_list_history.rs
+++ b/filbertpaddle-standins/src/vm_list_history.rs
@@ -5,7 +5,7 @@
 
 use filbertpaddle_platform::protocol::VmList;
 
-/// Lists that are kept.
+/// Lists that are kept, from which an answer that lags is taken.
 const MAX_LISTS: usize = 64;
 
 /// Past and current VM lists with their times.
--- a/filbertpaddle-standins/src/workload.rs
+++ b/filbertpaddle-standins/src/workload.rs
@@ -13,7 +13,7 @@
 
 use crate::marker;
 
-/// Customers and their shares of the requests; the first three send most of them.
+/// Customers and their shares of the requests; the first three are large and send most of them.
 pub const CUSTOMERS: &[(&str, f64)] = &[
     ("c0", 0.30),
     ("c1", 0.20),
@@ -51,7 +51,7 @@
     pub share: f64,
     /// Scheduling priority.
     pub priority: u8,
-    /// Least length of the prompt prefix that requests of a customer share.
+    /// Minimum length of the prompt prefix that requests of this kind by a customer share.
     pub prefix_bytes: usize,
     /// Most tokens to generate; zero for calls of a plain service.
     pub max_tokens: u32,
