--- a/filbertpaddle-standins/src/scenario.rs
+++ b/filbertpaddle-standins/src/scenario.rs
@@ -4,7 +4,7 @@
 
 use crate::engine_fault::Fault;
 use crate::workload;
-use crate::workload::CustomerBurst;
+use crate::workload::BurstSettings;
 use crate::workload::Request;
 use crate::workload::RequestKind;
 
@@ -144,9 +144,9 @@
         }
     }
 
-    const fn burst(self) -> Option<CustomerBurst> {
+    const fn burst(self) -> Option<BurstSettings> {
         match self {
-            Self::CustomerBurst => Some(CustomerBurst {
+            Self::CustomerBurst => Some(BurstSettings {
                 from: DISRUPTION_START,
                 to: DISRUPTION_END,
                 rate: 1.5,
--- a/filbertpaddle-standins/src/workload.rs
+++ b/filbertpaddle-standins/src/workload.rs
@@ -157,12 +157,12 @@
     /// Kinds of requests.
     pub kinds: &'static [RequestKind],
     /// Additional requests of the first customer, if any.
-    pub burst: Option<CustomerBurst>,
+    pub burst: Option<BurstSettings>,
 }
 
 /// Additional requests of the first customer during part of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CustomerBurst {
+pub struct BurstSettings {
     /// Start, as a fraction of the run.
     pub from: f64,
     /// End, as a fraction of the run.
