--- a/filbertpaddle-standins/src/workload.rs
+++ b/filbertpaddle-standins/src/workload.rs
@@ -13,7 +13,7 @@
 
 use crate::marker;
 
-/// Customers and their shares of the requests; the first three send most of them.
+/// Customers and their shares of the requests; the first three are large and send most of them.
 pub const CUSTOMERS: &[(&str, f64)] = &[
     ("c0", 0.30),
     ("c1", 0.20),
@@ -51,7 +51,7 @@
     pub share: f64,
     /// Scheduling priority.
     pub priority: u8,
-    /// Least length of the prompt prefix that requests of a customer share.
+    /// Minimum length of the prompt prefix that requests of this kind by a customer share.
     pub prefix_bytes: usize,
     /// Most tokens to generate; zero for calls of a plain service.
     pub max_tokens: u32,
@@ -157,12 +157,12 @@
     /// Kinds of requests.
     pub kinds: &'static [RequestKind],
     /// Additional requests of the first customer, if any.
-    pub burst: Option<Burst>,
+    pub burst: Option<BurstSettings>,
 }
 
 /// Additional requests of the first customer during part of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Burst {
+pub struct BurstSettings {
     /// Start, as a fraction of the run.
     pub from: f64,
     /// End, as a fraction of the run.
@@ -172,7 +172,7 @@
 }
 
 /// Draws the requests of a run, ordered by time slice.
-pub fn draw<F>(settings: &Settings<F>) -> Vec<Request>
+pub fn draw_requests<F>(settings: &Settings<F>) -> Vec<Request>
 where
     F: Fn(f64) -> f64,
 {
