--- a/filbertpaddle-core/src/availability.rs
+++ b/filbertpaddle-core/src/availability.rs
@@ -2,7 +2,8 @@
 //!
 //! Combines the operators' decisions, the platform's VM list, which lags behind,
 //! and reclaim notices. A data centre or VM is out of service if any of these
-//! sources says so; after it returns, its share of new work is ramped up in steps.
+//! sources reports it out of service; after it returns, its share of new work is ramped
+//! up in steps.
 
 use std::mem;
 
--- a/filbertpaddle-core/src/placement_rate.rs
+++ b/filbertpaddle-core/src/placement_rate.rs
@@ -1,7 +1,7 @@
 //! Estimate of how fast queued work is placed.
 //!
 //! The scheduler uses it to refuse a request whose deadline cannot be met, and to
-//! tell the caller when to retry.
+//! give the caller a retry delay.
 
 use crate::clock::Millis;
 
@@ -23,7 +23,7 @@
 impl PlacementRate {
     /// Records the placement of work with `tokens` expected tokens.
     ///
-    /// `more_queued` says whether other work is still queued. The measurement
+    /// `more_queued` is whether other work is still queued. The measurement
     /// restarts if not, since an idle pool would lower the rate.
     pub fn record_placement(&mut self, now: Millis, tokens: u64, more_queued: bool) {
         if !more_queued {
--- a/filbertpaddle-core/src/scheduler.rs
+++ b/filbertpaddle-core/src/scheduler.rs
@@ -84,7 +84,7 @@
     /// # Errors
     ///
     /// Returns a refusal if the queue is full, the deadline cannot be met or the
-    /// request is quarantined. It says when to retry, except for a quarantine.
+    /// request is quarantined. It gives the retry delay, except for a quarantine.
     pub fn push(&mut self, now: Millis, request: SlotRequest) -> Result<(), Refusal> {
         let tokens_ahead =
             self.queue
--- a/filbertpaddle-gateway/src/node.rs
+++ b/filbertpaddle-gateway/src/node.rs
@@ -61,7 +61,7 @@
 /// Function of the adapter that rereads the settings.
 pub type Reload = fn() -> Result<Settings, String>;
 
-/// Runs a node until it is told to stop and its requests have ended or the grace period
+/// Runs a node until it is signalled to stop and its requests have ended or the grace period
 /// is over.
 ///
 /// # Errors
--- a/filbertpaddle-gateway/src/state.rs
+++ b/filbertpaddle-gateway/src/state.rs
@@ -82,7 +82,7 @@
     pub is_closing: Cell<bool>,
     /// Time when the node last wrote its entry to the store.
     pub written_ms: Cell<Option<Millis>>,
-    /// Drain of this node, once it has been told to stop.
+    /// Drain of this node, once it has been signalled to stop.
     pub drain: Cell<Option<Drain>>,
     /// Number of requests that are being served.
     pub in_flight: Cell<usize>,
@@ -162,7 +162,7 @@
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Marks a target as draining after its own report says so.
+    /// Marks a target as draining after its own report shows that it drains.
     pub fn mark_target_draining(&self, target: &Target) {
         let is_new = self.directory.borrow_mut().mark_draining(target);
         if is_new {
--- a/filbertpaddle-standins/src/baseline.rs
+++ b/filbertpaddle-standins/src/baseline.rs
@@ -193,7 +193,7 @@
                 let from = stream.next_index();
                 let resumed = self.client.resume(address, &submit.attempt, from).await;
                 // The target accepted the submission earlier, so the outcome is unknown even
-                // if the error of the resume says that the resume itself did not run.
+                // if the error of the resume means that the resume itself did not run.
                 let mut stream = resumed.map_err(|error| {
                     let text = error.to_string();
                     Error::Unknown(UnknownOutcome::ConnectionLost(text))
--- a/filbertpaddle/tests/soak/cluster.rs
+++ b/filbertpaddle/tests/soak/cluster.rs
@@ -85,7 +85,7 @@
     incarnations: usize,
 }
 
-/// A node process that was told to stop.
+/// A node process that was signalled to stop.
 #[derive(Debug)]
 struct StoppingNode {
     vm: usize,
@@ -358,7 +358,7 @@
         }
     }
 
-    /// Checks that node processes end if, and only if, they were told to; restarts
+    /// Checks that node processes end if, and only if, they were signalled to; restarts
     /// crashed targets.
     pub(crate) async fn check_processes(&mut self) {
         self.restart_crashed_targets().await;
@@ -381,7 +381,7 @@
     }
 
     /// Returns whether a process still runs though its grace period is over and nothing
-    /// has disrupted it since it was told to stop.
+    /// has disrupted it since it was signalled to stop.
     fn is_overdue(&self, stopping: &StoppingNode) -> bool {
         let grace = Duration::from_secs(GRACE_SEC.into());
         let component = Component::Node(stopping.vm);
@@ -392,7 +392,7 @@
             })
     }
 
-    /// Returns whether all processes that were told to stop and all poison senders have
+    /// Returns whether all processes that were signalled to stop and all poison senders have
     /// ended.
     pub(crate) fn is_settled(&self) -> bool {
         self.stopping.is_empty() && self.poison_senders.iter().all(JoinHandle::is_finished)
--- a/filbertpaddle/tests/soak/invariants.rs
+++ b/filbertpaddle/tests/soak/invariants.rs
@@ -52,7 +52,7 @@
 pub(crate) const PLAIN_TIMEOUT_MS: u64 = 2_000;
 /// Configured rate of requests to a cold target.
 pub(crate) const COLD_PER_SEC: f64 = 1.0;
-/// Grace period of a node that is told to stop.
+/// Grace period of a node that is signalled to stop.
 pub(crate) const GRACE_SEC: u32 = 4;
 
 /// Returns the customer's API key in a version of the configuration.
--- a/filbertpaddle/tests/soak/schedule.rs
+++ b/filbertpaddle/tests/soak/schedule.rs
@@ -61,9 +61,9 @@
     NodePause(usize),
     /// A node is killed and restarted.
     NodeKill(usize),
-    /// A node is told to stop, and a new process starts on its VM.
+    /// A node is signalled to stop, and a new process starts on its VM.
     NodeTerminate(usize),
-    /// A node is told to reload its settings.
+    /// A node is signalled to reload its settings.
     NodeReload(usize),
     /// The customer's API key is replaced.
     KeyRotation,
--- a/filbertpaddle/tests/soak/traffic.rs
+++ b/filbertpaddle/tests/soak/traffic.rs
@@ -52,7 +52,7 @@
     pub(crate) stop: Arc<AtomicBool>,
 }
 
-/// Sends requests one after another until told to stop.
+/// Sends requests one after another until the stop flag is set.
 pub(crate) async fn run_caller(context: CallerContext, seed: u64, number: usize) {
     let mut rng = StdRng::seed_from_u64(seed ^ (number as u64 + 1) << 32);
     let mut open: Option<(usize, Connection)> = None;
