--- a/filbertpaddle-core/src/gossip.rs
+++ b/filbertpaddle-core/src/gossip.rs
@@ -16,13 +16,13 @@
 pub enum Message {
     /// Forwards a change that was new to the sender.
     Push(Change),
-    /// Requests the changes after the requester's head.
+    /// Requests the changes after the requesting node's head.
     PullRequest {
-        /// Sequence number chosen by the requester; the response repeats it.
+        /// Sequence number chosen by the requesting node; the response repeats it.
         seq: u64,
-        /// Head of the requester's replica.
+        /// Head of the requesting node's replica.
         head: Revision,
-        /// Time since the requester's replica was last known to be complete.
+        /// Time since the requesting node's replica was last known to be complete.
         age_ms: Option<Millis>,
     },
     /// Response to [`Message::PullRequest`].
@@ -33,12 +33,12 @@
         head: Revision,
         /// Time since the sender's replica was last known to be complete.
         age_ms: Option<Millis>,
-        /// Changes after the requester's head; empty if they are no longer retained.
+        /// Changes after the requesting node's head; empty if they are no longer retained.
         changes: Vec<Change>,
     },
     /// Requests a page of the whole configuration.
     PageRequest {
-        /// Sequence number chosen by the requester; the response repeats it.
+        /// Sequence number chosen by the requesting node; the response repeats it.
         seq: u64,
         /// Last key of the previous page.
         after: Option<Key>,
@@ -52,7 +52,7 @@
     },
     /// Requests the status of the nodes of a relay's data centre.
     StatusRequest {
-        /// Sequence number chosen by the requester; the response repeats it.
+        /// Sequence number chosen by the requesting node; the response repeats it.
         seq: u64,
     },
     /// Response to [`Message::StatusRequest`].
--- a/filbertpaddle-core/src/scheduler.rs
+++ b/filbertpaddle-core/src/scheduler.rs
@@ -146,7 +146,7 @@
         u64::from(request.prompt_tokens) + out_tokens
     }
 
-    /// Removes a queued request that its requester has cancelled; `None` if it is not
+    /// Removes a queued request that its sender has cancelled; `None` if it is not
     /// queued.
     pub fn cancel(&mut self, id: RequestId) -> Option<SlotRequest> {
         self.queue
--- a/filbertpaddle-standins/src/pool.rs
+++ b/filbertpaddle-standins/src/pool.rs
@@ -264,7 +264,7 @@
             Ok(()) => {
                 self.waiting.insert(id, answer);
             }
-            // The requester may no longer wait.
+            // The task that waits for the slot may have ended.
             Err(_) => drop(answer.send(None)),
         }
     }
@@ -300,7 +300,7 @@
         let now = self.now();
         for refusal in self.scheduler.take_refusals(now) {
             if let Some(answer) = self.waiting.swap_remove(&refusal.id) {
-                // The requester may no longer wait.
+                // The task that waits for the slot may have ended.
                 let _ = answer.send(None);
             }
         }
--- a/filbertpaddle-wire/src/config.rs
+++ b/filbertpaddle-wire/src/config.rs
@@ -17,16 +17,16 @@
     /// Forwards a change that was new to the sender.
     #[serde(rename = "p")]
     Push(Box<Change>),
-    /// Requests the changes after the requester's head.
+    /// Requests the changes after the requesting node's head.
     #[serde(rename = "q")]
     PullRequest {
-        /// Sequence number chosen by the requester; the response repeats it.
+        /// Sequence number chosen by the requesting node; the response repeats it.
         #[serde(rename = "s")]
         seq: u64,
-        /// Head of the requester's replica.
+        /// Head of the requesting node's replica.
         #[serde(rename = "h")]
         head: u64,
-        /// Time since the requester's replica was last known to be complete, in milliseconds.
+        /// Time since the requesting node's replica was last known to be complete, in milliseconds.
         #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
         age_ms: Option<u64>,
     },
@@ -42,14 +42,14 @@
         /// Time since the sender's replica was last known to be complete, in milliseconds.
         #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
         age_ms: Option<u64>,
-        /// Changes after the requester's head; empty if they are no longer retained.
+        /// Changes after the requesting node's head; empty if they are no longer retained.
         #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
         changes: Vec<Change>,
     },
     /// Requests a page of the whole configuration.
     #[serde(rename = "x")]
     PageRequest {
-        /// Sequence number chosen by the requester; the response repeats it.
+        /// Sequence number chosen by the requesting node; the response repeats it.
         #[serde(rename = "s")]
         seq: u64,
         /// Last key of the previous page.
@@ -75,7 +75,7 @@
     /// Requests the status of the nodes of a relay's data centre.
     #[serde(rename = "u")]
     StatusRequest {
-        /// Sequence number chosen by the requester; the response repeats it.
+        /// Sequence number chosen by the requesting node; the response repeats it.
         #[serde(rename = "s")]
         seq: u64,
     },
--- a/filbertpaddle-wire/src/remote.rs
+++ b/filbertpaddle-wire/src/remote.rs
@@ -1,8 +1,8 @@
 //! Messages about slots on targets of another data centre.
 //!
-//! A node requests a slot from a member of the other data centre. That member,
-//! the lender, acquires a slot in its own name and lends it to the requester,
-//! the borrower. Each message starts with the request number chosen by the borrower.
+//! A node, the borrower, requests a slot from a member of the other data centre. That
+//! member, the lender, acquires a slot in its own name and lends it to the borrower. Each
+//! message starts with the request number chosen by the borrower.
 
 use filbertpaddle_core::name::Name;
 use serde::Deserialize;
--- a/filbertpaddle/tests/soak/cluster.rs
+++ b/filbertpaddle/tests/soak/cluster.rs
@@ -320,7 +320,7 @@
         }
     }
 
-    /// Tells the node process of a VM to stop.
+    /// Signals the node process of a VM to stop.
     pub(crate) fn terminate_node(&mut self, number: usize) {
         if let Some(running) = self.vms[number].running.take() {
             running.node.process.terminate().unwrap();
